--- a/Makefile
+++ b/Makefile
@@ -16,7 +16,7 @@
 
 # PROXY_CONFIG names the configuration.
 run: build
-	exec bin/spindlehitch serve
+	exec bin/initiator serve
 
 ci:
 	bash .ci/run
--- a/cmd/spindlehitch/agent.go
+++ b/cmd/initiator/agent.go
@@ -15,8 +15,8 @@
 
 	"github.com/spf13/cobra"
 
-	"spindlehitch/internal/agent"
-	"spindlehitch/internal/config"
+	"dapplegate/internal/config"
+	"dapplegate/internal/configstore"
 )
 
 func agentCommand() *cobra.Command {
@@ -44,7 +44,7 @@
 	if err != nil {
 		return fmt.Errorf("agent.peer.api: %w", err)
 	}
-	a, err := agent.Start(agent.Options{ID: set.ID, Dir: set.Dir, Peers: set.Peers, Log: log, Check: checkConfig})
+	a, err := configstore.Start(configstore.Options{ID: set.ID, Dir: set.Dir, Peers: set.Peers, Log: log, Check: checkConfig})
 	if err != nil {
 		l.Close()
 		return err
@@ -72,7 +72,7 @@
 
 // configCommand groups what reads and writes the instances' configurations.
 func configCommand() *cobra.Command {
-	client := &agent.Client{}
+	client := &configstore.Client{}
 	cmd := &cobra.Command{Use: "config", Short: "Read and write instances' configurations at the agents"}
 	cmd.PersistentFlags().StringSliceVar(&client.Addrs, "agents", []string{"127.0.0.1:7701"}, "where the agents answer")
 	out := func(cmd *cobra.Command, v any) error {
--- a/cmd/spindlehitch/check.go
+++ b/cmd/initiator/check.go
@@ -56,7 +56,7 @@
 					}
 				}
 			}
-			fmt.Fprintln(cmd.OutOrStdout(), "spindlehitch", version)
+			fmt.Fprintln(cmd.OutOrStdout(), "initiator", version)
 		},
 	}
 }
--- a/cmd/spindlehitch/follow.go
+++ b/cmd/initiator/follow.go
@@ -9,8 +9,8 @@
 
 	"golang.org/x/sys/unix"
 
-	"spindlehitch/internal/agent"
-	"spindlehitch/internal/config"
+	"dapplegate/internal/config"
+	"dapplegate/internal/configstore"
 )
 
 // follow serves what the agents say of this instance. A new configuration is checked, then served by a
@@ -23,11 +23,11 @@
 	}
 	// The environment names the instance alone: where it listens is for the agents to say.
 	nothing := func(string) string { return "" }
-	news := make(chan agent.Entry)
+	news := make(chan configstore.Entry)
 	watch, unwatch := context.WithCancel(stop)
 	defer unwatch()
-	client := &agent.Client{Addrs: agents}
-	go client.Follow(watch, name, log, func(e agent.Entry) {
+	client := &configstore.Client{Addrs: agents}
+	go client.Follow(watch, name, log, func(e configstore.Entry) {
 		select {
 		case news <- e:
 		case <-watch.Done():
@@ -76,7 +76,7 @@
 }
 
 // succeed starts a generation and waits until it listens.
-func succeed(stop context.Context, e agent.Entry, getenv func(string) string, operator string, log *slog.Logger) (*generation, error) {
+func succeed(stop context.Context, e configstore.Entry, getenv func(string) string, operator string, log *slog.Logger) (*generation, error) {
 	cfg, err := config.Parse(e.Config, getenv)
 	if err != nil {
 		return nil, err
--- a/cmd/spindlehitch/main.go
+++ b/cmd/initiator/main.go
@@ -1,4 +1,4 @@
-// Command spindlehitch is the real initiator: the decision module on sockets.
+// Command initiator is the real initiator: the decision module on sockets.
 package main
 
 import (
@@ -10,14 +10,14 @@
 
 func main() {
 	if err := rootCommand().Execute(); err != nil {
-		fmt.Fprintln(os.Stderr, "spindlehitch:", err)
+		fmt.Fprintln(os.Stderr, "initiator:", err)
 		os.Exit(1)
 	}
 }
 
 func rootCommand() *cobra.Command {
 	root := &cobra.Command{
-		Use:           "spindlehitch",
+		Use:           "initiator",
 		Short:         "A storage initiator that schedules requests by redemptive fair queuing",
 		SilenceUsage:  true,
 		SilenceErrors: true,
--- a/cmd/spindlehitch/reload.go
+++ b/cmd/initiator/reload.go
@@ -5,7 +5,7 @@
 	"os"
 	"time"
 
-	"spindlehitch/internal/config"
+	"dapplegate/internal/config"
 )
 
 const (
--- a/cmd/spindlehitch/serve.go
+++ b/cmd/initiator/serve.go
@@ -16,13 +16,13 @@
 
 	"github.com/spf13/cobra"
 
-	"spindlehitch"
-	"spindlehitch/internal/config"
-	"spindlehitch/internal/core"
-	"spindlehitch/internal/discovery"
-	"spindlehitch/internal/front"
-	"spindlehitch/internal/nvme"
-	"spindlehitch/internal/upstream"
+	"dapplegate/internal/clienthttp"
+	"dapplegate/internal/config"
+	"dapplegate/internal/discovery"
+	"dapplegate/internal/dispatcher"
+	"dapplegate/internal/nvme"
+	"dapplegate/internal/upstream"
+	"dapplegate/scheduler"
 )
 
 // answerMargin is how long before its client leaves a request's answer must be decided.
@@ -88,7 +88,7 @@
 	runtime.GOMAXPROCS(max(1, int(cfg.Limits.Cores+0.99)))
 	debug.SetMemoryLimit(int64(cfg.Limits.MemoryMB) << 20 * 7 / 10)
 
-	module, err := spindlehitch.New(cfg.Module, cfg.Seed)
+	module, err := scheduler.New(cfg.Module, cfg.Seed)
 	if err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
@@ -98,11 +98,11 @@
 	if op.NVMe != nil {
 		wire = nvme.NewHost(op.NVMe.Host())
 	}
-	var c *core.Core
+	var c *dispatcher.Core
 	up := upstream.NewRegistry(upstream.Options{Wire: wire, Dial: cfg.Dial, Idle: cfg.ConnIdle * 4 / 5,
-		MostConn: cfg.TargetConns(), MostAll: cfg.AllTargetConns(), Log: log}, func(r core.Result) { c.Report(r) })
-	clock := core.NewClock()
-	c = core.New(module, up, clock, core.Options{MostHeld: cfg.MostHeld, Margin: answerMargin, Log: log})
+		MostConn: cfg.TargetConns(), MostAll: cfg.AllTargetConns(), Log: log}, func(r dispatcher.Result) { c.Report(r) })
+	clock := dispatcher.NewClock()
+	c = dispatcher.New(module, up, clock, dispatcher.Options{MostHeld: cfg.MostHeld, Margin: answerMargin, Log: log})
 	var listed atomic.Bool
 	// The targets' actors hear before the module does: a send decided on the older list meets the newer one.
 	starts := discovery.NewStarts(time.Now, func() time.Duration { return clock.At(time.Now()) })
@@ -131,7 +131,7 @@
 	}()
 
 	// With NVMe the platform's front stays for its ready page alone: a target speaks one wire.
-	doors := map[string]door{cfg.Listen: front.New(c, front.Options{Classes: cfg.Classes(), Plans: cfg.Plans(),
+	doors := map[string]door{cfg.Listen: clienthttp.New(c, clienthttp.Options{Classes: cfg.Classes(), Plans: cfg.Plans(),
 		MostConn: cfg.ClientConns(), EasyConn: cfg.EasyConns(), Longest: cfg.Longest(), Ready: listed.Load, ReadyOnly: op.NVMe != nil, Log: log})}
 	if op.NVMe != nil {
 		o := op.NVMe.Controller(cfg)
@@ -168,7 +168,7 @@
 	}
 	log.Info("leaving", slog.String("reason", "STOPPED"), slog.Int("open", c.Open()))
 	if !errors.Is(context.Cause(stop), errSucceeded) { // a predecessor is not killed
-		c.Leave(time.Now().Add(core.ShutdownFor(cfg.Longest()).LastAnswer))
+		c.Leave(time.Now().Add(dispatcher.ShutdownFor(cfg.Longest()).LastAnswer))
 	}
 	bound, done := context.WithTimeout(context.Background(), max(cfg.Longest(), 3*time.Second)+600*time.Millisecond)
 	defer done()
@@ -191,8 +191,8 @@
 	return out
 }
 
-func nodes(l *discovery.List, starts *discovery.Starts) spindlehitch.NodeList {
-	out := spindlehitch.NodeList{Whole: l.Full}
+func nodes(l *discovery.List, starts *discovery.Starts) scheduler.NodeList {
+	out := scheduler.NodeList{Whole: l.Full}
 	for _, e := range l.Servers {
 		n := e.Node()
 		n.Started = starts.At(e)
--- a/cmd/spindlehitch/serve_test.go
+++ b/cmd/initiator/serve_test.go
@@ -18,8 +18,8 @@
 	"testing"
 	"time"
 
-	"spindlehitch/internal/agent"
-	"spindlehitch/internal/config"
+	"dapplegate/internal/config"
+	"dapplegate/internal/configstore"
 )
 
 var quiet = slog.New(slog.DiscardHandler)
@@ -210,11 +210,11 @@
 // successor when a good one does, without a request lost.
 func TestFollow(t *testing.T) {
 	w := newWorld(t)
-	set := &config.Agent{ID: "a", Dir: t.TempDir(), Peers: []agent.Peer{{ID: "a", Raft: freeAddr(t), API: freeAddr(t)}}}
+	set := &config.Agent{ID: "a", Dir: t.TempDir(), Peers: []configstore.Peer{{ID: "a", Raft: freeAddr(t), API: freeAddr(t)}}}
 	stop, leave := context.WithCancel(context.Background())
 	ended := make(chan error, 2)
 	go func() { ended <- runAgent(stop, set, quiet) }()
-	client := &agent.Client{Addrs: []string{set.API()}}
+	client := &configstore.Client{Addrs: []string{set.API()}}
 	put := func(text string) (err error) {
 		for end := time.Now().Add(time.Minute); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 			if _, err = client.Put(stop, "n1", []byte(text), ""); err == nil || !strings.Contains(err.Error(), "leader") &&
@@ -338,7 +338,7 @@
 	if _, err := run("check", path); err == nil || !strings.Contains(err.Error(), "name") {
 		t.Errorf("check of a bad one: %v", err)
 	}
-	if out, err := run("version"); err != nil || !strings.HasPrefix(out, "spindlehitch ") {
+	if out, err := run("version"); err != nil || !strings.HasPrefix(out, "initiator ") {
 		t.Errorf("version: %q, %v", out, err)
 	}
 	if _, err := run("config", "put", "n2", path, "--agents", "127.0.0.1:1"); err == nil {
--- a/cmd/benchlink/decode.go
+++ b/cmd/simadapter/decode.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"strconv"
 
-	"spindlehitch"
+	"dapplegate/scheduler"
 )
 
 func parseUint(n json.Number) (uint64, error) { return strconv.ParseUint(n.String(), 10, 64) }
@@ -34,7 +34,7 @@
 }
 
 // decode turns a wire event into the module's; nil where the module has no use for it.
-func decode(e *event) (spindlehitch.Event, error) {
+func decode(e *event) (scheduler.Event, error) {
 	switch *e.Type {
 	case "members":
 		return decodeList(e)
@@ -44,7 +44,7 @@
 		if err != nil {
 			return nil, err
 		}
-		r := spindlehitch.Request{ID: *e.Rid, Class: *e.Grade, Plan: *e.Tier, Volume: *e.Vol,
+		r := scheduler.Request{ID: *e.Rid, Class: *e.Grade, Plan: *e.Tier, Volume: *e.Vol,
 			Shard: *e.GroupNo, Units: *e.Weight, Budget: us(*e.BudgetUs)}
 		if e.Chunk != nil {
 			r.Extent = *e.Chunk
@@ -63,7 +63,7 @@
 		if err != nil {
 			return nil, err
 		}
-		o := spindlehitch.Outcome{ID: *e.Rid, Attempt: *e.Leg, Node: *e.Target, Code: code,
+		o := scheduler.Outcome{ID: *e.Rid, Attempt: *e.Leg, Node: *e.Target, Code: code,
 			Took: us(*e.SpentUs), Closed: *e.Complete}
 		if e.Used != nil {
 			o.Used = *e.Used
@@ -74,14 +74,14 @@
 		if err := required("rid", e.Rid); err != nil {
 			return nil, err
 		}
-		return spindlehitch.StreamBegun{ID: *e.Rid}, nil
+		return scheduler.StreamBegun{ID: *e.Rid}, nil
 	case "clientGone":
 		if err := required("rid", e.Rid); err != nil {
 			return nil, err
 		}
-		return spindlehitch.Departed{ID: *e.Rid}, nil
+		return scheduler.Departed{ID: *e.Rid}, nil
 	case "reminder":
-		return spindlehitch.Timer{}, nil
+		return scheduler.Timer{}, nil
 	case "message", "healthResult":
 		return nil, nil
 	}
@@ -89,11 +89,11 @@
 }
 
 // load turns a load report into the module's; nil where none came.
-func load(s *stats) *spindlehitch.Load {
+func load(s *stats) *scheduler.Load {
 	if s == nil {
 		return nil
 	}
-	l := &spindlehitch.Load{Queue: -1, InFlight: -1}
+	l := &scheduler.Load{Queue: -1, InFlight: -1}
 	if s.Depth != nil {
 		l.Queue = *s.Depth
 	}
@@ -103,36 +103,36 @@
 	return l
 }
 
-func decodeCode(word string) (spindlehitch.Code, error) {
+func decodeCode(word string) (scheduler.Code, error) {
 	switch word {
 	case "delivered":
-		return spindlehitch.Delivered, nil
+		return scheduler.Delivered, nil
 	case "app_error":
-		return spindlehitch.Errored, nil
+		return scheduler.Errored, nil
 	case "shed":
-		return spindlehitch.Full, nil
+		return scheduler.Full, nil
 	case "expired":
-		return spindlehitch.Expired, nil
+		return scheduler.Expired, nil
 	case "dial_failed":
-		return spindlehitch.NoConnection, nil
+		return scheduler.NoConnection, nil
 	case "dropped":
-		return spindlehitch.Reset, nil
+		return scheduler.Reset, nil
 	case "revoked":
-		return spindlehitch.Cancelled, nil
+		return scheduler.Cancelled, nil
 	case "unused":
-		return spindlehitch.Moot, nil
+		return scheduler.Moot, nil
 	}
 	return 0, fmt.Errorf("stateCode: unknown outcome %q", word)
 }
 
-func decodeList(e *event) (spindlehitch.Event, error) {
+func decodeList(e *event) (scheduler.Event, error) {
 	if e.Mode == nil {
 		return nil, missing("mode")
 	}
-	var list spindlehitch.NodeList
+	var list scheduler.NodeList
 	switch *e.Mode {
 	case "broken":
-		return spindlehitch.NodeList{Broken: true}, nil
+		return scheduler.NodeList{Broken: true}, nil
 	case "whole", "stale_copy":
 		list.Whole = true
 	case "patch":
@@ -143,14 +143,14 @@
 		if err := required("target", r.Target, "cohort", r.Cohort, "mode", r.Mode); err != nil {
 			return nil, fmt.Errorf("records[%d]: %w", i, err)
 		}
-		n := spindlehitch.Node{ID: *r.Target, Zone: r.FailureDomain, Shard: *r.Cohort}
+		n := scheduler.Node{ID: *r.Target, Zone: r.FailureDomain, Shard: *r.Cohort}
 		switch *r.Mode {
 		case "up":
-			n.State = spindlehitch.Up
+			n.State = scheduler.Up
 		case "draining":
-			n.State = spindlehitch.Draining
+			n.State = scheduler.Draining
 		case "removed":
-			n.State = spindlehitch.Removed
+			n.State = scheduler.Removed
 		default:
 			return nil, fmt.Errorf("records[%d]: mode: unknown state %q", i, *r.Mode)
 		}
--- a/cmd/benchlink/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Command benchlink lets the scheduler decide on the bench's wire: JSON lines in, JSON lines out.
+// Command simadapter lets the scheduler decide on the bench's wire: JSON lines in, JSON lines out.
 package main
 
 import (
@@ -12,7 +12,7 @@
 
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "benchlink:", err)
+		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
 }
--- a/cmd/benchlink/samples_test.go
+++ b/cmd/simadapter/samples_test.go
@@ -7,40 +7,40 @@
 	"testing"
 	"time"
 
-	"spindlehitch"
-	"spindlehitch/internal/config"
+	"dapplegate/internal/config"
+	"dapplegate/scheduler"
 )
 
 // TestEventSamples decodes a sample of each event in the form of the WIRE page, with all fields that the page lists.
 func TestEventSamples(t *testing.T) {
 	for _, c := range []struct {
 		in   string
-		want spindlehitch.Event
+		want scheduler.Event
 	}{
 		{`{"type":"members","initiatorId":"initiator_3","mode":"stale_copy","gen":41,"records":[` +
 			`{"target":"target_abuevth","failureDomain":"treforest","classOfHost":"node-std","cohort":0,"mode":"up","nominal":1,"launchedUs":null},` +
 			`{"target":"target_azkaesv","failureDomain":"treforest","classOfHost":"node-std","cohort":4,"mode":"up","nominal":1.5,"launchedUs":6100000}]}`,
-			spindlehitch.NodeList{Whole: true, Nodes: []spindlehitch.Node{
-				{ID: "target_abuevth", Zone: "treforest", Shard: 0, State: spindlehitch.Up},
-				{ID: "target_azkaesv", Zone: "treforest", Shard: 4, State: spindlehitch.Up, Started: 6100 * time.Millisecond}}}},
-		{`{"type":"members","initiatorId":"initiator_3","mode":"whole","gen":42,"records":[]}`, spindlehitch.NodeList{Whole: true}},
+			scheduler.NodeList{Whole: true, Nodes: []scheduler.Node{
+				{ID: "target_abuevth", Zone: "treforest", Shard: 0, State: scheduler.Up},
+				{ID: "target_azkaesv", Zone: "treforest", Shard: 4, State: scheduler.Up, Started: 6100 * time.Millisecond}}}},
+		{`{"type":"members","initiatorId":"initiator_3","mode":"whole","gen":42,"records":[]}`, scheduler.NodeList{Whole: true}},
 		{`{"type":"members","initiatorId":"initiator_3","mode":"patch","gen":43,"records":[` +
 			`{"target":"a","failureDomain":"z","classOfHost":"k","cohort":1,"mode":"draining","nominal":1,"launchedUs":0},` +
 			`{"target":"b","failureDomain":"z","classOfHost":"k","cohort":2,"mode":"removed","nominal":1}]}`,
-			spindlehitch.NodeList{Nodes: []spindlehitch.Node{
-				{ID: "a", Zone: "z", Shard: 1, State: spindlehitch.Draining}, {ID: "b", Zone: "z", Shard: 2, State: spindlehitch.Removed}}}},
-		{`{"type":"members","initiatorId":"initiator_3","mode":"broken","gen":0,"records":null}`, spindlehitch.NodeList{Broken: true}},
+			scheduler.NodeList{Nodes: []scheduler.Node{
+				{ID: "a", Zone: "z", Shard: 1, State: scheduler.Draining}, {ID: "b", Zone: "z", Shard: 2, State: scheduler.Removed}}}},
+		{`{"type":"members","initiatorId":"initiator_3","mode":"broken","gen":0,"records":null}`, scheduler.NodeList{Broken: true}},
 		{`{"type":"newRequest","initiatorId":"initiator_3","rid":"5d3a91c4-2a23-4366-a739-1c9f14177928","tier":"standard","update":false,` +
 			`"isRetry":false,"writers":3,"chunk":"91f03b7c55d20a64","vol":"2b8e6401d9f37c10","budgetUs":240000,"weight":2,"grade":"file-read","groupNo":7}`,
-			spindlehitch.Request{ID: "5d3a91c4-2a23-4366-a739-1c9f14177928", Class: "file-read", Plan: "standard", Volume: "2b8e6401d9f37c10",
+			scheduler.Request{ID: "5d3a91c4-2a23-4366-a739-1c9f14177928", Class: "file-read", Plan: "standard", Volume: "2b8e6401d9f37c10",
 				Extent: "91f03b7c55d20a64", Shard: 7, Units: 2, Initiators: 3, Budget: 240 * time.Millisecond}},
-		{`{"type":"underWay","initiatorId":"initiator_3","rid":"r","leg":0,"target":"t","spentUs":7}`, spindlehitch.StreamBegun{ID: "r"}},
+		{`{"type":"underWay","initiatorId":"initiator_3","rid":"r","leg":0,"target":"t","spentUs":7}`, scheduler.StreamBegun{ID: "r"}},
 		{`{"type":"result","initiatorId":"initiator_3","rid":"r","leg":2,"target":"target_abuevth","stateCode":"delivered","spentUs":18500,` +
 			`"complete":true,"used":86,"delta":3,"serverStats":{"load_share":0.62,"mean_ms":14.5,"depth":3,"concurrent":5}}`,
-			spindlehitch.Outcome{ID: "r", Attempt: 2, Node: "target_abuevth", Code: spindlehitch.Delivered, Took: 18500 * time.Microsecond,
-				Closed: true, Used: 86, Load: &spindlehitch.Load{Queue: 3, InFlight: 5}}},
-		{`{"type":"clientGone","initiatorId":"initiator_5","rid":"0e6f2b19"}`, spindlehitch.Departed{ID: "0e6f2b19"}},
-		{`{"type":"reminder","initiatorId":"initiator_3","keyBack":"sweep"}`, spindlehitch.Timer{}},
+			scheduler.Outcome{ID: "r", Attempt: 2, Node: "target_abuevth", Code: scheduler.Delivered, Took: 18500 * time.Microsecond,
+				Closed: true, Used: 86, Load: &scheduler.Load{Queue: 3, InFlight: 5}}},
+		{`{"type":"clientGone","initiatorId":"initiator_5","rid":"0e6f2b19"}`, scheduler.Departed{ID: "0e6f2b19"}},
+		{`{"type":"reminder","initiatorId":"initiator_3","keyBack":"sweep"}`, scheduler.Timer{}},
 		{`{"type":"message","initiatorId":"initiator_3","author":2,"raw":"6869"}`, nil},
 		{`{"type":"healthResult","initiatorId":"initiator_3","target":"t","stateCode":"delivered","spentUs":9}`, nil},
 	} {
@@ -58,17 +58,17 @@
 // TestOutcomeSamples decodes each outcome of the WIRE page, and checks which of them prove that the attempt never ran.
 func TestOutcomeSamples(t *testing.T) {
 	for word, want := range map[string]struct {
-		code   spindlehitch.Code
+		code   scheduler.Code
 		mayRun bool
 	}{
-		"delivered":   {spindlehitch.Delivered, true},
-		"app_error":   {spindlehitch.Errored, true},
-		"shed":        {spindlehitch.Full, false},
-		"expired":     {spindlehitch.Expired, true},
-		"dial_failed": {spindlehitch.NoConnection, false},
-		"dropped":     {spindlehitch.Reset, true},
-		"revoked":     {spindlehitch.Cancelled, true},
-		"unused":      {spindlehitch.Moot, false},
+		"delivered":   {scheduler.Delivered, true},
+		"app_error":   {scheduler.Errored, true},
+		"shed":        {scheduler.Full, false},
+		"expired":     {scheduler.Expired, true},
+		"dial_failed": {scheduler.NoConnection, false},
+		"dropped":     {scheduler.Reset, true},
+		"revoked":     {scheduler.Cancelled, true},
+		"unused":      {scheduler.Moot, false},
 	} {
 		code, err := decodeCode(word)
 		if err != nil || code != want.code || code.MayRun() != want.mayRun {
@@ -80,18 +80,18 @@
 // TestActionSamples encodes each action in the form of the WIRE page.
 func TestActionSamples(t *testing.T) {
 	for _, c := range []struct {
-		action spindlehitch.Action
+		action scheduler.Action
 		want   string
 	}{
-		{spindlehitch.Action{Kind: spindlehitch.Send, Request: "r", Node: "target_abuevth", Wait: 80 * time.Millisecond},
+		{scheduler.Action{Kind: scheduler.Send, Request: "r", Node: "target_abuevth", Wait: 80 * time.Millisecond},
 			`{"type":"relay","initiatorId":"initiator_3","rid":"r","target":"target_abuevth","maxWaitUs":80000}`},
-		{spindlehitch.Action{Kind: spindlehitch.Refuse, Request: "r", Wait: 250 * time.Millisecond},
+		{scheduler.Action{Kind: scheduler.Refuse, Request: "r", Wait: 250 * time.Millisecond},
 			`{"type":"decline","initiatorId":"initiator_3","rid":"r","holdOffUs":250000}`},
-		{spindlehitch.Action{Kind: spindlehitch.Refuse, Request: "r"}, `{"type":"decline","initiatorId":"initiator_3","rid":"r"}`},
-		{spindlehitch.Action{Kind: spindlehitch.Fail, Request: "r"}, `{"type":"lose","initiatorId":"initiator_3","rid":"r"}`},
-		{spindlehitch.Action{Kind: spindlehitch.SetTimer, Wait: 500 * time.Millisecond},
+		{scheduler.Action{Kind: scheduler.Refuse, Request: "r"}, `{"type":"decline","initiatorId":"initiator_3","rid":"r"}`},
+		{scheduler.Action{Kind: scheduler.Fail, Request: "r"}, `{"type":"lose","initiatorId":"initiator_3","rid":"r"}`},
+		{scheduler.Action{Kind: scheduler.SetTimer, Wait: 500 * time.Millisecond},
 			`{"type":"remind","initiatorId":"initiator_3","keyBack":"step","fromNowUs":500000}`},
-		{spindlehitch.Action{Kind: spindlehitch.Subscribe}, `{"type":"streamChanges","initiatorId":"initiator_3","on":true}`},
+		{scheduler.Action{Kind: scheduler.Subscribe}, `{"type":"streamChanges","initiatorId":"initiator_3","on":true}`},
 	} {
 		if got, err := json.Marshal(encode(c.action, "initiator_3")); err != nil || string(got) != c.want {
 			t.Errorf("%s, %v, want %s", got, err, c.want)
@@ -114,21 +114,21 @@
 		t.Fatal(err)
 	}
 	got, err := o.Module()
-	want := spindlehitch.Settings{
+	want := scheduler.Settings{
 		Initiators: 3, Tick: 2 * time.Millisecond, MaxAttempts: 3, MeanUnits: 1.98, LargestUnits: 6, ColdUnits: 38,
 		FairWorth: 0.35, IdleWorth: 0.1, Meter: time.Second, AskForList: true,
-		Classes: []spindlehitch.Class{
+		Classes: []scheduler.Class{
 			{Name: "file-read", Aim: 200 * time.Millisecond, Deadline: 1200 * time.Millisecond, Window: 5 * time.Second, Worth: 2},
-			{Name: "file-write", Aim: 300 * time.Millisecond, Deadline: 2 * time.Second, Effect: spindlehitch.Keyed,
-				Group: spindlehitch.GroupCell, Window: 5 * time.Second, Worth: 2, InOrder: true},
-			{Name: "bulk-export", Aim: 1500 * time.Millisecond, Deadline: 5 * time.Second, Effect: spindlehitch.Unsafe,
-				Group: spindlehitch.GroupZone, Window: 5 * time.Second, Worth: 1},
+			{Name: "file-write", Aim: 300 * time.Millisecond, Deadline: 2 * time.Second, Effect: scheduler.Keyed,
+				Group: scheduler.GroupCell, Window: 5 * time.Second, Worth: 2, InOrder: true},
+			{Name: "bulk-export", Aim: 1500 * time.Millisecond, Deadline: 5 * time.Second, Effect: scheduler.Unsafe,
+				Group: scheduler.GroupZone, Window: 5 * time.Second, Worth: 1},
 		},
-		Plans: []spindlehitch.Plan{
+		Plans: []scheduler.Plan{
 			{Name: "standard", Rate: 4.1, Reserve: 2, Weight: 1, Price: 0.8, Limit: 8, LimitBurst: 12},
 			{Name: "express", Rate: 12, Reserve: 14, Weight: 2, Price: 1.5},
 		},
-		Rules: spindlehitch.Rules{ColdShare: 0.21, WarmWithin: 18 * time.Second, FallWithin: 3 * time.Second, FallMultiple: 4,
+		Rules: scheduler.Rules{ColdShare: 0.21, WarmWithin: 18 * time.Second, FallWithin: 3 * time.Second, FallMultiple: 4,
 			Settle: 400 * time.Millisecond, Budget: true, BudgetFree: 5, BudgetShare: 0.2, BudgetSpan: 10 * time.Second},
 	}
 	if err != nil || !reflect.DeepEqual(got, want) {
--- a/cmd/benchlink/wire.go
+++ b/cmd/simadapter/wire.go
@@ -5,8 +5,8 @@
 	"fmt"
 	"time"
 
-	"spindlehitch"
-	"spindlehitch/internal/config"
+	"dapplegate/internal/config"
+	"dapplegate/scheduler"
 )
 
 type batch struct {
@@ -79,15 +79,15 @@
 
 // link hosts the instances of one process. They share nothing but the line they are spoken to on.
 type link struct {
-	instances map[string]*spindlehitch.Scheduler
+	instances map[string]*scheduler.Scheduler
 }
 
-func newLink() *link { return &link{instances: map[string]*spindlehitch.Scheduler{}} }
+func newLink() *link { return &link{instances: map[string]*scheduler.Scheduler{}} }
 
 // inbox is what a batch holds for one instance since its last start.
 type inbox struct {
 	id     string
-	events []spindlehitch.Event
+	events []scheduler.Event
 }
 
 // handle decodes one batch, steps the instances it names in order of first mention, and encodes the reply.
@@ -153,7 +153,7 @@
 		if err != nil {
 			return err
 		}
-		s, err := spindlehitch.New(set, seed)
+		s, err := scheduler.New(set, seed)
 		if err != nil {
 			return fmt.Errorf("options: %w", err)
 		}
@@ -195,20 +195,20 @@
 	return done
 }
 
-func encode(a spindlehitch.Action, id string) action {
+func encode(a scheduler.Action, id string) action {
 	w := action{InitiatorID: id}
 	switch a.Kind {
-	case spindlehitch.Send:
+	case scheduler.Send:
 		w.Type, w.Rid, w.Target, w.MaxWaitUs = "relay", a.Request, a.Node, a.Wait.Microseconds()
-	case spindlehitch.Refuse:
+	case scheduler.Refuse:
 		w.Type, w.Rid, w.HoldOffUs = "decline", a.Request, a.Wait.Microseconds()
-	case spindlehitch.Fail:
+	case scheduler.Fail:
 		w.Type, w.Rid = "lose", a.Request
-	case spindlehitch.SetTimer:
+	case scheduler.SetTimer:
 		w.Type, w.KeyBack, w.FromNowUs = "remind", "step", a.Wait.Microseconds()
-	case spindlehitch.Subscribe:
+	case scheduler.Subscribe:
 		w.Type, w.On = "streamChanges", true
-	case spindlehitch.Log:
+	case scheduler.Log:
 		w.Type, w.Message = "trace", a.Text
 	}
 	return w
--- a/internal/front/accept.go
+++ b/internal/clienthttp/accept.go
@@ -1,4 +1,4 @@
-package front
+package clienthttp
 
 import (
 	"errors"
--- a/internal/front/accept_test.go
+++ b/internal/clienthttp/accept_test.go
@@ -1,4 +1,4 @@
-package front
+package clienthttp
 
 import (
 	"errors"
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"spindlehitch/internal/core"
+	"dapplegate/internal/dispatcher"
 )
 
 // failingListener fails with each of its errors, and for want of descriptors up to a time, before it accepts.
@@ -52,7 +52,7 @@
 	s, b, _ := newFront(t, 64)
 	ended := make(chan error, 1)
 	go func() { ended <- s.Serve(failing) }()
-	go func() { (<-b.jobs).Done(core.Answer{Payload: []byte("x")}) }()
+	go func() { (<-b.jobs).Done(dispatcher.Answer{Payload: []byte("x")}) }()
 	wantServed(t, l.Addr().String(), goodRead, 1)
 	s.http.Close()
 	<-ended
@@ -98,7 +98,7 @@
 	if late := j.Arrived.Sub(sent); late > failsFor/10 {
 		t.Errorf("the request came %v after it was sent", late)
 	}
-	j.Done(core.Answer{Payload: []byte("x")})
+	j.Done(dispatcher.Answer{Payload: []byte("x")})
 	// Once the listener has nothing left that waited, a connection is as new as it looks.
 	time.Sleep(failsFor)
 	fresh, err := net.Dial("tcp", l.Addr().String())
@@ -112,5 +112,5 @@
 	if j.Arrived.Before(sent) {
 		t.Errorf("the request came %v before it was sent", sent.Sub(j.Arrived))
 	}
-	j.Done(core.Answer{Payload: []byte("x")})
+	j.Done(dispatcher.Answer{Payload: []byte("x")})
 }
--- a/internal/front/ahead_test.go
+++ b/internal/clienthttp/ahead_test.go
@@ -1,4 +1,4 @@
-package front
+package clienthttp
 
 import (
 	"io"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"spindlehitch/internal/core"
+	"dapplegate/internal/dispatcher"
 )
 
 // TestRequestSentAheadHasArrived
@@ -41,7 +41,7 @@
 					t.Errorf("request %d came %v after it was sent", i, late)
 				}
 				time.Sleep(openFor)
-				j.Done(core.Answer{Payload: []byte("x")})
+				j.Done(dispatcher.Answer{Payload: []byte("x")})
 			}
 		})
 	}
--- a/internal/front/conns.go
+++ b/internal/clienthttp/conns.go
@@ -1,4 +1,4 @@
-package front
+package clienthttp
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 	"syscall"
 	"time"
 
-	"spindlehitch/internal/socket"
+	"dapplegate/internal/socket"
 )
 
 // A connection's phases. Whoever moves it on does so by a compare-and-swap, so that a connection is never closed to
--- a/internal/front/holdup_test.go
+++ b/internal/clienthttp/holdup_test.go
@@ -1,4 +1,4 @@
-package front
+package clienthttp
 
 import (
 	"bufio"
@@ -9,14 +9,14 @@
 	"testing"
 	"time"
 
-	"spindlehitch/internal/core"
+	"dapplegate/internal/dispatcher"
 )
 
 // heldUpFront serves all requests with "x". Before each reaches its handler, which is when net/http has read all of it,
 // heldUp runs, as if the process had been held up there.
 func heldUpFront(t *testing.T, readTimeout time.Duration, heldUp func(*Server)) string {
 	t.Helper()
-	b := &back{jobs: make(chan *core.Job, 64), gone: make(chan *core.Job, 64)}
+	b := &back{jobs: make(chan *dispatcher.Job, 64), gone: make(chan *dispatcher.Job, 64)}
 	s := New(b, Options{Classes: map[string]bool{"get": true, "put": true}, Plans: map[string]bool{"std": true}, MostConn: 64,
 		EasyConn: 64, Longest: 5 * time.Second, Log: slog.New(slog.DiscardHandler)})
 	s.http.ReadTimeout = readTimeout
@@ -26,7 +26,7 @@
 	})
 	go func() {
 		for j := range b.jobs {
-			time.AfterFunc(20*time.Millisecond, func() { j.Done(core.Answer{Payload: []byte("x")}) })
+			time.AfterFunc(20*time.Millisecond, func() { j.Done(dispatcher.Answer{Payload: []byte("x")}) })
 		}
 	}()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/front/request.go
+++ b/internal/clienthttp/request.go
@@ -1,4 +1,4 @@
-package front
+package clienthttp
 
 import (
 	"errors"
@@ -9,9 +9,9 @@
 	"strings"
 	"time"
 
-	"spindlehitch"
-	"spindlehitch/internal/core"
-	"spindlehitch/internal/upstream"
+	"dapplegate/internal/dispatcher"
+	"dapplegate/internal/upstream"
+	"dapplegate/scheduler"
 )
 
 // fault is a request that cannot be taken: what the client is told.
@@ -25,7 +25,7 @@
 }
 
 // parse reads the head of a request into a job; the body comes later.
-func (s *Server) parse(r *http.Request) (*core.Job, *upstream.Message, *fault) {
+func (s *Server) parse(r *http.Request) (*dispatcher.Job, *upstream.Message, *fault) {
 	// net/http takes a Content-Length beside a Transfer-Encoding for nothing and drops it, and of HTTP/1.0 takes the
 	// coding for nothing: whoever stands before or after may see another request in the body. A length is asked for
 	// instead, of everyone.
@@ -70,7 +70,7 @@
 	if f != nil {
 		return nil, nil, f
 	}
-	j := &core.Job{Request: q, Name: id, Patience: time.Duration(ms) * time.Millisecond}
+	j := &dispatcher.Job{Request: q, Name: id, Patience: time.Duration(ms) * time.Millisecond}
 	j.Class, j.Plan, j.Extent = class, r.Header.Get("Tier"), key
 	if !s.opt.Classes[j.Class] {
 		return nil, nil, bad(http.StatusNotFound, "class %q is not served here", j.Class)
@@ -82,8 +82,8 @@
 }
 
 // parseInfo reads IO-Info: volume, units, shard and hosts, in any order; other fields are skipped.
-func parseInfo(s string) (spindlehitch.Request, *fault) {
-	var q spindlehitch.Request
+func parseInfo(s string) (scheduler.Request, *fault) {
+	var q scheduler.Request
 	var seen [4]bool
 	for field := range strings.SplitSeq(s, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
--- a/internal/front/front.go
+++ b/internal/clienthttp/server.go
@@ -1,5 +1,5 @@
 // Package front is the platform's HTTP/1.1 side: it accepts, parses and answers, and decides nothing.
-package front
+package clienthttp
 
 import (
 	"context"
@@ -13,9 +13,9 @@
 	"sync/atomic"
 	"time"
 
-	"spindlehitch/internal/core"
-	"spindlehitch/internal/socket"
-	"spindlehitch/internal/upstream"
+	"dapplegate/internal/dispatcher"
+	"dapplegate/internal/socket"
+	"dapplegate/internal/upstream"
 )
 
 const (
@@ -57,8 +57,8 @@
 
 // Core is what the front needs of the core.
 type Core interface {
-	Submit(*core.Job) bool
-	Depart(*core.Job)
+	Submit(*dispatcher.Job) bool
+	Depart(*dispatcher.Job)
 }
 
 // Server is the front.
@@ -68,7 +68,7 @@
 	http     http.Server
 	listener atomic.Pointer[net.Listener]
 	conns    *connTable
-	shutdown core.Shutdown
+	shutdown dispatcher.Shutdown
 	left     atomic.Pointer[time.Time] // when Stop was called
 	ending   atomic.Bool               // each answer is its connection's last
 }
@@ -76,7 +76,7 @@
 // New returns a front for the core.
 func New(c Core, opt Options) *Server {
 	s := &Server{opt: opt, core: c, conns: newConnTable(opt.MostConn, opt.EasyConn, opt.Log),
-		shutdown: core.ShutdownFor(opt.Longest)}
+		shutdown: dispatcher.ShutdownFor(opt.Longest)}
 	s.http = http.Server{Handler: s, ReadTimeout: requestWithin, IdleTimeout: idleFor + idleFor/2 + s.shutdown.ServeFor, MaxHeaderBytes: maxHead,
 		ConnState: s.conns.state, ConnContext: withConn, ErrorLog: slog.NewLogLogger(opt.Log.Handler(), slog.LevelWarn)}
 	return s
@@ -112,13 +112,13 @@
 	now := time.Now()
 	s.left.Store(&now)
 	s.conns.leave()
-	core.Pause(ctx, now.Add(core.LingerFor))
+	dispatcher.Pause(ctx, now.Add(dispatcher.LingerFor))
 	if l := s.listener.Load(); l != nil {
 		// The time may be over before the goroutine that accepts has run, or while accept fails: what waits there is a
 		// client's.
 		socket.CloseListener(*l, now.Add(s.shutdown.AnswerBy))
 	}
-	core.Pause(ctx, now.Add(s.shutdown.ServeFor))
+	dispatcher.Pause(ctx, now.Add(s.shutdown.ServeFor))
 	// Not by http.Server.Shutdown: it closes what net/http calls idle, and that may have a request half read.
 	s.ending.Store(true)
 	tick := time.NewTicker(endEvery)
@@ -145,7 +145,7 @@
 			http.NotFound(w, r)
 		default:
 			w.Header().Set("Connection", "close")
-			s.write(w, core.TooMany)
+			s.write(w, dispatcher.TooMany)
 		}
 		return
 	}
@@ -168,8 +168,8 @@
 	}
 	j.Patience = s.shutdown.Cut(j.Patience, arrived, s.left.Load())
 	// The core's goroutine must not wait for a client: the answer has a place of its own.
-	final := make(chan core.Answer, 1)
-	j.Arrived, j.Payload, j.Done, j.Gone = arrived, m, func(a core.Answer) { final <- a }, conn.gone
+	final := make(chan dispatcher.Answer, 1)
+	j.Arrived, j.Payload, j.Done, j.Gone = arrived, m, func(a dispatcher.Answer) { final <- a }, conn.gone
 	ahead := conn.ahead
 	select {
 	case <-ahead:
@@ -180,7 +180,7 @@
 	}
 	if !s.core.Submit(j) {
 		// Nothing of it was taken or sent: a repeat is harmless.
-		s.write(w, core.TooMany)
+		s.write(w, dispatcher.TooMany)
 		return
 	}
 	left := r.Context().Done()
@@ -236,12 +236,12 @@
 }
 
 // write gives the one final answer. Its length is told ahead, so that a cut one shows.
-func (s *Server) write(w http.ResponseWriter, a core.Answer) {
+func (s *Server) write(w http.ResponseWriter, a dispatcher.Answer) {
 	if s.ending.Load() {
 		w.Header().Set("Connection", "close")
 	}
 	switch a.Ending {
-	case core.Served:
+	case dispatcher.Served:
 		body, _ := a.Payload.([]byte)
 		http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeWithin))
 		h := w.Header()
@@ -249,12 +249,12 @@
 		h.Set("Content-Length", strconv.Itoa(len(body)))
 		w.WriteHeader(http.StatusOK)
 		w.Write(body)
-	case core.Refused:
+	case dispatcher.Refused:
 		if a.RetryAfter > 0 {
 			w.Header().Set("Retry-After", fmt.Sprintf("%.3f", a.RetryAfter.Seconds()))
 		}
 		http.Error(w, "refused: trying again is harmless", http.StatusServiceUnavailable)
-	case core.Conflict:
+	case dispatcher.Conflict:
 		w.Header().Set("Connection", "close")
 		http.Error(w, "Request-Id: a request of that id is open or may have run", http.StatusConflict)
 	default:
@@ -262,5 +262,5 @@
 	}
 }
 
-var _ Core = (*core.Core)(nil)
-var _ core.Upstream = (*upstream.Registry)(nil)
+var _ Core = (*dispatcher.Core)(nil)
+var _ dispatcher.Upstream = (*upstream.Registry)(nil)
--- a/internal/front/front_test.go
+++ b/internal/clienthttp/server_test.go
@@ -1,4 +1,4 @@
-package front
+package clienthttp
 
 import (
 	"bufio"
@@ -19,32 +19,32 @@
 
 	"pgregory.net/rapid"
 
-	"spindlehitch/internal/core"
-	"spindlehitch/internal/seeded"
-	"spindlehitch/internal/upstream"
+	"dapplegate/internal/dispatcher"
+	"dapplegate/internal/seeded"
+	"dapplegate/internal/upstream"
 )
 
 func TestMain(m *testing.M) { seeded.Main(m) }
 
 // back is the stand-in core: it hands jobs to the test and notes departures.
 type back struct {
-	jobs chan *core.Job
-	gone chan *core.Job
+	jobs chan *dispatcher.Job
+	gone chan *dispatcher.Job
 	full bool
 }
 
-func (b *back) Submit(j *core.Job) bool {
+func (b *back) Submit(j *dispatcher.Job) bool {
 	if b.full {
 		return false
 	}
 	b.jobs <- j
 	return true
 }
-func (b *back) Depart(j *core.Job) { b.gone <- j }
+func (b *back) Depart(j *dispatcher.Job) { b.gone <- j }
 
 func newFront(t *testing.T, most int) (*Server, *back, string) {
 	t.Helper()
-	b := &back{jobs: make(chan *core.Job, 64), gone: make(chan *core.Job, 64)}
+	b := &back{jobs: make(chan *dispatcher.Job, 64), gone: make(chan *dispatcher.Job, 64)}
 	s := New(b, Options{Classes: map[string]bool{"get": true, "put": true}, Plans: map[string]bool{"std": true}, MostConn: most, EasyConn: most,
 		Longest: 5 * time.Second, Log: slog.New(slog.DiscardHandler)})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -88,16 +88,16 @@
 func TestAnswers(t *testing.T) {
 	_, b, addr := newFront(t, 64)
 	for _, c := range []struct {
-		answer core.Answer
+		answer dispatcher.Answer
 		status int
 		after  string
 		body   string
 	}{
-		{core.Answer{Payload: []byte("data")}, 200, "", "data"},
-		{core.Answer{Ending: core.Refused, RetryAfter: 250 * time.Millisecond}, 503, "0.250", "refused: trying again is harmless\n"},
-		{core.Answer{Ending: core.Refused}, 503, "", "refused: trying again is harmless\n"},
-		{core.Answer{Ending: core.Conflict}, 409, "", "Request-Id: a request of that id is open or may have run\n"},
-		{core.Answer{Ending: core.Failed}, 502, "", "failed: it may have run\n"},
+		{dispatcher.Answer{Payload: []byte("data")}, 200, "", "data"},
+		{dispatcher.Answer{Ending: dispatcher.Refused, RetryAfter: 250 * time.Millisecond}, 503, "0.250", "refused: trying again is harmless\n"},
+		{dispatcher.Answer{Ending: dispatcher.Refused}, 503, "", "refused: trying again is harmless\n"},
+		{dispatcher.Answer{Ending: dispatcher.Conflict}, 409, "", "Request-Id: a request of that id is open or may have run\n"},
+		{dispatcher.Answer{Ending: dispatcher.Failed}, 502, "", "failed: it may have run\n"},
 	} {
 		go func() { (<-b.jobs).Done(c.answer) }()
 		resp, body, _ := ask(t, addr, good)
@@ -109,7 +109,7 @@
 		j := <-b.jobs
 		m := j.Payload.(*upstream.Message)
 		text := fmt.Sprint(j.Class, j.Plan, j.Volume, j.Extent, j.Units, j.Shard, j.Initiators, j.Patience, m.Method, m.URI, m.ID, string(m.Body))
-		j.Done(core.Answer{Payload: []byte(text)})
+		j.Done(dispatcher.Answer{Payload: []byte(text)})
 	}()
 	want := fmt.Sprint("put", "std", "00000003b4d60021", "7f3a9c21e0b4d655", 2.0, 5, 3, 480*time.Millisecond, "PUT", "/put/x/7f3a9c21e0b4d655?q=1", "id1", "body")
 	if _, body, _ := ask(t, addr, good); body != want {
@@ -180,12 +180,12 @@
 // request, and the core refuses it.
 func TestNoTimeLeft(t *testing.T) {
 	_, b, addr := newFront(t, 64)
-	go func() { (<-b.jobs).Done(core.Answer{Ending: core.Refused}) }()
+	go func() { (<-b.jobs).Done(dispatcher.Answer{Ending: dispatcher.Refused}) }()
 	resp, _, c := ask(t, addr, strings.Replace(good, "480", "0", 1))
 	if resp.StatusCode != 503 || resp.Close {
 		t.Errorf("status %d, closes %v; want it refused on a connection that lives", resp.StatusCode, resp.Close)
 	}
-	go func() { (<-b.jobs).Done(core.Answer{Payload: []byte("x")}) }()
+	go func() { (<-b.jobs).Done(dispatcher.Answer{Payload: []byte("x")}) }()
 	if resp, _, _ := say(t, c, good); resp.StatusCode != 200 {
 		t.Errorf("the next request: status %d", resp.StatusCode)
 	}
@@ -267,7 +267,7 @@
 			if i%8 == 0 {
 				time.Sleep(2 * lookEvery)
 			}
-			j.Done(core.Answer{Payload: []byte("x")})
+			j.Done(dispatcher.Answer{Payload: []byte("x")})
 			resp, err := http.ReadResponse(in, nil)
 			if err != nil || resp.StatusCode != 200 {
 				t.Fatalf("request %d: %+v, %v", i, resp, err)
@@ -288,14 +288,14 @@
 	defer c.Close()
 	io.WriteString(c, strings.Repeat(good, 40))
 	j := <-b.jobs
-	j.Done = func(done func(core.Answer)) func(core.Answer) {
-		return func(a core.Answer) {
+	j.Done = func(done func(dispatcher.Answer)) func(dispatcher.Answer) {
+		return func(a dispatcher.Answer) {
 			c.(*net.TCPConn).CloseWrite()
 			time.Sleep(5 * time.Millisecond) // for its end to come, still within the first look
 			done(a)
 		}
 	}(j.Done)
-	j.Done(core.Answer{Payload: []byte("x")})
+	j.Done(dispatcher.Answer{Payload: []byte("x")})
 	io.Copy(io.Discard, c)
 	if n := len(b.jobs); n > 0 {
 		t.Errorf("%d more were taken", n)
@@ -329,7 +329,7 @@
 			}
 		})
 	}
-	(<-b.jobs).Done(core.Answer{Payload: []byte("x")})
+	(<-b.jobs).Done(dispatcher.Answer{Payload: []byte("x")})
 	wait.Go(func() {
 		if resp, _, _ := ask(t, addr, strings.Replace(good, "480", "9999", 1)); resp.StatusCode != 200 {
 			t.Errorf("open for long: status %d", resp.StatusCode)
@@ -337,7 +337,7 @@
 	})
 	j := <-b.jobs
 	time.Sleep(requestWithin + 200*time.Millisecond)
-	j.Done(core.Answer{Payload: []byte("x")})
+	j.Done(dispatcher.Answer{Payload: []byte("x")})
 	wait.Wait()
 	if len(b.jobs)+len(b.gone) > 0 {
 		t.Errorf("%d more reached the core, %d departed", len(b.jobs), len(b.gone))
@@ -398,7 +398,7 @@
 		time.Sleep(5 * silentFor)
 		go func() {
 			for range 7 {
-				(<-b.jobs).Done(core.Answer{Payload: []byte("x")})
+				(<-b.jobs).Done(dispatcher.Answer{Payload: []byte("x")})
 			}
 		}()
 		for range 7 {
@@ -406,7 +406,7 @@
 				t.Errorf("%s: a usual client got status %d", name, resp.StatusCode)
 			}
 		}
-		j.Done(core.Answer{Payload: []byte("late")})
+		j.Done(dispatcher.Answer{Payload: []byte("late")})
 		open.SetDeadline(time.Now().Add(20 * time.Second))
 		if resp, err := http.ReadResponse(bufio.NewReader(open), nil); err != nil || resp.StatusCode != 200 {
 			t.Errorf("%s: the request that was open: %+v, %v", name, resp, err)
@@ -423,7 +423,7 @@
 	s.conns.mu.Unlock()
 	go func() {
 		for range 6 {
-			(<-b.jobs).Done(core.Answer{Payload: []byte("x")})
+			(<-b.jobs).Done(dispatcher.Answer{Payload: []byte("x")})
 		}
 	}()
 	for range 6 {
@@ -470,7 +470,7 @@
 	s, b, addr := newFront(t, 2)
 	go func() {
 		for j := range b.jobs {
-			j.Done(core.Answer{Payload: []byte("x")})
+			j.Done(dispatcher.Answer{Payload: []byte("x")})
 		}
 	}()
 	defer close(b.jobs)
@@ -504,7 +504,7 @@
 	if resp.StatusCode != 503 || !resp.Close || len(b.jobs) != 0 {
 		t.Errorf("status %d, closes %v, %d jobs; want a refusal that reaches no core", resp.StatusCode, resp.Close, len(b.jobs))
 	}
-	open.Done(core.Answer{Payload: []byte("x")})
+	open.Done(dispatcher.Answer{Payload: []byte("x")})
 }
 
 // TestLeaving checks the order of an end: not ready at once, new connections served meanwhile, and what was
@@ -533,7 +533,7 @@
 	if resp.StatusCode != 503 {
 		t.Errorf("ready while leaving: %d", resp.StatusCode)
 	}
-	time.Sleep(core.LingerFor + 100*time.Millisecond)
+	time.Sleep(dispatcher.LingerFor + 100*time.Millisecond)
 	if c, err := net.Dial("tcp", addr); err == nil {
 		c.Close()
 		t.Error("still accepting after the linger")
@@ -543,12 +543,12 @@
 	go func() {
 		j := <-b.jobs
 		served <- j.Patience
-		j.Done(core.Answer{Payload: []byte("kept")})
+		j.Done(dispatcher.Answer{Payload: []byte("kept")})
 	}()
 	if resp, body, _ := say(t, kept, strings.Replace(good, "480", "9999", 1)); resp.StatusCode != 200 || body != "kept" {
 		t.Errorf("on a connection from before: %d, %q", resp.StatusCode, body)
 	}
-	if p := <-served; p > s.shutdown.AnswerBy-core.LingerFor {
+	if p := <-served; p > s.shutdown.AnswerBy-dispatcher.LingerFor {
 		t.Errorf("it may take %v, past the end", p)
 	}
 	select {
@@ -556,7 +556,7 @@
 		t.Error("ended with a request open")
 	case <-time.After(s.shutdown.ServeFor):
 	}
-	j.Done(core.Answer{Payload: []byte("late")})
+	j.Done(dispatcher.Answer{Payload: []byte("late")})
 	wait.Wait()
 	if err := <-stopped; err != nil {
 		t.Error(err)
@@ -569,7 +569,7 @@
 	s, b, addr := newFront(t, 64)
 	go func() {
 		for j := range b.jobs {
-			j.Done(core.Answer{Payload: []byte("x")})
+			j.Done(dispatcher.Answer{Payload: []byte("x")})
 		}
 	}()
 	defer close(b.jobs)
@@ -585,7 +585,7 @@
 	for s.left.Load() == nil {
 		time.Sleep(time.Millisecond)
 	}
-	core.Pause(context.Background(), s.left.Load().Add(s.shutdown.ServeFor-requestWithin/4))
+	dispatcher.Pause(context.Background(), s.left.Load().Add(s.shutdown.ServeFor-requestWithin/4))
 	for _, c := range []net.Conn{used, fresh} {
 		io.WriteString(c, good[:len(good)/2])
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -10,8 +10,8 @@
 
 	jsoniter "github.com/json-iterator/go"
 
-	"spindlehitch"
-	"spindlehitch/internal/discovery"
+	"dapplegate/internal/discovery"
+	"dapplegate/scheduler"
 )
 
 // Limits are what the machine grants the process.
@@ -29,7 +29,7 @@
 	Seed      uint64
 	Limits    Limits
 	Known     *discovery.List // the list as last had; nil: none
-	Module    spindlehitch.Settings
+	Module    scheduler.Settings
 	MostHeld  int
 	ConnIdle  time.Duration
 	Dial      time.Duration
@@ -122,7 +122,7 @@
 	if c.Module, err = f.Settings.Module(); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	if _, err = spindlehitch.New(c.Module, c.Seed); err != nil {
+	if _, err = scheduler.New(c.Module, c.Seed); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	l := f.Settings.Limits
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -9,7 +9,7 @@
 
 	"pgregory.net/rapid"
 
-	"spindlehitch/internal/seeded"
+	"dapplegate/internal/seeded"
 )
 
 func TestMain(m *testing.M) { seeded.Main(m) }
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -8,8 +8,8 @@
 
 	"github.com/BurntSushi/toml"
 
-	"spindlehitch/internal/agent"
-	"spindlehitch/internal/nvme"
+	"dapplegate/internal/configstore"
+	"dapplegate/internal/nvme"
 )
 
 // Operator is what an operator's file may set up beside the platform's configuration. All of it is off
@@ -21,9 +21,9 @@
 
 // Agent sets up one of the few agents that keep the instances' configurations.
 type Agent struct {
-	ID    string       `toml:"id"`
-	Dir   string       `toml:"dir"`
-	Peers []agent.Peer `toml:"peer"`
+	ID    string             `toml:"id"`
+	Dir   string             `toml:"dir"`
+	Peers []configstore.Peer `toml:"peer"`
 }
 
 // NVMe sets up NVMe over TCP in place of the platform's wire, towards hosts and targets alike.
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -7,7 +7,7 @@
 	"fmt"
 	"time"
 
-	"spindlehitch"
+	"dapplegate/scheduler"
 )
 
 // Options is the settings object as the platform writes it, in the simulator's first message and in the
@@ -71,11 +71,11 @@
 func Us(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
 
 // Module turns the options into the module's settings.
-func (o *Options) Module() (spindlehitch.Settings, error) {
+func (o *Options) Module() (scheduler.Settings, error) {
 	if o.PeersTotal == nil {
-		return spindlehitch.Settings{}, Missing("options.peersTotal")
+		return scheduler.Settings{}, Missing("options.peersTotal")
 	}
-	s := spindlehitch.Settings{
+	s := scheduler.Settings{
 		Initiators:   *o.PeersTotal,
 		Tick:         Us(o.TickUs),
 		MaxAttempts:  o.Limits.SendCap,
@@ -86,7 +86,7 @@
 		ColdUnits:    o.Extra.ColdBears,
 		Meter:        Us(o.Extra.MeteringUs),
 		AskForList:   o.RegistryMode == "on_request",
-		Rules: spindlehitch.Rules{
+		Rules: scheduler.Rules{
 			ColdShare:    o.Rules.ColdShare,
 			WarmWithin:   Us(o.Rules.WarmWithinUs),
 			FallWithin:   Us(o.Rules.FallUs),
@@ -100,32 +100,32 @@
 		s.Rules.Budget, s.Rules.BudgetShare = true, *o.Rules.ResendRatio
 	}
 	for i, c := range o.Classes {
-		k := spindlehitch.Class{Name: c.Name, Aim: Us(c.PromiseUs), Deadline: Us(c.DeadlineUs),
+		k := scheduler.Class{Name: c.Name, Aim: Us(c.PromiseUs), Deadline: Us(c.DeadlineUs),
 			Window: Us(c.WindowUs), InOrder: c.Serial, Worth: c.Worth}
 		switch c.Effect {
 		case "pure":
-			k.Effect = spindlehitch.Pure
+			k.Effect = scheduler.Pure
 		case "token":
-			k.Effect = spindlehitch.Keyed
+			k.Effect = scheduler.Keyed
 		case "side_effect":
-			k.Effect = spindlehitch.Unsafe
+			k.Effect = scheduler.Unsafe
 		default:
 			return s, fmt.Errorf("options.classes[%d].effect: unknown effect %q", i, c.Effect)
 		}
 		switch c.Group {
 		case "", "all":
-			k.Group = spindlehitch.GroupAll
+			k.Group = scheduler.GroupAll
 		case "zone":
-			k.Group = spindlehitch.GroupZone
+			k.Group = scheduler.GroupZone
 		case "cell":
-			k.Group = spindlehitch.GroupCell
+			k.Group = scheduler.GroupCell
 		default:
 			return s, fmt.Errorf("options.classes[%d].group: unknown group %q", i, c.Group)
 		}
 		s.Classes = append(s.Classes, k)
 	}
 	for _, p := range o.Contracts {
-		s.Plans = append(s.Plans, spindlehitch.Plan{Name: p.Name, Rate: p.UsualRate, Reserve: p.Reservation,
+		s.Plans = append(s.Plans, scheduler.Plan{Name: p.Name, Rate: p.UsualRate, Reserve: p.Reservation,
 			Weight: p.Parts, Price: p.Pays, Limit: p.CeilingRate, LimitBurst: p.LimitBurst})
 	}
 	return s, nil
--- a/internal/agent/agent.go
+++ b/internal/configstore/server.go
@@ -1,4 +1,4 @@
-package agent
+package configstore
 
 import (
 	"context"
--- a/internal/agent/store.go
+++ b/internal/configstore/store.go
@@ -1,6 +1,6 @@
 // Package agent keeps the configurations of many instances in a log that a few agents replicate by Raft, and
 // brings each instance its own. It is off on the platform.
-package agent
+package configstore
 
 import (
 	"encoding/json"
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -14,8 +14,8 @@
 
 	"pgregory.net/rapid"
 
-	"spindlehitch"
-	"spindlehitch/internal/seeded"
+	"dapplegate/internal/seeded"
+	"dapplegate/scheduler"
 )
 
 func TestMain(m *testing.M) { seeded.Main(m) }
@@ -286,11 +286,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := spindlehitch.Node{ID: "a", Zone: "z", Shard: 3, Started: 7 * time.Millisecond}
+	want := scheduler.Node{ID: "a", Zone: "z", Shard: 3, Started: 7 * time.Millisecond}
 	if got := l.Servers[0].Node(); got != want {
 		t.Errorf("entry %+v, want %+v", got, want)
 	}
-	if got := l.Servers[1].Node(); got.State != spindlehitch.Removed {
+	if got := l.Servers[1].Node(); got.State != scheduler.Removed {
 		t.Errorf("deleted entry %+v", got)
 	}
 }
--- a/internal/core/core.go
+++ b/internal/dispatcher/dispatcher.go
@@ -1,7 +1,7 @@
 // Package core drives the decision module on a real clock. It owns every request from the moment a front
 // hands it over until its one final answer, and it knows no wire: fronts and upstreams meet it through Job,
 // Answer, Attempt and Result, whose payloads it passes on unread.
-package core
+package dispatcher
 
 import (
 	"context"
@@ -10,8 +10,8 @@
 	"sync/atomic"
 	"time"
 
-	"spindlehitch"
-	"spindlehitch/internal/mailbox"
+	"dapplegate/internal/mailbox"
+	"dapplegate/scheduler"
 )
 
 // Clock maps the process's monotone clock onto the module's: Unix time as read once at the start, since
@@ -35,7 +35,7 @@
 
 // Core is the module's actor.
 type Core struct {
-	module   *spindlehitch.Scheduler
+	module   *scheduler.Scheduler
 	up       Upstream
 	clock    Clock
 	opt      Options
@@ -48,8 +48,8 @@
 	named    map[string]bool    // of open requests
 	ran      [2]map[string]bool // of finished ones that may have run, lately and before
 	ranAt    time.Time
-	events   []spindlehitch.Event
-	lists    []spindlehitch.Event
+	events   []scheduler.Event
+	lists    []scheduler.Event
 	lastStep time.Duration
 }
 
@@ -60,7 +60,7 @@
 	out      bool
 	node     string
 	sentAt   time.Time
-	last     spindlehitch.Code
+	last     scheduler.Code
 	answered bool
 	mayRun   bool
 }
@@ -75,7 +75,7 @@
 )
 
 // New returns a core; Run starts it.
-func New(m *spindlehitch.Scheduler, up Upstream, clock Clock, opt Options) *Core {
+func New(m *scheduler.Scheduler, up Upstream, clock Clock, opt Options) *Core {
 	if opt.Log == nil {
 		opt.Log = slog.New(slog.DiscardHandler)
 	}
@@ -100,7 +100,7 @@
 func (c *Core) Report(r Result) { c.box.Put(r) }
 
 // List hands over news of the targets.
-func (c *Core) List(l spindlehitch.NodeList) { c.box.Put(l) }
+func (c *Core) List(l scheduler.NodeList) { c.box.Put(l) }
 
 // Leave has every request answered by then: the program ends.
 func (c *Core) Leave(at time.Time) { c.box.Put(leaving{at}) }
@@ -143,7 +143,7 @@
 }
 
 // gather turns what has come in into one batch of events, news of the list ahead of all else.
-func (c *Core) gather(now time.Time, msgs []any) []spindlehitch.Event {
+func (c *Core) gather(now time.Time, msgs []any) []scheduler.Event {
 	c.events, c.lists = c.events[:0], c.lists[:0]
 	for _, m := range msgs {
 		switch m := m.(type) {
@@ -156,8 +156,8 @@
 		case leaving:
 			c.endAt = m.at
 			c.setTimer(m.at)
-			c.events = append(c.events, spindlehitch.Leaving{Within: m.at.Sub(now)})
-		case spindlehitch.NodeList:
+			c.events = append(c.events, scheduler.Leaving{Within: m.at.Sub(now)})
+		case scheduler.NodeList:
 			// Ahead of all else in the batch: no send is decided on a list older than the one at hand.
 			c.lists = append(c.lists, m)
 		}
@@ -165,7 +165,7 @@
 	c.callOffAtEnd(now)
 	if !c.timerAt.IsZero() && !now.Before(c.timerAt) {
 		c.timerAt = time.Time{}
-		c.events = append(c.events, spindlehitch.Timer{})
+		c.events = append(c.events, scheduler.Timer{})
 	}
 	return append(c.lists, c.events...)
 }
@@ -199,7 +199,7 @@
 		if e.out {
 			c.up.Cancel(e.node, j.ID) // no one is left to answer
 		}
-		c.events = append(c.events, spindlehitch.Departed{ID: j.ID})
+		c.events = append(c.events, scheduler.Departed{ID: j.ID})
 		c.tidy(j.ID, e)
 	}
 }
@@ -213,10 +213,10 @@
 	e.mayRun = e.mayRun || r.Code.MayRun()
 	c.trace("attempt ended", e.job, slog.Int("attempt", r.Number), slog.String("node", r.Node),
 		slog.String("reason", r.Code.String()), slog.Duration("took", now.Sub(e.sentAt)))
-	if r.Code == spindlehitch.Delivered {
+	if r.Code == scheduler.Delivered {
 		c.answer(e, Answer{Ending: Served, Payload: r.Payload})
 	}
-	c.events = append(c.events, spindlehitch.Outcome{ID: r.Request, Attempt: r.Number, Node: r.Node, Code: r.Code,
+	c.events = append(c.events, scheduler.Outcome{ID: r.Request, Attempt: r.Number, Node: r.Node, Code: r.Code,
 		Took: now.Sub(e.sentAt), Closed: e.answered, Load: r.Load, Used: r.Used})
 	c.tidy(r.Request, e)
 	if now.Sub(c.ranAt) > namesFor {
@@ -224,20 +224,20 @@
 	}
 }
 
-func (c *Core) act(now time.Time, a spindlehitch.Action) {
+func (c *Core) act(now time.Time, a scheduler.Action) {
 	e := c.open[a.Request]
 	switch a.Kind {
-	case spindlehitch.SetTimer:
+	case scheduler.SetTimer:
 		c.setTimer(now.Add(a.Wait))
 		return
-	case spindlehitch.Subscribe, spindlehitch.Log:
+	case scheduler.Subscribe, scheduler.Log:
 		return // the list is always watched
 	}
 	if e == nil || e.answered || e.out {
 		return
 	}
 	switch a.Kind {
-	case spindlehitch.Send:
+	case scheduler.Send:
 		e.out, e.node, e.sentAt = true, a.Node, now
 		e.attempts++
 		t := Attempt{Request: a.Request, Name: e.job.Name, Number: e.attempts - 1, Node: a.Node, Until: now.Add(a.Wait),
@@ -247,10 +247,10 @@
 			t.Begin = now.Add(a.Begin)
 		}
 		c.up.Send(t)
-	case spindlehitch.Refuse:
+	case scheduler.Refuse:
 		c.answer(e, Answer{Ending: Refused, RetryAfter: a.Wait})
 		c.tidy(a.Request, e)
-	case spindlehitch.Fail:
+	case scheduler.Fail:
 		c.answer(e, Answer{Ending: Failed})
 		c.tidy(a.Request, e)
 	}
--- a/internal/core/core_test.go
+++ b/internal/dispatcher/dispatcher_test.go
@@ -1,4 +1,4 @@
-package core
+package dispatcher
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"spindlehitch"
+	"dapplegate/scheduler"
 )
 
 // fake is an upstream that notes what it is told.
@@ -19,13 +19,13 @@
 func (f *fake) Send(a Attempt)              { f.sent = append(f.sent, a) }
 func (f *fake) Cancel(node, request string) { f.cancelled = append(f.cancelled, node+"/"+request) }
 
-func module(t *testing.T) *spindlehitch.Scheduler {
+func module(t *testing.T) *scheduler.Scheduler {
 	t.Helper()
-	m, err := spindlehitch.New(spindlehitch.Settings{Initiators: 1, Tick: time.Millisecond, MeanUnits: 1, LargestUnits: 1,
-		Classes: []spindlehitch.Class{{Name: "get", Aim: 400 * time.Millisecond, Deadline: 2 * time.Second, Worth: 1},
-			{Name: "put", Aim: 400 * time.Millisecond, Deadline: 2 * time.Second, Worth: 1, Effect: spindlehitch.Unsafe},
-			{Name: "keyed", Aim: 400 * time.Millisecond, Deadline: 2 * time.Second, Worth: 1, Effect: spindlehitch.Keyed, Window: time.Second}},
-		Plans: []spindlehitch.Plan{{Name: "std", Rate: 1000, Reserve: 1000, Weight: 1, Price: 1}}}, 1)
+	m, err := scheduler.New(scheduler.Settings{Initiators: 1, Tick: time.Millisecond, MeanUnits: 1, LargestUnits: 1,
+		Classes: []scheduler.Class{{Name: "get", Aim: 400 * time.Millisecond, Deadline: 2 * time.Second, Worth: 1},
+			{Name: "put", Aim: 400 * time.Millisecond, Deadline: 2 * time.Second, Worth: 1, Effect: scheduler.Unsafe},
+			{Name: "keyed", Aim: 400 * time.Millisecond, Deadline: 2 * time.Second, Worth: 1, Effect: scheduler.Keyed, Window: time.Second}},
+		Plans: []scheduler.Plan{{Name: "std", Rate: 1000, Reserve: 1000, Weight: 1, Price: 1}}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,12 +42,12 @@
 func newHand(t *testing.T) *hand {
 	h := &hand{up: &fake{}, now: time.Now()}
 	h.Core = New(module(t), h.up, NewClock(), Options{MostHeld: 100, Margin: 10 * time.Millisecond})
-	h.step(h.now, []any{spindlehitch.NodeList{Whole: true, Nodes: []spindlehitch.Node{{ID: "n"}}}})
+	h.step(h.now, []any{scheduler.NodeList{Whole: true, Nodes: []scheduler.Node{{ID: "n"}}}})
 	return h
 }
 
 func job(class string, arrived time.Time, answers *[]Answer) *Job {
-	return &Job{Request: spindlehitch.Request{Class: class, Plan: "std", Volume: "v", Units: 1, Initiators: 1},
+	return &Job{Request: scheduler.Request{Class: class, Plan: "std", Volume: "v", Units: 1, Initiators: 1},
 		Arrived: arrived, Patience: 2 * time.Second, Done: func(a Answer) { *answers = append(*answers, a) }}
 }
 
@@ -67,7 +67,7 @@
 	if len(h.up.sent) != 1 {
 		t.Fatalf("%d attempts, want 1", len(h.up.sent))
 	}
-	r := Result{Request: h.up.sent[0].Request, Node: "n", Code: spindlehitch.Delivered, Payload: "body"}
+	r := Result{Request: h.up.sent[0].Request, Node: "n", Code: scheduler.Delivered, Payload: "body"}
 	wrong := r
 	wrong.Number = 3
 	h.step(h.now, []any{wrong, r, r})
@@ -105,7 +105,7 @@
 	conflict("open")
 	h.step(h.now, []any{first})
 	conflict("its client gone, its attempt out")
-	h.step(h.now, []any{Result{Request: h.up.sent[0].Request, Node: "n", Code: spindlehitch.Cancelled}})
+	h.step(h.now, []any{Result{Request: h.up.sent[0].Request, Node: "n", Code: scheduler.Cancelled}})
 	conflict("may have run")
 	if len(h.up.sent) != 1 || h.Open() != 0 {
 		t.Errorf("%d attempts, %d open; want one, none", len(h.up.sent), h.Open())
@@ -114,17 +114,17 @@
 		h.now = h.now.Add(namesFor + time.Second)
 		submit("b", "put")
 		last := h.up.sent[len(h.up.sent)-1]
-		h.step(h.now, []any{Result{Request: last.Request, Number: last.Number, Node: "n", Code: spindlehitch.Moot}})
-		h.step(h.now, []any{spindlehitch.NodeList{Whole: true}})
+		h.step(h.now, []any{Result{Request: last.Request, Number: last.Number, Node: "n", Code: scheduler.Moot}})
+		h.step(h.now, []any{scheduler.NodeList{Whole: true}})
 		h.later(2 * time.Second)
 		if got := answers[len(answers)-1]; got.Ending != Refused {
 			t.Errorf("never sent: %+v, want it refused", got)
 		}
-		h.step(h.now, []any{spindlehitch.NodeList{Whole: true, Nodes: []spindlehitch.Node{{ID: "n"}}}})
+		h.step(h.now, []any{scheduler.NodeList{Whole: true, Nodes: []scheduler.Node{{ID: "n"}}}})
 	}
 	submit("c", "get")
 	last := h.up.sent[len(h.up.sent)-1]
-	h.step(h.now, []any{Result{Request: last.Request, Number: last.Number, Node: "n", Code: spindlehitch.Delivered}})
+	h.step(h.now, []any{Result{Request: last.Request, Number: last.Number, Node: "n", Code: scheduler.Delivered}})
 	if n := len(h.named) + len(h.ran[0]) + len(h.ran[1]); n != 1 {
 		t.Errorf("%d names are kept, want the last alone", n)
 	}
@@ -145,7 +145,7 @@
 
 // TestUnsafeIsNotRepeated ends a write in doubt: one failure, no second attempt, no word that a repeat is harmless.
 func TestUnsafeIsNotRepeated(t *testing.T) {
-	for _, code := range []spindlehitch.Code{spindlehitch.Reset, spindlehitch.Expired, spindlehitch.Errored, spindlehitch.Cancelled} {
+	for _, code := range []scheduler.Code{scheduler.Reset, scheduler.Expired, scheduler.Errored, scheduler.Cancelled} {
 		h := newHand(t)
 		var answers []Answer
 		h.step(h.now, []any{submitted{job("put", h.now, &answers)}})
@@ -164,9 +164,9 @@
 	var answers []Answer
 	msgs := func() []any {
 		return []any{submitted{job("get", h.now, &answers)}, Result{Request: "none"},
-			spindlehitch.NodeList{Nodes: []spindlehitch.Node{{ID: "n", State: spindlehitch.Draining}}}}
+			scheduler.NodeList{Nodes: []scheduler.Node{{ID: "n", State: scheduler.Draining}}}}
 	}
-	if _, first := h.gather(h.now, msgs())[0].(spindlehitch.NodeList); !first {
+	if _, first := h.gather(h.now, msgs())[0].(scheduler.NodeList); !first {
 		t.Error("the notice came behind the request")
 	}
 	h.step(h.now, msgs())
@@ -185,7 +185,7 @@
 	if len(h.up.cancelled) != 1 || len(h.open) != 1 {
 		t.Fatalf("cancelled %v, %d kept; want it called off and kept until its outcome", h.up.cancelled, len(h.open))
 	}
-	h.step(h.now, []any{Result{Request: h.up.sent[0].Request, Node: "n", Code: spindlehitch.Cancelled}})
+	h.step(h.now, []any{Result{Request: h.up.sent[0].Request, Node: "n", Code: scheduler.Cancelled}})
 	h.later(3 * time.Second)
 	if len(answers) != 0 || len(h.open) != 0 {
 		t.Errorf("answers %v, %d kept", answers, len(h.open))
@@ -213,7 +213,7 @@
 		if len(h.up.sent) != 2*i+1 || !h.up.sent[2*i].Begin.IsZero() {
 			t.Fatalf("%s: attempts %+v, want one that may begin at any time", class, h.up.sent)
 		}
-		h.step(h.now, []any{Result{Request: h.up.sent[2*i].Request, Node: "n", Code: spindlehitch.Reset}})
+		h.step(h.now, []any{Result{Request: h.up.sent[2*i].Request, Node: "n", Code: scheduler.Reset}})
 		h.later(300 * time.Millisecond)
 		if len(h.up.sent) != 2*i+2 {
 			t.Fatalf("%s: %d attempts, want a further one", class, len(h.up.sent))
@@ -221,7 +221,7 @@
 		if at, bound := h.up.sent[2*i+1].Begin, begun.Add(time.Second); class == "get" && !at.IsZero() || class == "keyed" && !at.Equal(bound) {
 			t.Errorf("%s: must begin by %v, of %v", class, at, bound)
 		}
-		h.step(h.now, []any{Result{Request: h.up.sent[2*i+1].Request, Number: 1, Node: "n", Code: spindlehitch.Delivered}})
+		h.step(h.now, []any{Result{Request: h.up.sent[2*i+1].Request, Number: 1, Node: "n", Code: scheduler.Delivered}})
 	}
 }
 
@@ -229,7 +229,7 @@
 type echo struct{ core *Core }
 
 func (e *echo) Send(a Attempt) {
-	go e.core.Report(Result{Request: a.Request, Number: a.Number, Node: a.Node, Code: spindlehitch.Delivered})
+	go e.core.Report(Result{Request: a.Request, Number: a.Number, Node: a.Node, Code: scheduler.Delivered})
 }
 func (e *echo) Cancel(string, string) {}
 
@@ -242,7 +242,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go c.Run(ctx)
-	c.List(spindlehitch.NodeList{Whole: true, Nodes: []spindlehitch.Node{{ID: "n"}}})
+	c.List(scheduler.NodeList{Whole: true, Nodes: []scheduler.Node{{ID: "n"}}})
 	var mu sync.Mutex
 	answers := map[string]int{}
 	var open, turned sync.WaitGroup
@@ -253,7 +253,7 @@
 			defer turned.Done()
 			for i := range 100 {
 				name := fmt.Sprint(g, "/", i)
-				j := &Job{Request: spindlehitch.Request{Class: "get", Plan: "std", Volume: name, Units: 1, Initiators: 1},
+				j := &Job{Request: scheduler.Request{Class: "get", Plan: "std", Volume: name, Units: 1, Initiators: 1},
 					Arrived: time.Now(), Patience: 2 * time.Second}
 				j.Done = func(Answer) {
 					mu.Lock()
--- a/internal/core/messages.go
+++ b/internal/dispatcher/messages.go
@@ -1,9 +1,9 @@
-package core
+package dispatcher
 
 import (
 	"time"
 
-	"spindlehitch"
+	"dapplegate/scheduler"
 )
 
 // Ending says how a request ended.
@@ -29,9 +29,9 @@
 // Answer is the one final answer of a request.
 type Answer struct {
 	Ending     Ending
-	Payload    any               // of a served request: what the upstream brought
-	RetryAfter time.Duration     // of a refusal: when the client should come back; 0: no advice
-	Last       spindlehitch.Code // how the last attempt ended, if there was one
+	Payload    any            // of a served request: what the upstream brought
+	RetryAfter time.Duration  // of a refusal: when the client should come back; 0: no advice
+	Last       scheduler.Code // how the last attempt ended, if there was one
 }
 
 // TooMany refuses what a front cannot take in for want of room: nothing of it has reached the module.
@@ -39,7 +39,7 @@
 
 // Job is a request as a front hands it over. ID and Budget are the core's to fill.
 type Job struct {
-	spindlehitch.Request
+	scheduler.Request
 	Name     string        // the client's own for it, one of a kind; may be empty
 	Arrived  time.Time     // when its last byte was here
 	Patience time.Duration // how long the client waits from then on
@@ -65,8 +65,8 @@
 	Request string
 	Number  int
 	Node    string
-	Code    spindlehitch.Code
-	Load    *spindlehitch.Load
+	Code    scheduler.Code
+	Load    *scheduler.Load
 	Used    int
 	Payload any
 }
--- a/internal/core/shutdown.go
+++ b/internal/dispatcher/shutdown.go
@@ -1,4 +1,4 @@
-package core
+package dispatcher
 
 import (
 	"context"
--- a/internal/faulttest/process.go
+++ b/internal/faulttest/process.go
@@ -19,8 +19,8 @@
 
 // Build builds the initiator's program into a folder and returns its path.
 func Build(dir string) (string, error) {
-	path := filepath.Join(dir, "spindlehitch")
-	out, err := exec.Command("go", "build", "-o", path, "spindlehitch/cmd/spindlehitch").CombinedOutput()
+	path := filepath.Join(dir, "initiator")
+	out, err := exec.Command("go", "build", "-o", path, "dapplegate/cmd/initiator").CombinedOutput()
 	if err != nil {
 		return "", fmt.Errorf("build: %w: %s", err, out)
 	}
--- a/internal/nvme/admin.go
+++ b/internal/nvme/admin.go
@@ -6,6 +6,10 @@
 	"time"
 )
 
+// modelNumber is the model that Identify Controller tells. Hosts build the names of their devices from it, so it stays as it
+// was first told.
+const modelNumber = "spindlehitch"
+
 const (
 	// CAP beside the queue size: queues are contiguous, ready within ten times 500 ms, NVM command set.
 	capBase = 1<<16 | 10<<24 | 1<<37
@@ -264,7 +268,7 @@
 	case 1: // controller
 		text := func(at, n int, s string) { copy(page[at:at+n], append([]byte(s), bytes.Repeat([]byte(" "), n)...)) }
 		text(4, 20, s.opt.Subsystem[max(0, len(s.opt.Subsystem)-20):])
-		text(24, 40, "spindlehitch")
+		text(24, 40, modelNumber)
 		text(64, 8, "1")
 		page[77] = 5 // largest transfer: 2^5 pages of 4 KiB
 		binary.LittleEndian.PutUint16(page[78:], q.ctrl.id)
--- a/internal/nvme/command.go
+++ b/internal/nvme/command.go
@@ -4,8 +4,8 @@
 	"encoding/binary"
 	"time"
 
-	"spindlehitch"
-	"spindlehitch/internal/core"
+	"dapplegate/internal/dispatcher"
+	"dapplegate/scheduler"
 )
 
 // Opcodes of the subset.
@@ -85,31 +85,31 @@
 
 // statusOf maps the core's final answer. Retryable exactly where the module says that a repeat is harmless;
 // what may have run has DNR set, so that no host sends it again by itself.
-func statusOf(a core.Answer, delays bool) status {
+func statusOf(a dispatcher.Answer, delays bool) status {
 	switch a.Ending {
-	case core.Served:
+	case dispatcher.Served:
 		return stOK
-	case core.Refused:
+	case dispatcher.Refused:
 		if delays {
 			return stNSNotReady.withDelay(delayIndex(a.RetryAfter))
 		}
 		return stNSNotReady
 	}
-	if a.Last == spindlehitch.Expired || a.Last == spindlehitch.Reset {
+	if a.Last == scheduler.Expired || a.Last == scheduler.Reset {
 		return stTransient | dnr
 	}
 	return stInternal | dnr
 }
 
 // outcomeOf maps a target's status. Only what says that the command was not begun proves it.
-func outcomeOf(s status) spindlehitch.Code {
+func outcomeOf(s status) scheduler.Code {
 	switch {
 	case s == stOK:
-		return spindlehitch.Delivered
+		return scheduler.Delivered
 	case s.code() == stNSNotReady && s&dnr == 0:
-		return spindlehitch.Full
+		return scheduler.Full
 	}
-	return spindlehitch.Errored
+	return scheduler.Errored
 }
 
 // command is a submission queue entry.
--- a/internal/nvme/controller.go
+++ b/internal/nvme/controller.go
@@ -12,9 +12,9 @@
 	"sync/atomic"
 	"time"
 
-	"spindlehitch/internal/core"
-	"spindlehitch/internal/mailbox"
-	"spindlehitch/internal/socket"
+	"dapplegate/internal/dispatcher"
+	"dapplegate/internal/mailbox"
+	"dapplegate/internal/socket"
 )
 
 // Options set up the controller side.
@@ -30,8 +30,8 @@
 
 // Core is what the front needs of the core.
 type Core interface {
-	Submit(*core.Job) bool
-	Depart(*core.Job)
+	Submit(*dispatcher.Job) bool
+	Depart(*dispatcher.Job)
 }
 
 const (
@@ -49,7 +49,7 @@
 	open     atomic.Int64              // commands in the core
 	left     atomic.Pointer[time.Time] // when Stop was called
 	leaving  atomic.Bool               // new commands are turned away
-	shutdown core.Shutdown
+	shutdown dispatcher.Shutdown
 
 	mu          sync.Mutex
 	controllers map[uint16]*controller
@@ -66,7 +66,7 @@
 	for _, d := range opt.Patience {
 		longest = max(longest, d)
 	}
-	s.shutdown = core.ShutdownFor(longest)
+	s.shutdown = dispatcher.ShutdownFor(longest)
 	for i := range opt.Namespaces {
 		s.spaces[opt.Namespaces[i].ID] = &s.opt.Namespaces[i]
 	}
@@ -117,7 +117,7 @@
 	got  int
 	tag  uint16
 	wait *time.Timer // for the host's data
-	job  *core.Job
+	job  *dispatcher.Job
 }
 
 // Serve accepts until Stop.
@@ -180,14 +180,14 @@
 func (s *Server) Stop(ctx context.Context) error {
 	now := time.Now()
 	s.left.Store(&now)
-	core.Pause(ctx, now.Add(core.LingerFor))
+	dispatcher.Pause(ctx, now.Add(dispatcher.LingerFor))
 	s.mu.Lock()
 	listener := s.listener
 	s.mu.Unlock()
 	if listener != nil {
 		socket.CloseListener(listener, now.Add(s.shutdown.AnswerBy))
 	}
-	core.Pause(ctx, now.Add(s.shutdown.ServeFor))
+	dispatcher.Pause(ctx, now.Add(s.shutdown.ServeFor))
 	s.leaving.Store(true)
 	for s.open.Load() > 0 && ctx.Err() == nil {
 		time.Sleep(2 * time.Millisecond)
@@ -441,7 +441,7 @@
 		q.complete(p, stInvalidField|dnr, 0, nil)
 	case s.leaving.Load(), s.bytes.Load()+int64(bytes) > s.opt.MostBytes:
 		// Nothing of it was begun; the host may come back, or go elsewhere.
-		q.complete(p, statusOf(core.TooMany, q.ctrl.wantsDelays()), 0, nil)
+		q.complete(p, statusOf(dispatcher.TooMany, q.ctrl.wantsDelays()), 0, nil)
 	default:
 		x.Bytes = bytes
 		q.mu.Lock()
@@ -511,15 +511,15 @@
 // submit hands the command to the core, which owns its end from here on.
 func (q *queue) submit(p *pending) {
 	ns := q.server.spaces[p.io.NSID]
-	j := &core.Job{Request: ns.request(p.io), Arrived: time.Now(), Payload: p.io}
+	j := &dispatcher.Job{Request: ns.request(p.io), Arrived: time.Now(), Payload: p.io}
 	j.Gone = func() bool { return socket.PeerGone(q.net) }
 	j.Patience = q.server.shutdown.Cut(q.server.opt.Patience[j.Class], j.Arrived, q.server.left.Load())
 	delays := q.ctrl.wantsDelays()
-	j.Done = func(a core.Answer) {
+	j.Done = func(a dispatcher.Answer) {
 		st := statusOf(a, delays)
 		body, _ := a.Payload.([]byte)
 		switch {
-		case a.Ending != core.Served || p.io.Write:
+		case a.Ending != dispatcher.Served || p.io.Write:
 			body = nil
 		case len(body) != p.io.Bytes:
 			st, body = stInternal|dnr, nil // no target's whole answer: never passed off as one
@@ -537,7 +537,7 @@
 	}
 	q.mu.Unlock()
 	if !gone && !taken {
-		q.complete(p, statusOf(core.TooMany, delays), 0, nil)
+		q.complete(p, statusOf(dispatcher.TooMany, delays), 0, nil)
 	}
 }
 
--- a/internal/nvme/host.go
+++ b/internal/nvme/host.go
@@ -12,10 +12,10 @@
 	"sync"
 	"time"
 
-	"spindlehitch"
-	"spindlehitch/internal/core"
-	"spindlehitch/internal/socket"
-	"spindlehitch/internal/upstream"
+	"dapplegate/internal/dispatcher"
+	"dapplegate/internal/socket"
+	"dapplegate/internal/upstream"
+	"dapplegate/scheduler"
 )
 
 // HostOptions set up the host side.
@@ -398,7 +398,7 @@
 
 // Do carries one read or write. A write's data goes in the capsule where it fits, otherwise when the
 // controller asks; until the last byte of it is written, it cannot have begun.
-func (s *session) Do(a core.Attempt, first func() bool) (r core.Result, reuse bool, reason string) {
+func (s *session) Do(a dispatcher.Attempt, first func() bool) (r dispatcher.Result, reuse bool, reason string) {
 	x := a.Payload.(*IO)
 	op := byte(opRead)
 	if x.Write {
@@ -416,11 +416,11 @@
 	capsule := appendPDU(nil, s.framing, typeCmd, 0, c[:], data)
 	s.SetDeadline(a.Until)
 	if !first() {
-		r.Code = spindlehitch.Moot
+		r.Code = scheduler.Moot
 		return r, false, "NOT_SENT"
 	}
 	if n, err := s.Write(capsule); n < len(capsule) {
-		r.Code = spindlehitch.NoConnection
+		r.Code = scheduler.NoConnection
 		return r, false, "WRITE_" + upstream.Cause(err)
 	}
 	written := !x.Write || inside
@@ -428,11 +428,11 @@
 	if err != nil {
 		switch {
 		case !written:
-			r.Code = spindlehitch.NoConnection
+			r.Code = scheduler.NoConnection
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			r.Code = spindlehitch.Expired
+			r.Code = scheduler.Expired
 		default:
-			r.Code = spindlehitch.Reset
+			r.Code = scheduler.Reset
 		}
 		if errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, net.ErrClosed) {
 			s.from.abort(s.qid, c.cid())
--- a/internal/nvme/namespace.go
+++ b/internal/nvme/namespace.go
@@ -6,7 +6,7 @@
 	"math/bits"
 	"strconv"
 
-	"spindlehitch"
+	"dapplegate/scheduler"
 )
 
 // Namespace says how reads and writes of one namespace become requests: whose volume it is, on which plan,
@@ -72,9 +72,9 @@
 }
 
 // request is what the module is told of a command. One that spans stripes belongs to the first.
-func (n *Namespace) request(io *IO) spindlehitch.Request {
+func (n *Namespace) request(io *IO) scheduler.Request {
 	stripe := io.SLBA / n.StripeBlocks
-	q := spindlehitch.Request{Class: n.Read, Plan: n.Plan, Volume: n.Volume, Initiators: n.Hosts,
+	q := scheduler.Request{Class: n.Read, Plan: n.Plan, Volume: n.Volume, Initiators: n.Hosts,
 		Extent: fmt.Sprintf("%s/%x", n.Volume, stripe),
 		Shard:  n.Shards[stripe%uint64(len(n.Shards))],
 		Units:  float64((io.Blocks + n.UnitBlocks - 1) / n.UnitBlocks)}
--- a/internal/nvme/nvme_test.go
+++ b/internal/nvme/nvme_test.go
@@ -17,10 +17,10 @@
 
 	"pgregory.net/rapid"
 
-	"spindlehitch"
-	"spindlehitch/internal/core"
-	"spindlehitch/internal/seeded"
-	"spindlehitch/internal/upstream"
+	"dapplegate/internal/dispatcher"
+	"dapplegate/internal/seeded"
+	"dapplegate/internal/upstream"
+	"dapplegate/scheduler"
 )
 
 func TestMain(m *testing.M) { seeded.Main(m) }
@@ -60,16 +60,16 @@
 	reads  int
 	still  chan struct{} // not nil: commands wait until it is closed
 	came   chan *IO
-	answer core.Answer // instead of serving, where its Ending is not Served
+	answer dispatcher.Answer // instead of serving, where its Ending is not Served
 }
 
 func newStore() *store {
 	return &store{blocks: map[uint64][]byte{}, writes: map[string]int{}, came: make(chan *IO, 64)}
 }
 
-func (s *store) Depart(*core.Job) {}
+func (s *store) Depart(*dispatcher.Job) {}
 
-func (s *store) Submit(j *core.Job) bool {
+func (s *store) Submit(j *dispatcher.Job) bool {
 	x := j.Payload.(*IO)
 	s.mu.Lock()
 	still, answer := s.still, s.answer
@@ -79,7 +79,7 @@
 		if still != nil {
 			<-still
 		}
-		if answer.Ending != core.Served {
+		if answer.Ending != dispatcher.Served {
 			j.Done(answer)
 			return
 		}
@@ -99,7 +99,7 @@
 			body = append(body, append(b, make([]byte, blockSize-len(b))...)...)
 		}
 		s.mu.Unlock()
-		j.Done(core.Answer{Payload: body})
+		j.Done(dispatcher.Answer{Payload: body})
 	}()
 	return true
 }
@@ -114,39 +114,39 @@
 type rig struct {
 	addr   string
 	up     *upstream.Registry
-	core   *core.Core
+	core   *dispatcher.Core
 	server *Server
 }
 
 func newRig(t *testing.T, digests bool, aim time.Duration, targets ...string) *rig {
 	t.Helper()
-	module, err := spindlehitch.New(spindlehitch.Settings{Initiators: 1, Tick: time.Millisecond, MeanUnits: 1, LargestUnits: 8,
-		MaxAttempts: 3, Plans: []spindlehitch.Plan{{Name: "std", Rate: 1000, Reserve: 1000, Weight: 1, Price: 1}},
-		Classes: []spindlehitch.Class{
+	module, err := scheduler.New(scheduler.Settings{Initiators: 1, Tick: time.Millisecond, MeanUnits: 1, LargestUnits: 8,
+		MaxAttempts: 3, Plans: []scheduler.Plan{{Name: "std", Rate: 1000, Reserve: 1000, Weight: 1, Price: 1}},
+		Classes: []scheduler.Class{
 			{Name: "position-read", Aim: aim, Deadline: patient, Worth: 3},
-			{Name: "event-write", Aim: aim, Deadline: patient, Worth: 2, Effect: spindlehitch.Unsafe}}}, 1)
+			{Name: "event-write", Aim: aim, Deadline: patient, Worth: 2, Effect: scheduler.Unsafe}}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	r := &rig{}
 	host := NewHost(HostOptions{Subsystem: targetNQN, HostNQN: "nqn.2026-12.example.test:initiator", KeepAlive: time.Minute, Digests: digests})
 	r.up = upstream.NewRegistry(upstream.Options{Wire: host, Dial: patient, Idle: time.Minute, MostConn: 16, MostAll: 64, Log: quiet},
-		func(x core.Result) { r.core.Report(x) })
-	r.core = core.New(module, r.up, core.NewClock(), core.Options{})
+		func(x dispatcher.Result) { r.core.Report(x) })
+	r.core = dispatcher.New(module, r.up, dispatcher.NewClock(), dispatcher.Options{})
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(stop)
 	go r.core.Run(ctx)
 	for i, addr := range targets {
-		r.list(fmt.Sprint("t", i), addr, spindlehitch.Up)
+		r.list(fmt.Sprint("t", i), addr, scheduler.Up)
 	}
 	r.server, r.addr = newServer(t, r.core, poolNQN)
 	return r
 }
 
 // list tells of one target, as the list's actor does: the registry first.
-func (r *rig) list(id, addr string, state spindlehitch.NodeState) {
+func (r *rig) list(id, addr string, state scheduler.NodeState) {
 	r.up.Apply([]upstream.Target{{ID: id, Addr: addr, State: state}}, false)
-	r.core.List(spindlehitch.NodeList{Nodes: []spindlehitch.Node{{ID: id, State: state}}})
+	r.core.List(scheduler.NodeList{Nodes: []scheduler.Node{{ID: id, State: state}}})
 }
 
 // client is the stand-in host: an admin queue and one I/O queue of some depth, spoken to by hand.
@@ -299,12 +299,12 @@
 		queue := &session{wire: c.io, from: &association{talk: make(chan struct{}, 1)}, inside: inCapsule}
 		always := func() bool { return true }
 		until := time.Now().Add(patient)
-		got, _, reason := queue.Do(core.Attempt{Until: until, Payload: &IO{Write: true, NSID: 1, SLBA: 100, Blocks: 200, Bytes: len(large), Data: large}}, always)
-		if got.Code != spindlehitch.Delivered {
+		got, _, reason := queue.Do(dispatcher.Attempt{Until: until, Payload: &IO{Write: true, NSID: 1, SLBA: 100, Blocks: 200, Bytes: len(large), Data: large}}, always)
+		if got.Code != scheduler.Delivered {
 			t.Fatalf("large write: %+v, %s", got, reason)
 		}
-		got, _, reason = queue.Do(core.Attempt{Until: until, Payload: &IO{NSID: 1, SLBA: 100, Blocks: 200, Bytes: len(large)}}, always)
-		if body, _ := got.Payload.([]byte); got.Code != spindlehitch.Delivered || !bytes.Equal(body, large) {
+		got, _, reason = queue.Do(dispatcher.Attempt{Until: until, Payload: &IO{NSID: 1, SLBA: 100, Blocks: 200, Bytes: len(large)}}, always)
+		if body, _ := got.Payload.([]byte); got.Code != scheduler.Delivered || !bytes.Equal(body, large) {
 			t.Fatalf("large read: %v, %d bytes, %s", got.Code, len(body), reason)
 		}
 	}
@@ -349,8 +349,8 @@
 	c := newClient(t, r.addr, false)
 	first := c.write(1, "event")
 	<-stuck.came
-	r.list("t0", a, spindlehitch.Draining)
-	r.list("t1", b, spindlehitch.Up)
+	r.list("t0", a, scheduler.Draining)
+	r.list("t1", b, scheduler.Up)
 	second := c.write(2, "later")
 	third := c.read(3, 1)
 	ends := map[uint16]status{}
@@ -394,10 +394,10 @@
 		bytesSent <- len(b)
 	}()
 	queue := &session{wire: &wire{Conn: near}, from: &association{talk: make(chan struct{}, 1), inUse: map[uint16]bool{}}}
-	r, reuse, _ := queue.Do(core.Attempt{Until: time.Now().Add(patient), Payload: &IO{NSID: 1, Blocks: 1, Bytes: blockSize}},
+	r, reuse, _ := queue.Do(dispatcher.Attempt{Until: time.Now().Add(patient), Payload: &IO{NSID: 1, Blocks: 1, Bytes: blockSize}},
 		func() bool { return false })
 	queue.Close()
-	if n := <-bytesSent; r.Code != spindlehitch.Moot || reuse || n != 0 {
+	if n := <-bytesSent; r.Code != scheduler.Moot || reuse || n != 0 {
 		t.Errorf("code %v, kept %v, %d bytes sent; want it not sent", r.Code, reuse, n)
 	}
 }
@@ -441,23 +441,23 @@
 func TestStatuses(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		answer core.Answer
+		answer dispatcher.Answer
 		delays bool
 		want   status
 	}{
-		{"served", core.Answer{}, true, stOK},
-		{"refused", core.Answer{Ending: core.Refused, RetryAfter: 200 * time.Millisecond}, false, stNSNotReady},
-		{"refused, told how long", core.Answer{Ending: core.Refused, RetryAfter: 200 * time.Millisecond}, true, stNSNotReady.withDelay(2)},
-		{"refused for longer than can be told", core.Answer{Ending: core.Refused, RetryAfter: time.Minute}, true, stNSNotReady.withDelay(3)},
-		{"timed out", core.Answer{Ending: core.Failed, Last: spindlehitch.Expired}, true, stTransient | dnr},
-		{"error", core.Answer{Ending: core.Failed, Last: spindlehitch.Errored}, true, stInternal | dnr},
+		{"served", dispatcher.Answer{}, true, stOK},
+		{"refused", dispatcher.Answer{Ending: dispatcher.Refused, RetryAfter: 200 * time.Millisecond}, false, stNSNotReady},
+		{"refused, told how long", dispatcher.Answer{Ending: dispatcher.Refused, RetryAfter: 200 * time.Millisecond}, true, stNSNotReady.withDelay(2)},
+		{"refused for longer than can be told", dispatcher.Answer{Ending: dispatcher.Refused, RetryAfter: time.Minute}, true, stNSNotReady.withDelay(3)},
+		{"timed out", dispatcher.Answer{Ending: dispatcher.Failed, Last: scheduler.Expired}, true, stTransient | dnr},
+		{"error", dispatcher.Answer{Ending: dispatcher.Failed, Last: scheduler.Errored}, true, stInternal | dnr},
 	} {
 		if got := statusOf(c.answer, c.delays); got != c.want {
 			t.Errorf("%s: %#x, want %#x", c.name, uint16(got), uint16(c.want))
 		}
 	}
 	back := newStore()
-	back.answer = core.Answer{Ending: core.Refused, RetryAfter: 100 * time.Millisecond}
+	back.answer = dispatcher.Answer{Ending: dispatcher.Refused, RetryAfter: 100 * time.Millisecond}
 	_, addr := newServer(t, back, poolNQN)
 	c := newClient(t, addr, false)
 	c.read(0, 1)
@@ -676,7 +676,7 @@
 	<-back.came
 	stopped := make(chan error)
 	go func() { stopped <- s.Stop(context.Background()) }()
-	time.Sleep(core.LingerFor + 100*time.Millisecond)
+	time.Sleep(dispatcher.LingerFor + 100*time.Millisecond)
 	meanwhile := c.read(3, 1)
 	if x := <-back.came; x.SLBA != 3 {
 		t.Errorf("block %d was read while the program leaves, want 3", x.SLBA)
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -6,8 +6,8 @@
 	"sync"
 	"time"
 
-	"spindlehitch"
-	"spindlehitch/internal/core"
+	"dapplegate/internal/dispatcher"
+	"dapplegate/scheduler"
 )
 
 // lateDials is how many times as long as an attempt waits for it a connection may take to come up at all.
@@ -15,7 +15,7 @@
 
 // try is one attempt under way.
 type try struct {
-	core.Attempt
+	dispatcher.Attempt
 	ctx    context.Context
 	stop   context.CancelFunc
 	mu     sync.Mutex
@@ -27,7 +27,7 @@
 // attempt carries one attempt through connect and exchange and reports its outcome. Where it ends early, the
 // connection is closed first: one attempt out at a time.
 func (t *target) attempt(y *try, c *conn) {
-	r := core.Result{Code: spindlehitch.NoConnection}
+	r := dispatcher.Result{Code: scheduler.NoConnection}
 	var again *conn
 	reason, used := "CONNECT_FAILED", 0
 	if c != nil {
@@ -45,8 +45,8 @@
 	if again == nil {
 		t.logEnd(used, reason, y.Name)
 	}
-	if r.Code == spindlehitch.NoConnection && y.calledOff() {
-		r.Code = spindlehitch.Moot // its client left: that tells nothing of the target
+	if r.Code == scheduler.NoConnection && y.calledOff() {
+		r.Code = scheduler.Moot // its client left: that tells nothing of the target
 	}
 	r.Request, r.Number, r.Node = y.Request, y.Number, t.id
 	// The pool hears first, so that a send decided on this outcome finds the connection.
@@ -113,9 +113,9 @@
 }
 
 // exchange has the attempt carried out on c, and returns c if it can be used again.
-func (t *target) exchange(y *try, c *conn, r *core.Result) (*conn, string) {
+func (t *target) exchange(y *try, c *conn, r *dispatcher.Result) (*conn, string) {
 	if !y.hold(c.Session) || y.clientGone() {
-		r.Code = spindlehitch.Moot
+		r.Code = scheduler.Moot
 		return c, ""
 	}
 	c.used++
@@ -126,9 +126,9 @@
 	*r, reuse, reason = c.Do(y.Attempt, func() bool { return t.mayBegin(y, c) })
 	if y.calledOff() {
 		switch r.Code {
-		case spindlehitch.Delivered, spindlehitch.Moot, spindlehitch.NoConnection:
+		case scheduler.Delivered, scheduler.Moot, scheduler.NoConnection:
 		default:
-			r.Code, reason = spindlehitch.Cancelled, "CANCELLED"
+			r.Code, reason = scheduler.Cancelled, "CANCELLED"
 		}
 		return nil, reason
 	}
--- a/internal/upstream/calledoff_test.go
+++ b/internal/upstream/calledoff_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"spindlehitch"
-	"spindlehitch/internal/core"
+	"dapplegate/internal/dispatcher"
+	"dapplegate/scheduler"
 )
 
 // TestCalledOffBeforeItBegan
@@ -18,18 +18,18 @@
 // Settled by the log: "attempt ended" reason=NO_CONNECTION took=0.4ms, right behind "request ended" reason=CLIENT_LEFT.
 func TestCalledOffBeforeItBegan(t *testing.T) {
 	w := &lateWire{up: make(chan bool)}
-	results := make(chan core.Result, 1)
+	results := make(chan dispatcher.Result, 1)
 	g := NewRegistry(Options{Wire: w, Dial: 20 * time.Second, Idle: time.Minute, MostConn: 4, MostAll: 6,
-		Log: slog.New(slog.DiscardHandler)}, func(r core.Result) { results <- r })
+		Log: slog.New(slog.DiscardHandler)}, func(r dispatcher.Result) { results <- r })
 	g.Apply([]Target{{ID: "n", Addr: "a:1"}}, true)
-	g.Send(core.Attempt{Request: "r", Node: "n", Until: time.Now().Add(time.Minute), Payload: &Message{}})
+	g.Send(dispatcher.Attempt{Request: "r", Node: "n", Until: time.Now().Add(time.Minute), Payload: &Message{}})
 	for w.asked.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	g.Cancel("n", "r")
 	select {
 	case r := <-results:
-		if r.Code != spindlehitch.Moot {
+		if r.Code != scheduler.Moot {
 			t.Errorf("code %v, want it not sent", r.Code)
 		}
 	case <-time.After(20 * time.Second):
--- a/internal/upstream/http.go
+++ b/internal/upstream/http.go
@@ -15,9 +15,9 @@
 	"syscall"
 	"time"
 
-	"spindlehitch"
-	"spindlehitch/internal/core"
-	"spindlehitch/internal/socket"
+	"dapplegate/internal/dispatcher"
+	"dapplegate/internal/socket"
+	"dapplegate/scheduler"
 )
 
 const (
@@ -91,18 +91,18 @@
 // Do writes the request and reads the answer. The outcome is judged by the bytes written: short of the last
 // one the target cannot have begun, after it the attempt may have run. Write, head and body are all bounded
 // by the attempt's time.
-func (c *httpSession) Do(a core.Attempt, first func() bool) (r core.Result, reuse bool, reason string) {
+func (c *httpSession) Do(a dispatcher.Attempt, first func() bool) (r dispatcher.Result, reuse bool, reason string) {
 	c.SetDeadline(a.Until)
 	m := a.Payload.(*Message)
 	wait := max(time.Until(a.Until).Milliseconds(), 1)
 	whole := append(appendHead(make([]byte, 0, 256+len(m.Body)), m, c.host, wait), m.Body...)
 	// The last look before the first byte: news may have come while the connection was being made.
 	if !first() {
-		r.Code = spindlehitch.Moot
+		r.Code = scheduler.Moot
 		return r, false, "NOT_SENT"
 	}
 	if n, err := c.Write(whole); n < len(whole) {
-		r.Code = spindlehitch.NoConnection
+		r.Code = scheduler.NoConnection
 		return r, false, "WRITE_" + Cause(err)
 	}
 	parts := &stallReader{Conn: c.Conn, until: a.Until}
@@ -123,12 +123,12 @@
 		return err
 	})
 	if err != nil {
-		r.Code = spindlehitch.Reset
+		r.Code = scheduler.Reset
 		switch late := errors.Is(err, os.ErrDeadlineExceeded); {
 		case late && parts.begun && time.Now().Before(a.Until):
 			return r, false, "READ_STALLED"
 		case late:
-			r.Code = spindlehitch.Expired
+			r.Code = scheduler.Expired
 		case limit.N <= 0:
 			return r, false, "ANSWER_TOO_LARGE"
 		}
@@ -168,7 +168,7 @@
 type answer struct {
 	status int
 	notRun bool
-	load   *spindlehitch.Load
+	load   *scheduler.Load
 	used   int
 	body   []byte
 	close  bool
@@ -176,14 +176,14 @@
 
 // code is the outcome. The target's word that it never began counts only with the two statuses that go
 // with it: anything else may have run.
-func (a *answer) code() spindlehitch.Code {
+func (a *answer) code() scheduler.Code {
 	switch {
 	case a.status == http.StatusOK:
-		return spindlehitch.Delivered
+		return scheduler.Delivered
 	case a.notRun && (a.status == http.StatusServiceUnavailable || a.status == http.StatusGatewayTimeout):
-		return spindlehitch.Full
+		return scheduler.Full
 	}
-	return spindlehitch.Errored
+	return scheduler.Errored
 }
 
 var (
@@ -246,11 +246,11 @@
 const mostLoad = 1e5
 
 // parseLoad reads a load report such as inflight=7,queue=2; nil where there is none that can be read.
-func parseLoad(s string) *spindlehitch.Load {
+func parseLoad(s string) *scheduler.Load {
 	if s == "" {
 		return nil
 	}
-	l := &spindlehitch.Load{Queue: -1, InFlight: -1}
+	l := &scheduler.Load{Queue: -1, InFlight: -1}
 	for field := range strings.SplitSeq(s, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		x, err := strconv.ParseFloat(value, 64)
--- a/internal/upstream/registry.go
+++ b/internal/upstream/registry.go
@@ -7,15 +7,15 @@
 	"sync/atomic"
 	"time"
 
-	"spindlehitch"
-	"spindlehitch/internal/core"
+	"dapplegate/internal/dispatcher"
+	"dapplegate/scheduler"
 )
 
 // Target is what discovery says of one target.
 type Target struct {
 	ID    string
 	Addr  string
-	State spindlehitch.NodeState
+	State scheduler.NodeState
 }
 
 // Options are the bounds of every connection.
@@ -32,7 +32,7 @@
 // that a send decided on an older list still meets the newer state at its first byte.
 type Registry struct {
 	opt     Options
-	report  func(core.Result)
+	report  func(dispatcher.Result)
 	mu      sync.Mutex
 	targets map[string]*target
 	gone    map[*target]bool // off the list, with something out still
@@ -40,7 +40,7 @@
 }
 
 // NewRegistry returns an empty registry; results go to report.
-func NewRegistry(opt Options, report func(core.Result)) *Registry {
+func NewRegistry(opt Options, report func(dispatcher.Result)) *Registry {
 	return &Registry{opt: opt, report: report, targets: map[string]*target{}, gone: map[*target]bool{}}
 }
 
@@ -53,7 +53,7 @@
 		named[x.ID] = true
 		t := g.targets[x.ID]
 		if t == nil {
-			if x.State == spindlehitch.Removed {
+			if x.State == scheduler.Removed {
 				continue
 			}
 			t = newTarget(x.ID, g.opt, &g.conns, g.report)
@@ -69,10 +69,10 @@
 	}
 	for id, t := range g.targets {
 		if whole && !named[id] {
-			t.set("", spindlehitch.Removed)
+			t.set("", scheduler.Removed)
 		}
 		// An actor of a target that is gone ends once nothing is out at it.
-		if t.state.Load() == int32(spindlehitch.Removed) {
+		if t.state.Load() == int32(scheduler.Removed) {
 			delete(g.targets, id)
 			g.gone[t] = true
 			t.box.Put(retire{})
@@ -81,7 +81,7 @@
 }
 
 // Send starts an attempt; one result follows.
-func (g *Registry) Send(a core.Attempt) {
+func (g *Registry) Send(a dispatcher.Attempt) {
 	g.mu.Lock()
 	t := g.targets[a.Node]
 	if t != nil {
@@ -90,7 +90,7 @@
 	g.mu.Unlock()
 	if t == nil {
 		// Not sent: the target left the list between the decision and now.
-		g.report(core.Result{Request: a.Request, Number: a.Number, Node: a.Node, Code: spindlehitch.Moot})
+		g.report(dispatcher.Result{Request: a.Request, Number: a.Number, Node: a.Node, Code: scheduler.Moot})
 	}
 }
 
@@ -109,4 +109,4 @@
 }
 
 // open tells whether something new may still go to the target.
-func open(state *atomic.Int32) bool { return state.Load() == int32(spindlehitch.Up) }
+func open(state *atomic.Int32) bool { return state.Load() == int32(scheduler.Up) }
--- a/internal/upstream/target.go
+++ b/internal/upstream/target.go
@@ -6,9 +6,9 @@
 	"sync/atomic"
 	"time"
 
-	"spindlehitch"
-	"spindlehitch/internal/core"
-	"spindlehitch/internal/mailbox"
+	"dapplegate/internal/dispatcher"
+	"dapplegate/internal/mailbox"
+	"dapplegate/scheduler"
 )
 
 // Messages of a target's actor, beside core.Attempt.
@@ -31,7 +31,7 @@
 type target struct {
 	id     string
 	opt    Options
-	report func(core.Result)
+	report func(dispatcher.Result)
 	box    *mailbox.Box[any]
 	state  atomic.Int32
 	addr   atomic.Pointer[string]
@@ -43,16 +43,16 @@
 	slow  atomic.Bool   // a dial goes on that its attempt did not wait for; one at a time
 }
 
-func newTarget(id string, opt Options, all *atomic.Int64, report func(core.Result)) *target {
+func newTarget(id string, opt Options, all *atomic.Int64, report func(dispatcher.Result)) *target {
 	return &target{id: id, opt: opt, all: all, report: report, box: mailbox.New[any](), busy: map[string]*try{}}
 }
 
 // set takes over what the list says; at once for attempts about to write, in turn for the pool.
-func (t *target) set(addr string, state spindlehitch.NodeState) {
+func (t *target) set(addr string, state scheduler.NodeState) {
 	if addr != "" {
 		t.addr.Store(&addr)
 	}
-	if before := spindlehitch.NodeState(t.state.Swap(int32(state))); before != state {
+	if before := scheduler.NodeState(t.state.Swap(int32(state))); before != state {
 		t.opt.Log.LogAttrs(context.Background(), slog.LevelDebug, "target changed", slog.String("peer", t.id),
 			slog.String("from", before.String()), slog.String("to", state.String()))
 	}
@@ -74,7 +74,7 @@
 		msgs := t.box.Take(spare)
 		for _, m := range msgs {
 			switch m := m.(type) {
-			case core.Attempt:
+			case dispatcher.Attempt:
 				t.start(m)
 			case cancel:
 				if a := t.busy[m.request]; a != nil {
@@ -97,16 +97,16 @@
 }
 
 // start gives the attempt a connection, an idle one that is still whole or a new one.
-func (t *target) start(a core.Attempt) {
-	r := core.Result{Request: a.Request, Number: a.Number, Node: t.id}
+func (t *target) start(a dispatcher.Attempt) {
+	r := dispatcher.Result{Request: a.Request, Number: a.Number, Node: t.id}
 	if !open(&t.state) {
-		r.Code = spindlehitch.Moot
+		r.Code = scheduler.Moot
 		t.report(r)
 		return
 	}
 	c, found := t.choose()
 	if !found {
-		r.Code = spindlehitch.NoConnection
+		r.Code = scheduler.NoConnection
 		t.report(r)
 		return
 	}
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -16,9 +16,9 @@
 
 	"pgregory.net/rapid"
 
-	"spindlehitch"
-	"spindlehitch/internal/core"
-	"spindlehitch/internal/seeded"
+	"dapplegate/internal/dispatcher"
+	"dapplegate/internal/seeded"
+	"dapplegate/scheduler"
 )
 
 func TestMain(m *testing.M) { seeded.Main(m) }
@@ -67,14 +67,14 @@
 // bench is a registry with one target "n" and its results.
 type bench struct {
 	*Registry
-	results chan core.Result
+	results chan dispatcher.Result
 	tries   int
 }
 
 func newBench(addr string) *bench {
-	b := &bench{results: make(chan core.Result, 64)}
+	b := &bench{results: make(chan dispatcher.Result, 64)}
 	b.Registry = NewRegistry(Options{Wire: NewHTTP(0), Dial: 20 * time.Second, Idle: time.Minute, MostConn: 4, MostAll: 6,
-		Log: slog.New(slog.DiscardHandler)}, func(r core.Result) { b.results <- r })
+		Log: slog.New(slog.DiscardHandler)}, func(r dispatcher.Result) { b.results <- r })
 	b.Apply([]Target{{ID: "n", Addr: addr}}, true)
 	return b
 }
@@ -82,18 +82,18 @@
 func (b *bench) send(wait time.Duration) {
 	b.tries++
 	now := time.Now()
-	b.Send(core.Attempt{Request: fmt.Sprint(b.tries), Node: "n", Until: now.Add(wait),
+	b.Send(dispatcher.Attempt{Request: fmt.Sprint(b.tries), Node: "n", Until: now.Add(wait),
 		Payload: &Message{Method: "PUT", URI: "/w/1", ID: "id", Body: []byte("body")}})
 }
 
-func (b *bench) result(t *testing.T) core.Result {
+func (b *bench) result(t *testing.T) dispatcher.Result {
 	t.Helper()
 	select {
 	case r := <-b.results:
 		return r
 	case <-time.After(20 * time.Second):
 		t.Fatal("no result")
-		return core.Result{}
+		return dispatcher.Result{}
 	}
 }
 
@@ -116,16 +116,16 @@
 // TestConnectionOutlivesAttempt guards the pool against an attempt's deadline: left on the connection, it made
 // the look at the idle connection fail, and nearly every request paid for a handshake.
 func TestConnectionOutlivesAttempt(t *testing.T) {
-	tg := newTarget("n", Options{Log: slog.New(slog.DiscardHandler)}, nil, func(core.Result) {})
-	tg.set("a:1", spindlehitch.Up)
+	tg := newTarget("n", Options{Log: slog.New(slog.DiscardHandler)}, nil, func(dispatcher.Result) {})
+	tg.set("a:1", scheduler.Up)
 	near, far := net.Pipe()
 	go func() {
 		http.ReadRequest(bufio.NewReader(far))
 		say(far, "200 OK", "x")
 	}()
 	c := &deadlineConn{Conn: near}
-	var r core.Result
-	y := &try{ctx: t.Context(), Attempt: core.Attempt{Until: time.Now().Add(time.Minute), Payload: &Message{Method: "GET", URI: "/"}}}
+	var r dispatcher.Result
+	y := &try{ctx: t.Context(), Attempt: dispatcher.Attempt{Until: time.Now().Add(time.Minute), Payload: &Message{Method: "GET", URI: "/"}}}
 	if again, reason := tg.exchange(y, &conn{Session: &httpSession{c, "", NewHTTP(0).room}}, &r); again == nil || !c.at.IsZero() {
 		t.Errorf("kept %v (%s), deadline left %v; want it kept with none", again, reason, c.at)
 	}
@@ -136,15 +136,15 @@
 func TestOutcomes(t *testing.T) {
 	for _, c := range []struct {
 		name, head string
-		want       spindlehitch.Code
+		want       scheduler.Code
 	}{
-		{"served", "200 OK", spindlehitch.Delivered},
-		{"error", "500 Internal Server Error", spindlehitch.Errored},
-		{"error that claims not to have run", "500 Internal Server Error\r\nNot-Started: 1", spindlehitch.Errored},
-		{"turned away", "503 Service Unavailable\r\nNot-Started: 1", spindlehitch.Full},
-		{"over already", "504 Gateway Timeout\r\nNot-Started: 1", spindlehitch.Full},
-		{"unavailable, no word", "503 Service Unavailable", spindlehitch.Errored},
-		{"broken off", "", spindlehitch.Reset},
+		{"served", "200 OK", scheduler.Delivered},
+		{"error", "500 Internal Server Error", scheduler.Errored},
+		{"error that claims not to have run", "500 Internal Server Error\r\nNot-Started: 1", scheduler.Errored},
+		{"turned away", "503 Service Unavailable\r\nNot-Started: 1", scheduler.Full},
+		{"over already", "504 Gateway Timeout\r\nNot-Started: 1", scheduler.Full},
+		{"unavailable, no word", "503 Service Unavailable", scheduler.Errored},
+		{"broken off", "", scheduler.Reset},
 	} {
 		s := newStandIn(t, func(_ int32, _ *http.Request, conn net.Conn) bool {
 			return c.head != "" && say(conn, c.head, "")
@@ -160,11 +160,11 @@
 // TestSpoiltAnswers has targets answer what cannot be used: it may have run, nothing of it is served, the connection is
 // not used again, and what stops midway is not waited for. What is only more than was due costs the connection alone.
 func TestSpoiltAnswers(t *testing.T) {
-	const ok, spoilt = spindlehitch.Delivered, spindlehitch.Reset
+	const ok, spoilt = scheduler.Delivered, scheduler.Reset
 	good := "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx"
 	for _, c := range []struct {
 		name, says string
-		want       spindlehitch.Code
+		want       scheduler.Code
 		conns      int32 // for two attempts
 	}{
 		{"whole", good, ok, 1},
@@ -218,14 +218,14 @@
 	for _, c := range []struct {
 		name  string
 		end   func(*net.TCPConn) bool // whether the connection goes on
-		want  spindlehitch.Code
+		want  scheduler.Code
 		close string
 	}{
-		{"ended", func(c *net.TCPConn) bool { return false }, spindlehitch.Delivered, ""},
-		{"ended as announced", func(c *net.TCPConn) bool { return false }, spindlehitch.Delivered, "Connection: close\r\n"},
-		{"half closed", func(c *net.TCPConn) bool { c.CloseWrite(); return true }, spindlehitch.Delivered, ""},
-		{"reset", func(c *net.TCPConn) bool { c.SetLinger(0); return false }, spindlehitch.Reset, ""},
-		{"stalled", func(c *net.TCPConn) bool { return true }, spindlehitch.Reset, ""},
+		{"ended", func(c *net.TCPConn) bool { return false }, scheduler.Delivered, ""},
+		{"ended as announced", func(c *net.TCPConn) bool { return false }, scheduler.Delivered, "Connection: close\r\n"},
+		{"half closed", func(c *net.TCPConn) bool { c.CloseWrite(); return true }, scheduler.Delivered, ""},
+		{"reset", func(c *net.TCPConn) bool { c.SetLinger(0); return false }, scheduler.Reset, ""},
+		{"stalled", func(c *net.TCPConn) bool { return true }, scheduler.Reset, ""},
 	} {
 		s := newStandIn(t, func(_ int32, _ *http.Request, conn net.Conn) bool {
 			io.WriteString(conn, "HTTP/1.1 200 OK\r\n"+c.close+"\r\nwhole")
@@ -235,7 +235,7 @@
 		for range 2 {
 			b.send(10 * time.Second)
 			r := b.result(t)
-			if body, _ := r.Payload.([]byte); r.Code != c.want || r.Code == spindlehitch.Delivered && string(body) != "whole" {
+			if body, _ := r.Payload.([]byte); r.Code != c.want || r.Code == scheduler.Delivered && string(body) != "whole" {
 				t.Errorf("%s: code %v, body %q, want code %v", c.name, r.Code, body, c.want)
 			}
 		}
@@ -264,16 +264,16 @@
 	b.Apply([]Target{{ID: "n"}}, false)
 	b.Apply([]Target{{ID: "m", Addr: s.Addr().String()}}, true)
 	send := func(request string) {
-		b.Send(core.Attempt{Request: request, Node: "m", Until: time.Now().Add(20 * time.Second),
+		b.Send(dispatcher.Attempt{Request: request, Node: "m", Until: time.Now().Add(20 * time.Second),
 			Payload: &Message{Method: "GET", URI: "/r/1", ID: "id"}})
 	}
 	send("1")
-	if r := b.result(t); r.Code != spindlehitch.Delivered || string(r.Payload.([]byte)) != body {
+	if r := b.result(t); r.Code != scheduler.Delivered || string(r.Payload.([]byte)) != body {
 		t.Errorf("a large answer in pieces: code %v", r.Code)
 	}
 	send("2")
 	send("3")
-	if one, two := b.result(t), b.result(t); one.Code != spindlehitch.Reset || two.Code != spindlehitch.Delivered {
+	if one, two := b.result(t), b.result(t); one.Code != scheduler.Reset || two.Code != scheduler.Delivered {
 		t.Errorf("two at a time, with room for one: codes %v and %v", one.Code, two.Code)
 	}
 	if left := wire.room.Load(); left != 500<<10 {
@@ -297,7 +297,7 @@
 	<-closed
 	time.Sleep(20 * time.Millisecond)
 	b.send(10 * time.Second)
-	if r := b.result(t); r.Code != spindlehitch.Delivered || s.asked.Load() != 2 {
+	if r := b.result(t); r.Code != scheduler.Delivered || s.asked.Load() != 2 {
 		t.Errorf("code %v after %d requests, want it served by the second", r.Code, s.asked.Load())
 	}
 }
@@ -313,9 +313,9 @@
 			return false
 		})
 		b := newBench(s.Addr().String())
-		want := spindlehitch.Expired
+		want := scheduler.Expired
 		if way != "time-out" {
-			want = spindlehitch.Cancelled
+			want = scheduler.Cancelled
 			b.send(time.Minute)
 			<-asked
 			if way != "cancel" {
@@ -353,19 +353,19 @@
 	b := newBench(s.Addr().String())
 	b.send(10 * time.Second)
 	b.result(t)
-	b.Apply([]Target{{ID: "n", Addr: s.Addr().String(), State: spindlehitch.Draining}}, false)
+	b.Apply([]Target{{ID: "n", Addr: s.Addr().String(), State: scheduler.Draining}}, false)
 	b.send(10 * time.Second)
-	if r := b.result(t); r.Code != spindlehitch.Moot || s.asked.Load() != 1 {
+	if r := b.result(t); r.Code != scheduler.Moot || s.asked.Load() != 1 {
 		t.Errorf("draining: code %v, %d requests reached the target; want none after the first", r.Code, s.asked.Load())
 	}
 	// The same at the last look, with the connection in hand.
 	tg := newTarget("n", b.opt, &b.conns, b.report)
-	tg.set(s.Addr().String(), spindlehitch.Draining)
+	tg.set(s.Addr().String(), scheduler.Draining)
 	near, far := net.Pipe()
 	defer far.Close()
-	var r core.Result
-	y := &try{ctx: t.Context(), Attempt: core.Attempt{Until: time.Now().Add(time.Minute), Payload: &Message{Method: "GET", URI: "/"}}}
-	if again, _ := tg.exchange(y, &conn{Session: &httpSession{near, "", NewHTTP(0).room}}, &r); again != nil || r.Code != spindlehitch.Moot {
+	var r dispatcher.Result
+	y := &try{ctx: t.Context(), Attempt: dispatcher.Attempt{Until: time.Now().Add(time.Minute), Payload: &Message{Method: "GET", URI: "/"}}}
+	if again, _ := tg.exchange(y, &conn{Session: &httpSession{near, "", NewHTTP(0).room}}, &r); again != nil || r.Code != scheduler.Moot {
 		t.Errorf("first byte: code %v, want it not sent", r.Code)
 	}
 }
@@ -390,7 +390,7 @@
 	b := newBench(s.Addr().String())
 	for _, want := range []string{"first", "second"} {
 		b.send(10 * time.Second)
-		if r := b.result(t); r.Code != spindlehitch.Delivered || string(r.Payload.([]byte)) != want {
+		if r := b.result(t); r.Code != scheduler.Delivered || string(r.Payload.([]byte)) != want {
 			t.Errorf("code %v, answer %q, want %q", r.Code, r.Payload, want)
 		}
 	}
@@ -409,15 +409,15 @@
 func TestRepeatTooLate(t *testing.T) {
 	s := newStandIn(t, func(_ int32, _ *http.Request, c net.Conn) bool { return say(c, "200 OK", "") })
 	b := newBench(s.Addr().String())
-	send := func(begin time.Time) core.Result {
-		b.Send(core.Attempt{Request: "r", Node: "n", Begin: begin, Until: time.Now().Add(time.Minute),
+	send := func(begin time.Time) dispatcher.Result {
+		b.Send(dispatcher.Attempt{Request: "r", Node: "n", Begin: begin, Until: time.Now().Add(time.Minute),
 			Payload: &Message{Method: "GET", URI: "/r/1", ID: "id"}})
 		return b.result(t)
 	}
-	if r := send(time.Now()); r.Code != spindlehitch.Moot || s.asked.Load() != 0 {
+	if r := send(time.Now()); r.Code != scheduler.Moot || s.asked.Load() != 0 {
 		t.Errorf("too late: code %v, %d requests reached the target", r.Code, s.asked.Load())
 	}
-	if r := send(time.Now().Add(time.Minute)); r.Code != spindlehitch.Delivered {
+	if r := send(time.Now().Add(time.Minute)); r.Code != scheduler.Delivered {
 		t.Errorf("in time: code %v", r.Code)
 	}
 }
@@ -442,8 +442,8 @@
 // served is a connection on which every attempt is.
 type served struct{}
 
-func (served) Do(core.Attempt, func() bool) (core.Result, bool, string) {
-	return core.Result{Code: spindlehitch.Delivered}, true, ""
+func (served) Do(dispatcher.Attempt, func() bool) (dispatcher.Result, bool, string) {
+	return dispatcher.Result{Code: scheduler.Delivered}, true, ""
 }
 func (served) Alive() bool  { return true }
 func (served) Close() error { return nil }
@@ -452,13 +452,13 @@
 // carries the next attempt; a target that is gone ends with it, and nothing stays counted.
 func TestLateConnectionIsKept(t *testing.T) {
 	w := &lateWire{up: make(chan bool)}
-	b := &bench{results: make(chan core.Result, 64)}
+	b := &bench{results: make(chan dispatcher.Result, 64)}
 	b.Registry = NewRegistry(Options{Wire: w, Dial: 250 * time.Millisecond, Idle: time.Minute, MostConn: 4, MostAll: 6,
-		Log: slog.New(slog.DiscardHandler)}, func(r core.Result) { b.results <- r })
+		Log: slog.New(slog.DiscardHandler)}, func(r dispatcher.Result) { b.results <- r })
 	b.Apply([]Target{{ID: "n", Addr: "a:1"}}, true)
 	for i := range 2 {
 		b.send(10 * time.Second)
-		if r := b.result(t); r.Code != spindlehitch.NoConnection {
+		if r := b.result(t); r.Code != scheduler.NoConnection {
 			t.Fatalf("attempt %d: code %v, want no connection", i, r.Code)
 		}
 	}
@@ -473,11 +473,11 @@
 		time.Sleep(time.Millisecond)
 	}
 	b.send(10 * time.Second)
-	if r := b.result(t); r.Code != spindlehitch.Delivered || w.asked.Load() != 2 {
+	if r := b.result(t); r.Code != scheduler.Delivered || w.asked.Load() != 2 {
 		t.Errorf("on the connection that came late: code %v, %d dials", r.Code, w.asked.Load())
 	}
 	b.Apply([]Target{{ID: "m", Addr: "a:2"}}, true)
-	b.Send(core.Attempt{Request: "x", Node: "m", Until: time.Now().Add(time.Minute)})
+	b.Send(dispatcher.Attempt{Request: "x", Node: "m", Until: time.Now().Add(time.Minute)})
 	b.result(t)
 	b.Apply(nil, true) // with a dial of its under way
 	for b.conns.Load() > 0 {
@@ -490,14 +490,14 @@
 func TestGoneWhileConnecting(t *testing.T) {
 	s := newStandIn(t, func(_ int32, _ *http.Request, c net.Conn) bool { return say(c, "200 OK", "") })
 	w := &heldWire{HTTP: NewHTTP(0), came: make(chan bool), held: make(chan bool)}
-	b := &bench{results: make(chan core.Result, 64)}
+	b := &bench{results: make(chan dispatcher.Result, 64)}
 	b.Registry = NewRegistry(Options{Wire: w, Dial: 20 * time.Second, Idle: time.Minute, MostConn: 4, MostAll: 6,
-		Log: slog.New(slog.DiscardHandler)}, func(r core.Result) { b.results <- r })
+		Log: slog.New(slog.DiscardHandler)}, func(r dispatcher.Result) { b.results <- r })
 	b.Apply([]Target{{ID: "n", Addr: s.Addr().String()}}, true)
 	b.send(time.Minute)
 	<-w.came
 	b.Cancel("n", "1")
-	if r := b.result(t); r.Code != spindlehitch.Moot || r.Request != "1" {
+	if r := b.result(t); r.Code != scheduler.Moot || r.Request != "1" {
 		t.Errorf("code %v of request %s, want it not sent", r.Code, r.Request)
 	}
 	close(w.held)
@@ -508,7 +508,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	b.send(time.Minute)
-	if r := b.result(t); r.Code != spindlehitch.Delivered || s.asked.Load() != 1 || s.accepted.Load() != 1 {
+	if r := b.result(t); r.Code != scheduler.Delivered || s.asked.Load() != 1 || s.accepted.Load() != 1 {
 		t.Errorf("afterwards: code %v, %d requests on %d connections, want one on one", r.Code, s.asked.Load(), s.accepted.Load())
 	}
 }
@@ -534,17 +534,17 @@
 	b.Apply([]Target{{ID: "m", Addr: s.Addr().String()}}, false)
 	for i := range 10 {
 		now := time.Now()
-		b.Send(core.Attempt{Request: fmt.Sprint("r", i), Node: []string{"n", "m"}[i/5], Until: now.Add(time.Minute),
+		b.Send(dispatcher.Attempt{Request: fmt.Sprint("r", i), Node: []string{"n", "m"}[i/5], Until: now.Add(time.Minute),
 			Payload: &Message{Method: "GET", URI: "/r/1", ID: "id"}})
 	}
 	for range 4 { // the fifth at n, and all past two at m
-		if r := b.result(t); r.Code != spindlehitch.NoConnection {
+		if r := b.result(t); r.Code != scheduler.NoConnection {
 			t.Errorf("past the bounds: code %v, want no connection", r.Code)
 		}
 	}
 	close(wait)
 	for range 6 {
-		if r := b.result(t); r.Code != spindlehitch.Delivered {
+		if r := b.result(t); r.Code != scheduler.Delivered {
 			t.Errorf("within the bounds: code %v, want it served", r.Code)
 		}
 	}
@@ -552,14 +552,14 @@
 
 // TestPartWritten checks that an attempt which ends short of its last byte cannot have run.
 func TestPartWritten(t *testing.T) {
-	tg := newTarget("n", Options{Log: slog.New(slog.DiscardHandler)}, nil, func(core.Result) {})
-	tg.set("a:1", spindlehitch.Up)
+	tg := newTarget("n", Options{Log: slog.New(slog.DiscardHandler)}, nil, func(dispatcher.Result) {})
+	tg.set("a:1", scheduler.Up)
 	near, far := net.Pipe()
 	go func() { io.ReadFull(far, make([]byte, 20)); far.Close() }()
-	var r core.Result
-	y := &try{Attempt: core.Attempt{Until: time.Now().Add(time.Minute), Payload: &Message{Method: "PUT", URI: "/",
+	var r dispatcher.Result
+	y := &try{Attempt: dispatcher.Attempt{Until: time.Now().Add(time.Minute), Payload: &Message{Method: "PUT", URI: "/",
 		Body: make([]byte, 1000)}}}
-	if again, _ := tg.exchange(y, &conn{Session: &httpSession{near, "", NewHTTP(0).room}}, &r); again != nil || r.Code != spindlehitch.NoConnection {
+	if again, _ := tg.exchange(y, &conn{Session: &httpSession{near, "", NewHTTP(0).room}}, &r); again != nil || r.Code != scheduler.NoConnection {
 		t.Errorf("code %v, want no connection", r.Code)
 	}
 }
--- a/internal/upstream/wire.go
+++ b/internal/upstream/wire.go
@@ -3,7 +3,7 @@
 import (
 	"context"
 
-	"spindlehitch/internal/core"
+	"dapplegate/internal/dispatcher"
 )
 
 // Wire opens connections of one protocol.
@@ -16,7 +16,7 @@
 	// Do carries an attempt to its end and tells its outcome, whether the connection can be used again, and
 	// if not, why. It asks first just before the first byte that could start anything, and sends nothing if
 	// the answer is no. Close, from another goroutine, ends it early.
-	Do(a core.Attempt, first func() bool) (r core.Result, reuse bool, reason string)
+	Do(a dispatcher.Attempt, first func() bool) (r dispatcher.Result, reuse bool, reason string)
 	// Alive tells whether an unused connection is still open and quiet.
 	Alive() bool
 	Close() error
--- a/api.go
+++ b/scheduler/api.go
@@ -1,8 +1,8 @@
-// Package spindlehitch decides, for one initiator of a shared disk pool, when each
+// Package scheduler decides, for one initiator of a shared disk pool, when each
 // request leaves for the node that holds its data, and how each request ends.
 //
 // The decisions begin in scheduler.go; this file is the whole interface.
-package spindlehitch
+package scheduler
 
 import (
 	"fmt"
--- a/attempts.go
+++ b/scheduler/attempts.go
@@ -1,4 +1,4 @@
-package spindlehitch
+package scheduler
 
 // Attempts and final answers: the course of a request from its arrival to its one answer, retries included.
 
--- a/guards.go
+++ b/scheduler/guards.go
@@ -1,4 +1,4 @@
-package spindlehitch
+package scheduler
 
 // Guards of the rules: order, slow start, the retry budget and the plans' limits. Every send passes the gate.
 
--- a/health.go
+++ b/scheduler/health.go
@@ -1,4 +1,4 @@
-package spindlehitch
+package scheduler
 
 // Node health: what the list, answers and load reports tell of nodes, and the depth that each may have.
 
--- a/invariants_test.go
+++ b/scheduler/invariants_test.go
@@ -1,4 +1,4 @@
-package spindlehitch
+package scheduler
 
 import (
 	"fmt"
--- a/placement.go
+++ b/scheduler/placement.go
@@ -1,4 +1,4 @@
-package spindlehitch
+package scheduler
 
 // Placement of new objects, which any node may take.
 
--- a/release.go
+++ b/scheduler/release.go
@@ -1,4 +1,4 @@
-package spindlehitch
+package scheduler
 
 // Release: which held request leaves next, and when its node has room for it.
 
--- a/retries.go
+++ b/scheduler/retries.go
@@ -1,4 +1,4 @@
-package spindlehitch
+package scheduler
 
 // Retries: whether a request may have a further attempt, and when the budget allows one.
 
--- a/scheduler.go
+++ b/scheduler/scheduler.go
@@ -1,4 +1,4 @@
-package spindlehitch
+package scheduler
 
 // The scheduler: its settings, and the steps by which it takes events and returns actions. The interface is
 // in api.go; what is kept, in state.go. The decisions are in tagging.go, release.go, health.go, attempts.go,
--- a/slowstart.go
+++ b/scheduler/slowstart.go
@@ -1,4 +1,4 @@
-package spindlehitch
+package scheduler
 
 // Slow start: what a node that has just started may get.
 
--- a/state.go
+++ b/scheduler/state.go
@@ -1,4 +1,4 @@
-package spindlehitch
+package scheduler
 
 // What the scheduler keeps, and small helpers. No decision is taken here.
 
--- a/tagging.go
+++ b/scheduler/tagging.go
@@ -1,4 +1,4 @@
-package spindlehitch
+package scheduler
 
 // Tagging: the start and finish tags that RFQ gives to requests, from the buckets of their volumes and the
 // tags of their lane.
