--- a/cmd/initiator/serve.go
+++ b/cmd/initiator/serve.go
@@ -114,7 +114,7 @@
 	}
 	go c.Run(work)
 	var spread time.Duration
-	if cfg.Module.AskForList {
+	if cfg.Module.PollEndpoints {
 		spread = time.Duration(cfg.Module.Initiators) * discovery.CallFor
 	}
 	list := discovery.New(cfg.Discovery, cfg.Known, spread, tell, log)
@@ -191,12 +191,12 @@
 	return out
 }
 
-func nodes(l *discovery.List, starts *discovery.Starts) scheduler.NodeList {
-	out := scheduler.NodeList{Whole: l.Full}
+func nodes(l *discovery.List, starts *discovery.Starts) scheduler.EndpointList {
+	out := scheduler.EndpointList{Complete: l.Full}
 	for _, e := range l.Servers {
 		n := e.Node()
 		n.Started = starts.At(e)
-		out.Nodes = append(out.Nodes, n)
+		out.Targets = append(out.Targets, n)
 	}
 	return out
 }
--- a/cmd/simadapter/decode.go
+++ b/cmd/simadapter/decode.go
@@ -45,7 +45,7 @@
 			return nil, err
 		}
 		r := scheduler.Request{ID: *e.Rid, Class: *e.Grade, Plan: *e.Tier, Volume: *e.Vol,
-			Shard: *e.GroupNo, Units: *e.Weight, Budget: us(*e.BudgetUs)}
+			Shard: *e.GroupNo, Units: *e.Weight, Timeout: us(*e.BudgetUs)}
 		if e.Chunk != nil {
 			r.Extent = *e.Chunk
 		}
@@ -63,23 +63,23 @@
 		if err != nil {
 			return nil, err
 		}
-		o := scheduler.Outcome{ID: *e.Rid, Attempt: *e.Leg, Node: *e.Target, Code: code,
-			Took: us(*e.SpentUs), Closed: *e.Complete}
+		o := scheduler.AttemptEnded{RequestID: *e.Rid, Attempt: *e.Leg, Target: *e.Target, Status: code,
+			Latency: us(*e.SpentUs), Answered: *e.Complete}
 		if e.Used != nil {
-			o.Used = *e.Used
+			o.VolumeUsage = *e.Used
 		}
-		o.Load = load(e.ServerStats)
+		o.LoadReport = load(e.ServerStats)
 		return o, nil
 	case "underWay":
 		if err := required("rid", e.Rid); err != nil {
 			return nil, err
 		}
-		return scheduler.StreamBegun{ID: *e.Rid}, nil
+		return scheduler.ResponseStarted{RequestID: *e.Rid}, nil
 	case "clientGone":
 		if err := required("rid", e.Rid); err != nil {
 			return nil, err
 		}
-		return scheduler.Departed{ID: *e.Rid}, nil
+		return scheduler.ClientClosed{RequestID: *e.Rid}, nil
 	case "reminder":
 		return scheduler.Timer{}, nil
 	case "message", "healthResult":
@@ -89,13 +89,13 @@
 }
 
 // load turns a load report into the module's; nil where none came.
-func load(s *stats) *scheduler.Load {
+func load(s *stats) *scheduler.LoadReport {
 	if s == nil {
 		return nil
 	}
-	l := &scheduler.Load{Queue: -1, InFlight: -1}
+	l := &scheduler.LoadReport{QueueDepth: -1, InFlight: -1}
 	if s.Depth != nil {
-		l.Queue = *s.Depth
+		l.QueueDepth = *s.Depth
 	}
 	if s.Concurrent != nil {
 		l.InFlight = *s.Concurrent
@@ -103,24 +103,24 @@
 	return l
 }
 
-func decodeCode(word string) (scheduler.Code, error) {
+func decodeCode(word string) (scheduler.AttemptStatus, error) {
 	switch word {
 	case "delivered":
-		return scheduler.Delivered, nil
+		return scheduler.Succeeded, nil
 	case "app_error":
 		return scheduler.Errored, nil
 	case "shed":
-		return scheduler.Full, nil
+		return scheduler.Rejected, nil
 	case "expired":
-		return scheduler.Expired, nil
+		return scheduler.DeadlineExceeded, nil
 	case "dial_failed":
-		return scheduler.NoConnection, nil
+		return scheduler.ConnectFailed, nil
 	case "dropped":
-		return scheduler.Reset, nil
+		return scheduler.ConnectionReset, nil
 	case "revoked":
 		return scheduler.Cancelled, nil
 	case "unused":
-		return scheduler.Moot, nil
+		return scheduler.NotSent, nil
 	}
 	return 0, fmt.Errorf("stateCode: unknown outcome %q", word)
 }
@@ -129,12 +129,12 @@
 	if e.Mode == nil {
 		return nil, missing("mode")
 	}
-	var list scheduler.NodeList
+	var list scheduler.EndpointList
 	switch *e.Mode {
 	case "broken":
-		return scheduler.NodeList{Broken: true}, nil
+		return scheduler.EndpointList{Failed: true}, nil
 	case "whole", "stale_copy":
-		list.Whole = true
+		list.Complete = true
 	case "patch":
 	default:
 		return nil, fmt.Errorf("mode: unknown list kind %q", *e.Mode)
@@ -143,10 +143,10 @@
 		if err := required("target", r.Target, "cohort", r.Cohort, "mode", r.Mode); err != nil {
 			return nil, fmt.Errorf("records[%d]: %w", i, err)
 		}
-		n := scheduler.Node{ID: *r.Target, Zone: r.FailureDomain, Shard: *r.Cohort}
+		n := scheduler.Target{ID: *r.Target, Zone: r.FailureDomain, Shard: *r.Cohort}
 		switch *r.Mode {
 		case "up":
-			n.State = scheduler.Up
+			n.State = scheduler.Serving
 		case "draining":
 			n.State = scheduler.Draining
 		case "removed":
@@ -157,7 +157,7 @@
 		if r.LaunchedUs != nil {
 			n.Started = us(*r.LaunchedUs)
 		}
-		list.Nodes = append(list.Nodes, n)
+		list.Targets = append(list.Targets, n)
 	}
 	return list, nil
 }
--- a/cmd/simadapter/samples_test.go
+++ b/cmd/simadapter/samples_test.go
@@ -20,26 +20,26 @@
 		{`{"type":"members","initiatorId":"initiator_3","mode":"stale_copy","gen":41,"records":[` +
 			`{"target":"target_abuevth","failureDomain":"treforest","classOfHost":"node-std","cohort":0,"mode":"up","nominal":1,"launchedUs":null},` +
 			`{"target":"target_azkaesv","failureDomain":"treforest","classOfHost":"node-std","cohort":4,"mode":"up","nominal":1.5,"launchedUs":6100000}]}`,
-			scheduler.NodeList{Whole: true, Nodes: []scheduler.Node{
-				{ID: "target_abuevth", Zone: "treforest", Shard: 0, State: scheduler.Up},
-				{ID: "target_azkaesv", Zone: "treforest", Shard: 4, State: scheduler.Up, Started: 6100 * time.Millisecond}}}},
-		{`{"type":"members","initiatorId":"initiator_3","mode":"whole","gen":42,"records":[]}`, scheduler.NodeList{Whole: true}},
+			scheduler.EndpointList{Complete: true, Targets: []scheduler.Target{
+				{ID: "target_abuevth", Zone: "treforest", Shard: 0, State: scheduler.Serving},
+				{ID: "target_azkaesv", Zone: "treforest", Shard: 4, State: scheduler.Serving, Started: 6100 * time.Millisecond}}}},
+		{`{"type":"members","initiatorId":"initiator_3","mode":"whole","gen":42,"records":[]}`, scheduler.EndpointList{Complete: true}},
 		{`{"type":"members","initiatorId":"initiator_3","mode":"patch","gen":43,"records":[` +
 			`{"target":"a","failureDomain":"z","classOfHost":"k","cohort":1,"mode":"draining","nominal":1,"launchedUs":0},` +
 			`{"target":"b","failureDomain":"z","classOfHost":"k","cohort":2,"mode":"removed","nominal":1}]}`,
-			scheduler.NodeList{Nodes: []scheduler.Node{
+			scheduler.EndpointList{Targets: []scheduler.Target{
 				{ID: "a", Zone: "z", Shard: 1, State: scheduler.Draining}, {ID: "b", Zone: "z", Shard: 2, State: scheduler.Removed}}}},
-		{`{"type":"members","initiatorId":"initiator_3","mode":"broken","gen":0,"records":null}`, scheduler.NodeList{Broken: true}},
+		{`{"type":"members","initiatorId":"initiator_3","mode":"broken","gen":0,"records":null}`, scheduler.EndpointList{Failed: true}},
 		{`{"type":"newRequest","initiatorId":"initiator_3","rid":"5d3a91c4-2a23-4366-a739-1c9f14177928","tier":"standard","update":false,` +
 			`"isRetry":false,"writers":3,"chunk":"91f03b7c55d20a64","vol":"2b8e6401d9f37c10","budgetUs":240000,"weight":2,"grade":"file-read","groupNo":7}`,
 			scheduler.Request{ID: "5d3a91c4-2a23-4366-a739-1c9f14177928", Class: "file-read", Plan: "standard", Volume: "2b8e6401d9f37c10",
-				Extent: "91f03b7c55d20a64", Shard: 7, Units: 2, Initiators: 3, Budget: 240 * time.Millisecond}},
-		{`{"type":"underWay","initiatorId":"initiator_3","rid":"r","leg":0,"target":"t","spentUs":7}`, scheduler.StreamBegun{ID: "r"}},
+				Extent: "91f03b7c55d20a64", Shard: 7, Units: 2, Initiators: 3, Timeout: 240 * time.Millisecond}},
+		{`{"type":"underWay","initiatorId":"initiator_3","rid":"r","leg":0,"target":"t","spentUs":7}`, scheduler.ResponseStarted{RequestID: "r"}},
 		{`{"type":"result","initiatorId":"initiator_3","rid":"r","leg":2,"target":"target_abuevth","stateCode":"delivered","spentUs":18500,` +
 			`"complete":true,"used":86,"delta":3,"serverStats":{"load_share":0.62,"mean_ms":14.5,"depth":3,"concurrent":5}}`,
-			scheduler.Outcome{ID: "r", Attempt: 2, Node: "target_abuevth", Code: scheduler.Delivered, Took: 18500 * time.Microsecond,
-				Closed: true, Used: 86, Load: &scheduler.Load{Queue: 3, InFlight: 5}}},
-		{`{"type":"clientGone","initiatorId":"initiator_5","rid":"0e6f2b19"}`, scheduler.Departed{ID: "0e6f2b19"}},
+			scheduler.AttemptEnded{RequestID: "r", Attempt: 2, Target: "target_abuevth", Status: scheduler.Succeeded, Latency: 18500 * time.Microsecond,
+				Answered: true, VolumeUsage: 86, LoadReport: &scheduler.LoadReport{QueueDepth: 3, InFlight: 5}}},
+		{`{"type":"clientGone","initiatorId":"initiator_5","rid":"0e6f2b19"}`, scheduler.ClientClosed{RequestID: "0e6f2b19"}},
 		{`{"type":"reminder","initiatorId":"initiator_3","keyBack":"sweep"}`, scheduler.Timer{}},
 		{`{"type":"message","initiatorId":"initiator_3","author":2,"raw":"6869"}`, nil},
 		{`{"type":"healthResult","initiatorId":"initiator_3","target":"t","stateCode":"delivered","spentUs":9}`, nil},
@@ -58,21 +58,21 @@
 // TestOutcomeSamples decodes each outcome of the WIRE page, and checks which of them prove that the attempt never ran.
 func TestOutcomeSamples(t *testing.T) {
 	for word, want := range map[string]struct {
-		code   scheduler.Code
+		code   scheduler.AttemptStatus
 		mayRun bool
 	}{
-		"delivered":   {scheduler.Delivered, true},
+		"delivered":   {scheduler.Succeeded, true},
 		"app_error":   {scheduler.Errored, true},
-		"shed":        {scheduler.Full, false},
-		"expired":     {scheduler.Expired, true},
-		"dial_failed": {scheduler.NoConnection, false},
-		"dropped":     {scheduler.Reset, true},
+		"shed":        {scheduler.Rejected, false},
+		"expired":     {scheduler.DeadlineExceeded, true},
+		"dial_failed": {scheduler.ConnectFailed, false},
+		"dropped":     {scheduler.ConnectionReset, true},
 		"revoked":     {scheduler.Cancelled, true},
-		"unused":      {scheduler.Moot, false},
+		"unused":      {scheduler.NotSent, false},
 	} {
 		code, err := decodeCode(word)
-		if err != nil || code != want.code || code.MayRun() != want.mayRun {
-			t.Errorf("%s: %v, %v, may run %v", word, code, err, code.MayRun())
+		if err != nil || code != want.code || code.MayHaveExecuted() != want.mayRun {
+			t.Errorf("%s: %v, %v, may run %v", word, code, err, code.MayHaveExecuted())
 		}
 	}
 }
@@ -83,15 +83,15 @@
 		action scheduler.Action
 		want   string
 	}{
-		{scheduler.Action{Kind: scheduler.Send, Request: "r", Node: "target_abuevth", Wait: 80 * time.Millisecond},
+		{scheduler.Action{Kind: scheduler.Send, RequestID: "r", Target: "target_abuevth", Wait: 80 * time.Millisecond},
 			`{"type":"relay","initiatorId":"initiator_3","rid":"r","target":"target_abuevth","maxWaitUs":80000}`},
-		{scheduler.Action{Kind: scheduler.Refuse, Request: "r", Wait: 250 * time.Millisecond},
+		{scheduler.Action{Kind: scheduler.Reject, RequestID: "r", Wait: 250 * time.Millisecond},
 			`{"type":"decline","initiatorId":"initiator_3","rid":"r","holdOffUs":250000}`},
-		{scheduler.Action{Kind: scheduler.Refuse, Request: "r"}, `{"type":"decline","initiatorId":"initiator_3","rid":"r"}`},
-		{scheduler.Action{Kind: scheduler.Fail, Request: "r"}, `{"type":"lose","initiatorId":"initiator_3","rid":"r"}`},
+		{scheduler.Action{Kind: scheduler.Reject, RequestID: "r"}, `{"type":"decline","initiatorId":"initiator_3","rid":"r"}`},
+		{scheduler.Action{Kind: scheduler.Fail, RequestID: "r"}, `{"type":"lose","initiatorId":"initiator_3","rid":"r"}`},
 		{scheduler.Action{Kind: scheduler.SetTimer, Wait: 500 * time.Millisecond},
 			`{"type":"remind","initiatorId":"initiator_3","keyBack":"step","fromNowUs":500000}`},
-		{scheduler.Action{Kind: scheduler.Subscribe}, `{"type":"streamChanges","initiatorId":"initiator_3","on":true}`},
+		{scheduler.Action{Kind: scheduler.WatchEndpoints}, `{"type":"streamChanges","initiatorId":"initiator_3","on":true}`},
 	} {
 		if got, err := json.Marshal(encode(c.action, "initiator_3")); err != nil || string(got) != c.want {
 			t.Errorf("%s, %v, want %s", got, err, c.want)
@@ -115,21 +115,21 @@
 	}
 	got, err := o.Module()
 	want := scheduler.Settings{
-		Initiators: 3, Tick: 2 * time.Millisecond, MaxAttempts: 3, MeanUnits: 1.98, LargestUnits: 6, ColdUnits: 38,
-		FairWorth: 0.35, IdleWorth: 0.1, Meter: time.Second, AskForList: true,
+		Initiators: 3, Tick: 2 * time.Millisecond, MaxAttempts: 3, MeanUnits: 1.98, MaxUnits: 6, SlowStartBudget: 38,
+		WithinShareFactor: 0.35, BeyondShareFactor: 0.1, UsageReportPeriod: time.Second, PollEndpoints: true,
 		Classes: []scheduler.Class{
-			{Name: "file-read", Aim: 200 * time.Millisecond, Deadline: 1200 * time.Millisecond, Window: 5 * time.Second, Worth: 2},
-			{Name: "file-write", Aim: 300 * time.Millisecond, Deadline: 2 * time.Second, Effect: scheduler.Keyed,
-				Group: scheduler.GroupCell, Window: 5 * time.Second, Worth: 2, InOrder: true},
-			{Name: "bulk-export", Aim: 1500 * time.Millisecond, Deadline: 5 * time.Second, Effect: scheduler.Unsafe,
-				Group: scheduler.GroupZone, Window: 5 * time.Second, Worth: 1},
+			{Name: "file-read", LatencyObjective: 200 * time.Millisecond, Deadline: 1200 * time.Millisecond, DedupWindow: 5 * time.Second, PriorityWeight: 2},
+			{Name: "file-write", LatencyObjective: 300 * time.Millisecond, Deadline: 2 * time.Second, Idempotency: scheduler.IdempotencyKey,
+				DedupScope: scheduler.DedupShard, DedupWindow: 5 * time.Second, PriorityWeight: 2, Serialized: true},
+			{Name: "bulk-export", LatencyObjective: 1500 * time.Millisecond, Deadline: 5 * time.Second, Idempotency: scheduler.NonIdempotent,
+				DedupScope: scheduler.DedupZone, DedupWindow: 5 * time.Second, PriorityWeight: 1},
 		},
 		Plans: []scheduler.Plan{
-			{Name: "standard", Rate: 4.1, Reserve: 2, Weight: 1, Price: 0.8, Limit: 8, LimitBurst: 12},
-			{Name: "express", Rate: 12, Reserve: 14, Weight: 2, Price: 1.5},
+			{Name: "standard", ProvisionedRate: 4.1, Reservation: 2, Weight: 1, PriorityFactor: 0.8, Limit: 8, BurstCapacity: 12},
+			{Name: "express", ProvisionedRate: 12, Reservation: 14, Weight: 2, PriorityFactor: 1.5},
 		},
-		Rules: scheduler.Rules{ColdShare: 0.21, WarmWithin: 18 * time.Second, FallWithin: 3 * time.Second, FallMultiple: 4,
-			Settle: 400 * time.Millisecond, Budget: true, BudgetFree: 5, BudgetShare: 0.2, BudgetSpan: 10 * time.Second},
+		Rules: scheduler.Rules{SlowStartInitialCapacity: 0.21, SlowStartDuration: 18 * time.Second, SlowStartWindow: 3 * time.Second, SlowStartOverloadFactor: 4,
+			SettleTime: 400 * time.Millisecond, RetryBudget: true, RetryBudgetMinimum: 5, RetryBudgetRatio: 0.2, RetryBudgetWindow: 10 * time.Second},
 	}
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("read as %+v, %v\nwant %+v", got, err, want)
--- a/cmd/simadapter/wire_test.go
+++ b/cmd/simadapter/wire_test.go
@@ -135,12 +135,12 @@
 func TestLoadReport(t *testing.T) {
 	for _, c := range []struct {
 		in   string
-		want *scheduler.Load
+		want *scheduler.LoadReport
 	}{
 		{`null`, nil},
-		{`{}`, &scheduler.Load{Queue: -1, InFlight: -1}},
-		{`{"depth":3,"odd":9}`, &scheduler.Load{Queue: 3, InFlight: -1}},
-		{`{"concurrent":0.5,"load_share":1}`, &scheduler.Load{Queue: -1, InFlight: 0.5}},
+		{`{}`, &scheduler.LoadReport{QueueDepth: -1, InFlight: -1}},
+		{`{"depth":3,"odd":9}`, &scheduler.LoadReport{QueueDepth: 3, InFlight: -1}},
+		{`{"concurrent":0.5,"load_share":1}`, &scheduler.LoadReport{QueueDepth: -1, InFlight: 0.5}},
 	} {
 		var e event
 		in := `{"type":"result","rid":"r","leg":0,"target":"n","stateCode":"delivered","spentUs":5,"complete":true,"serverStats":` +
@@ -152,7 +152,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := ev.(scheduler.Outcome).Load; (got == nil) != (c.want == nil) || got != nil && *got != *c.want {
+		if got := ev.(scheduler.AttemptEnded).LoadReport; (got == nil) != (c.want == nil) || got != nil && *got != *c.want {
 			t.Errorf("%s: %+v, want %+v", c.in, got, c.want)
 		}
 	}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -76,57 +76,57 @@
 		return scheduler.Settings{}, Missing("options.peersTotal")
 	}
 	s := scheduler.Settings{
-		Initiators:   *o.PeersTotal,
-		Tick:         Us(o.TickUs),
-		MaxAttempts:  o.Limits.SendCap,
-		MeanUnits:    o.Extra.MeanUnits,
-		FairWorth:    o.Extra.FairWorth,
-		IdleWorth:    o.Extra.IdleWorth,
-		LargestUnits: o.Extra.Largest,
-		ColdUnits:    o.Extra.ColdBears,
-		Meter:        Us(o.Extra.MeteringUs),
-		AskForList:   o.RegistryMode == "on_request",
+		Initiators:        *o.PeersTotal,
+		Tick:              Us(o.TickUs),
+		MaxAttempts:       o.Limits.SendCap,
+		MeanUnits:         o.Extra.MeanUnits,
+		WithinShareFactor: o.Extra.FairWorth,
+		BeyondShareFactor: o.Extra.IdleWorth,
+		MaxUnits:          o.Extra.Largest,
+		SlowStartBudget:   o.Extra.ColdBears,
+		UsageReportPeriod: Us(o.Extra.MeteringUs),
+		PollEndpoints:     o.RegistryMode == "on_request",
 		Rules: scheduler.Rules{
-			ColdShare:    o.Rules.ColdShare,
-			WarmWithin:   Us(o.Rules.WarmWithinUs),
-			FallWithin:   Us(o.Rules.FallUs),
-			FallMultiple: o.Rules.TipMultiple,
-			Settle:       Us(o.Rules.SettleAfterDoubtUs),
-			BudgetFree:   o.Rules.ExtraFree,
-			BudgetSpan:   Us(o.Rules.ResendSpanUs),
+			SlowStartInitialCapacity: o.Rules.ColdShare,
+			SlowStartDuration:        Us(o.Rules.WarmWithinUs),
+			SlowStartWindow:          Us(o.Rules.FallUs),
+			SlowStartOverloadFactor:  o.Rules.TipMultiple,
+			SettleTime:               Us(o.Rules.SettleAfterDoubtUs),
+			RetryBudgetMinimum:       o.Rules.ExtraFree,
+			RetryBudgetWindow:        Us(o.Rules.ResendSpanUs),
 		},
 	}
 	if o.Rules.ResendRatio != nil {
-		s.Rules.Budget, s.Rules.BudgetShare = true, *o.Rules.ResendRatio
+		s.Rules.RetryBudget, s.Rules.RetryBudgetRatio = true, *o.Rules.ResendRatio
 	}
 	for i, c := range o.Classes {
-		k := scheduler.Class{Name: c.Name, Aim: Us(c.PromiseUs), Deadline: Us(c.DeadlineUs),
-			Window: Us(c.WindowUs), InOrder: c.Serial, Worth: c.Worth}
+		k := scheduler.Class{Name: c.Name, LatencyObjective: Us(c.PromiseUs), Deadline: Us(c.DeadlineUs),
+			DedupWindow: Us(c.WindowUs), Serialized: c.Serial, PriorityWeight: c.Worth}
 		switch c.Effect {
 		case "pure":
-			k.Effect = scheduler.Pure
+			k.Idempotency = scheduler.Idempotent
 		case "token":
-			k.Effect = scheduler.Keyed
+			k.Idempotency = scheduler.IdempotencyKey
 		case "side_effect":
-			k.Effect = scheduler.Unsafe
+			k.Idempotency = scheduler.NonIdempotent
 		default:
 			return s, fmt.Errorf("options.classes[%d].effect: unknown effect %q", i, c.Effect)
 		}
 		switch c.Group {
 		case "", "all":
-			k.Group = scheduler.GroupAll
+			k.DedupScope = scheduler.DedupEverywhere
 		case "zone":
-			k.Group = scheduler.GroupZone
+			k.DedupScope = scheduler.DedupZone
 		case "cell":
-			k.Group = scheduler.GroupCell
+			k.DedupScope = scheduler.DedupShard
 		default:
 			return s, fmt.Errorf("options.classes[%d].group: unknown group %q", i, c.Group)
 		}
 		s.Classes = append(s.Classes, k)
 	}
 	for _, p := range o.Contracts {
-		s.Plans = append(s.Plans, scheduler.Plan{Name: p.Name, Rate: p.UsualRate, Reserve: p.Reservation,
-			Weight: p.Parts, Price: p.Pays, Limit: p.CeilingRate, LimitBurst: p.LimitBurst})
+		s.Plans = append(s.Plans, scheduler.Plan{Name: p.Name, ProvisionedRate: p.UsualRate, Reservation: p.Reservation,
+			Weight: p.Parts, PriorityFactor: p.Pays, Limit: p.CeilingRate, BurstCapacity: p.LimitBurst})
 	}
 	return s, nil
 }
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -91,13 +91,13 @@
 // errList marks a list that makes no sense: what is held may not be what a change would follow.
 var errList = errors.New("not usable")
 
-var states = map[string]scheduler.NodeState{
-	"SERVING": scheduler.Up, "DRAINING": scheduler.Draining, "DELETED": scheduler.Removed,
+var states = map[string]scheduler.TargetState{
+	"SERVING": scheduler.Serving, "DRAINING": scheduler.Draining, "DELETED": scheduler.Removed,
 }
 
 // Node is the entry as the module knows it.
-func (e Entry) Node() scheduler.Node {
-	n := scheduler.Node{ID: e.ID, Zone: e.Zone, State: states[e.State],
+func (e Entry) Node() scheduler.Target {
+	n := scheduler.Target{ID: e.ID, Zone: e.Zone, State: states[e.State],
 		Started: time.Duration(e.Started) * time.Millisecond}
 	if e.Cell != nil {
 		n.Shard = *e.Cell
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -286,7 +286,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := scheduler.Node{ID: "a", Zone: "z", Shard: 3, Started: 7 * time.Millisecond}
+	want := scheduler.Target{ID: "a", Zone: "z", Shard: 3, Started: 7 * time.Millisecond}
 	if got := l.Servers[0].Node(); got != want {
 		t.Errorf("entry %+v, want %+v", got, want)
 	}
--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -60,7 +60,7 @@
 	out      bool
 	node     string
 	sentAt   time.Time
-	last     scheduler.Code
+	last     scheduler.AttemptStatus
 	answered bool
 	mayRun   bool
 }
@@ -100,7 +100,7 @@
 func (c *Core) Report(r Result) { c.box.Put(r) }
 
 // List hands over news of the targets.
-func (c *Core) List(l scheduler.NodeList) { c.box.Put(l) }
+func (c *Core) List(l scheduler.EndpointList) { c.box.Put(l) }
 
 // Leave has every request answered by then: the program ends.
 func (c *Core) Leave(at time.Time) { c.box.Put(leaving{at}) }
@@ -156,8 +156,8 @@
 		case leaving:
 			c.endAt = m.at
 			c.setTimer(m.at)
-			c.events = append(c.events, scheduler.Leaving{Within: m.at.Sub(now)})
-		case scheduler.NodeList:
+			c.events = append(c.events, scheduler.Shutdown{Within: m.at.Sub(now)})
+		case scheduler.EndpointList:
 			// Ahead of all else in the batch: no send is decided on a list older than the one at hand.
 			c.lists = append(c.lists, m)
 		}
@@ -185,7 +185,7 @@
 	c.seq++
 	j.ID = strconv.FormatUint(c.seq, 10)
 	// The client's time runs from the arrival, and the answer has to be out before it ends.
-	j.Budget = j.Patience - now.Sub(j.Arrived) - c.opt.Margin
+	j.Timeout = j.Patience - now.Sub(j.Arrived) - c.opt.Margin
 	c.trace("request taken", j, slog.String("class", j.Class), slog.Duration("patience", j.Patience),
 		slog.Duration("age", now.Sub(j.Arrived)))
 	c.open[j.ID] = &entry{job: j}
@@ -199,7 +199,7 @@
 		if e.out {
 			c.up.Cancel(e.node, j.ID) // no one is left to answer
 		}
-		c.events = append(c.events, scheduler.Departed{ID: j.ID})
+		c.events = append(c.events, scheduler.ClientClosed{RequestID: j.ID})
 		c.tidy(j.ID, e)
 	}
 }
@@ -210,14 +210,14 @@
 		return
 	}
 	e.out, e.last = false, r.Code
-	e.mayRun = e.mayRun || r.Code.MayRun()
+	e.mayRun = e.mayRun || r.Code.MayHaveExecuted()
 	c.trace("attempt ended", e.job, slog.Int("attempt", r.Number), slog.String("node", r.Node),
 		slog.String("reason", r.Code.String()), slog.Duration("took", now.Sub(e.sentAt)))
-	if r.Code == scheduler.Delivered {
+	if r.Code == scheduler.Succeeded {
 		c.answer(e, Answer{Ending: Served, Payload: r.Payload})
 	}
-	c.events = append(c.events, scheduler.Outcome{ID: r.Request, Attempt: r.Number, Node: r.Node, Code: r.Code,
-		Took: now.Sub(e.sentAt), Closed: e.answered, Load: r.Load, Used: r.Used})
+	c.events = append(c.events, scheduler.AttemptEnded{RequestID: r.Request, Attempt: r.Number, Target: r.Node, Status: r.Code,
+		Latency: now.Sub(e.sentAt), Answered: e.answered, LoadReport: r.Load, VolumeUsage: r.Used})
 	c.tidy(r.Request, e)
 	if now.Sub(c.ranAt) > namesFor {
 		c.ran[0], c.ran[1], c.ranAt = map[string]bool{}, c.ran[0], now
@@ -225,12 +225,12 @@
 }
 
 func (c *Core) act(now time.Time, a scheduler.Action) {
-	e := c.open[a.Request]
+	e := c.open[a.RequestID]
 	switch a.Kind {
 	case scheduler.SetTimer:
 		c.setTimer(now.Add(a.Wait))
 		return
-	case scheduler.Subscribe, scheduler.Log:
+	case scheduler.WatchEndpoints, scheduler.Log:
 		return // the list is always watched
 	}
 	if e == nil || e.answered || e.out {
@@ -238,21 +238,21 @@
 	}
 	switch a.Kind {
 	case scheduler.Send:
-		e.out, e.node, e.sentAt = true, a.Node, now
+		e.out, e.node, e.sentAt = true, a.Target, now
 		e.attempts++
-		t := Attempt{Request: a.Request, Name: e.job.Name, Number: e.attempts - 1, Node: a.Node, Until: now.Add(a.Wait),
+		t := Attempt{Request: a.RequestID, Name: e.job.Name, Number: e.attempts - 1, Node: a.Target, Until: now.Add(a.Wait),
 			Gone: e.job.Gone, Payload: e.job.Payload}
 		c.trace("attempt decided", e.job, slog.Int("attempt", t.Number), slog.String("node", t.Node), slog.Duration("wait", a.Wait))
-		if a.Begin > 0 {
-			t.Begin = now.Add(a.Begin)
+		if a.StartWithin > 0 {
+			t.Begin = now.Add(a.StartWithin)
 		}
 		c.up.Send(t)
-	case scheduler.Refuse:
+	case scheduler.Reject:
 		c.answer(e, Answer{Ending: Refused, RetryAfter: a.Wait})
-		c.tidy(a.Request, e)
+		c.tidy(a.RequestID, e)
 	case scheduler.Fail:
 		c.answer(e, Answer{Ending: Failed})
-		c.tidy(a.Request, e)
+		c.tidy(a.RequestID, e)
 	}
 }
 
--- a/internal/dispatcher/dispatcher_test.go
+++ b/internal/dispatcher/dispatcher_test.go
@@ -21,11 +21,11 @@
 
 func module(t *testing.T) *scheduler.Scheduler {
 	t.Helper()
-	m, err := scheduler.New(scheduler.Settings{Initiators: 1, Tick: time.Millisecond, MeanUnits: 1, LargestUnits: 1,
-		Classes: []scheduler.Class{{Name: "get", Aim: 400 * time.Millisecond, Deadline: 2 * time.Second, Worth: 1},
-			{Name: "put", Aim: 400 * time.Millisecond, Deadline: 2 * time.Second, Worth: 1, Effect: scheduler.Unsafe},
-			{Name: "keyed", Aim: 400 * time.Millisecond, Deadline: 2 * time.Second, Worth: 1, Effect: scheduler.Keyed, Window: time.Second}},
-		Plans: []scheduler.Plan{{Name: "std", Rate: 1000, Reserve: 1000, Weight: 1, Price: 1}}}, 1)
+	m, err := scheduler.New(scheduler.Settings{Initiators: 1, Tick: time.Millisecond, MeanUnits: 1, MaxUnits: 1,
+		Classes: []scheduler.Class{{Name: "get", LatencyObjective: 400 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 1},
+			{Name: "put", LatencyObjective: 400 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 1, Idempotency: scheduler.NonIdempotent},
+			{Name: "keyed", LatencyObjective: 400 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 1, Idempotency: scheduler.IdempotencyKey, DedupWindow: time.Second}},
+		Plans: []scheduler.Plan{{Name: "std", ProvisionedRate: 1000, Reservation: 1000, Weight: 1, PriorityFactor: 1}}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,7 +42,7 @@
 func newHand(t *testing.T) *hand {
 	h := &hand{up: &fake{}, now: time.Now()}
 	h.Core = New(module(t), h.up, NewClock(), Options{MostHeld: 100, Margin: 10 * time.Millisecond})
-	h.step(h.now, []any{scheduler.NodeList{Whole: true, Nodes: []scheduler.Node{{ID: "n"}}}})
+	h.step(h.now, []any{scheduler.EndpointList{Complete: true, Targets: []scheduler.Target{{ID: "n"}}}})
 	return h
 }
 
@@ -67,7 +67,7 @@
 	if len(h.up.sent) != 1 {
 		t.Fatalf("%d attempts, want 1", len(h.up.sent))
 	}
-	r := Result{Request: h.up.sent[0].Request, Node: "n", Code: scheduler.Delivered, Payload: "body"}
+	r := Result{Request: h.up.sent[0].Request, Node: "n", Code: scheduler.Succeeded, Payload: "body"}
 	wrong := r
 	wrong.Number = 3
 	h.step(h.now, []any{wrong, r, r})
@@ -114,17 +114,17 @@
 		h.now = h.now.Add(namesFor + time.Second)
 		submit("b", "put")
 		last := h.up.sent[len(h.up.sent)-1]
-		h.step(h.now, []any{Result{Request: last.Request, Number: last.Number, Node: "n", Code: scheduler.Moot}})
-		h.step(h.now, []any{scheduler.NodeList{Whole: true}})
+		h.step(h.now, []any{Result{Request: last.Request, Number: last.Number, Node: "n", Code: scheduler.NotSent}})
+		h.step(h.now, []any{scheduler.EndpointList{Complete: true}})
 		h.later(2 * time.Second)
 		if got := answers[len(answers)-1]; got.Ending != Refused {
 			t.Errorf("never sent: %+v, want it refused", got)
 		}
-		h.step(h.now, []any{scheduler.NodeList{Whole: true, Nodes: []scheduler.Node{{ID: "n"}}}})
+		h.step(h.now, []any{scheduler.EndpointList{Complete: true, Targets: []scheduler.Target{{ID: "n"}}}})
 	}
 	submit("c", "get")
 	last := h.up.sent[len(h.up.sent)-1]
-	h.step(h.now, []any{Result{Request: last.Request, Number: last.Number, Node: "n", Code: scheduler.Delivered}})
+	h.step(h.now, []any{Result{Request: last.Request, Number: last.Number, Node: "n", Code: scheduler.Succeeded}})
 	if n := len(h.named) + len(h.ran[0]) + len(h.ran[1]); n != 1 {
 		t.Errorf("%d names are kept, want the last alone", n)
 	}
@@ -145,7 +145,7 @@
 
 // TestUnsafeIsNotRepeated ends a write in doubt: one failure, no second attempt, no word that a repeat is harmless.
 func TestUnsafeIsNotRepeated(t *testing.T) {
-	for _, code := range []scheduler.Code{scheduler.Reset, scheduler.Expired, scheduler.Errored, scheduler.Cancelled} {
+	for _, code := range []scheduler.AttemptStatus{scheduler.ConnectionReset, scheduler.DeadlineExceeded, scheduler.Errored, scheduler.Cancelled} {
 		h := newHand(t)
 		var answers []Answer
 		h.step(h.now, []any{submitted{job("put", h.now, &answers)}})
@@ -164,9 +164,9 @@
 	var answers []Answer
 	msgs := func() []any {
 		return []any{submitted{job("get", h.now, &answers)}, Result{Request: "none"},
-			scheduler.NodeList{Nodes: []scheduler.Node{{ID: "n", State: scheduler.Draining}}}}
+			scheduler.EndpointList{Targets: []scheduler.Target{{ID: "n", State: scheduler.Draining}}}}
 	}
-	if _, first := h.gather(h.now, msgs())[0].(scheduler.NodeList); !first {
+	if _, first := h.gather(h.now, msgs())[0].(scheduler.EndpointList); !first {
 		t.Error("the notice came behind the request")
 	}
 	h.step(h.now, msgs())
@@ -213,7 +213,7 @@
 		if len(h.up.sent) != 2*i+1 || !h.up.sent[2*i].Begin.IsZero() {
 			t.Fatalf("%s: attempts %+v, want one that may begin at any time", class, h.up.sent)
 		}
-		h.step(h.now, []any{Result{Request: h.up.sent[2*i].Request, Node: "n", Code: scheduler.Reset}})
+		h.step(h.now, []any{Result{Request: h.up.sent[2*i].Request, Node: "n", Code: scheduler.ConnectionReset}})
 		h.later(300 * time.Millisecond)
 		if len(h.up.sent) != 2*i+2 {
 			t.Fatalf("%s: %d attempts, want a further one", class, len(h.up.sent))
@@ -221,7 +221,7 @@
 		if at, bound := h.up.sent[2*i+1].Begin, begun.Add(time.Second); class == "get" && !at.IsZero() || class == "keyed" && !at.Equal(bound) {
 			t.Errorf("%s: must begin by %v, of %v", class, at, bound)
 		}
-		h.step(h.now, []any{Result{Request: h.up.sent[2*i+1].Request, Number: 1, Node: "n", Code: scheduler.Delivered}})
+		h.step(h.now, []any{Result{Request: h.up.sent[2*i+1].Request, Number: 1, Node: "n", Code: scheduler.Succeeded}})
 	}
 }
 
@@ -229,7 +229,7 @@
 type echo struct{ core *Core }
 
 func (e *echo) Send(a Attempt) {
-	go e.core.Report(Result{Request: a.Request, Number: a.Number, Node: a.Node, Code: scheduler.Delivered})
+	go e.core.Report(Result{Request: a.Request, Number: a.Number, Node: a.Node, Code: scheduler.Succeeded})
 }
 func (e *echo) Cancel(string, string) {}
 
@@ -242,7 +242,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go c.Run(ctx)
-	c.List(scheduler.NodeList{Whole: true, Nodes: []scheduler.Node{{ID: "n"}}})
+	c.List(scheduler.EndpointList{Complete: true, Targets: []scheduler.Target{{ID: "n"}}})
 	var mu sync.Mutex
 	answers := map[string]int{}
 	var open, turned sync.WaitGroup
--- a/internal/dispatcher/messages.go
+++ b/internal/dispatcher/messages.go
@@ -29,9 +29,9 @@
 // Answer is the one final answer of a request.
 type Answer struct {
 	Ending     Ending
-	Payload    any            // of a served request: what the upstream brought
-	RetryAfter time.Duration  // of a refusal: when the client should come back; 0: no advice
-	Last       scheduler.Code // how the last attempt ended, if there was one
+	Payload    any                     // of a served request: what the upstream brought
+	RetryAfter time.Duration           // of a refusal: when the client should come back; 0: no advice
+	Last       scheduler.AttemptStatus // how the last attempt ended, if there was one
 }
 
 // TooMany refuses what a front cannot take in for want of room: nothing of it has reached the module.
@@ -65,8 +65,8 @@
 	Request string
 	Number  int
 	Node    string
-	Code    scheduler.Code
-	Load    *scheduler.Load
+	Code    scheduler.AttemptStatus
+	Load    *scheduler.LoadReport
 	Used    int
 	Payload any
 }
--- a/internal/nvme/command.go
+++ b/internal/nvme/command.go
@@ -95,19 +95,19 @@
 		}
 		return stNSNotReady
 	}
-	if a.Last == scheduler.Expired || a.Last == scheduler.Reset {
+	if a.Last == scheduler.DeadlineExceeded || a.Last == scheduler.ConnectionReset {
 		return stTransient | dnr
 	}
 	return stInternal | dnr
 }
 
 // outcomeOf maps a target's status. Only what says that the command was not begun proves it.
-func outcomeOf(s status) scheduler.Code {
+func outcomeOf(s status) scheduler.AttemptStatus {
 	switch {
 	case s == stOK:
-		return scheduler.Delivered
+		return scheduler.Succeeded
 	case s.code() == stNSNotReady && s&dnr == 0:
-		return scheduler.Full
+		return scheduler.Rejected
 	}
 	return scheduler.Errored
 }
--- a/internal/nvme/host.go
+++ b/internal/nvme/host.go
@@ -416,11 +416,11 @@
 	capsule := appendPDU(nil, s.framing, typeCmd, 0, c[:], data)
 	s.SetDeadline(a.Until)
 	if !first() {
-		r.Code = scheduler.Moot
+		r.Code = scheduler.NotSent
 		return r, false, "NOT_SENT"
 	}
 	if n, err := s.Write(capsule); n < len(capsule) {
-		r.Code = scheduler.NoConnection
+		r.Code = scheduler.ConnectFailed
 		return r, false, "WRITE_" + upstream.Cause(err)
 	}
 	written := !x.Write || inside
@@ -428,11 +428,11 @@
 	if err != nil {
 		switch {
 		case !written:
-			r.Code = scheduler.NoConnection
+			r.Code = scheduler.ConnectFailed
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			r.Code = scheduler.Expired
+			r.Code = scheduler.DeadlineExceeded
 		default:
-			r.Code = scheduler.Reset
+			r.Code = scheduler.ConnectionReset
 		}
 		if errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, net.ErrClosed) {
 			s.from.abort(s.qid, c.cid())
--- a/internal/nvme/nvme_test.go
+++ b/internal/nvme/nvme_test.go
@@ -120,11 +120,11 @@
 
 func newRig(t *testing.T, digests bool, aim time.Duration, targets ...string) *rig {
 	t.Helper()
-	module, err := scheduler.New(scheduler.Settings{Initiators: 1, Tick: time.Millisecond, MeanUnits: 1, LargestUnits: 8,
-		MaxAttempts: 3, Plans: []scheduler.Plan{{Name: "std", Rate: 1000, Reserve: 1000, Weight: 1, Price: 1}},
+	module, err := scheduler.New(scheduler.Settings{Initiators: 1, Tick: time.Millisecond, MeanUnits: 1, MaxUnits: 8,
+		MaxAttempts: 3, Plans: []scheduler.Plan{{Name: "std", ProvisionedRate: 1000, Reservation: 1000, Weight: 1, PriorityFactor: 1}},
 		Classes: []scheduler.Class{
-			{Name: "position-read", Aim: aim, Deadline: patient, Worth: 3},
-			{Name: "event-write", Aim: aim, Deadline: patient, Worth: 2, Effect: scheduler.Unsafe}}}, 1)
+			{Name: "position-read", LatencyObjective: aim, Deadline: patient, PriorityWeight: 3},
+			{Name: "event-write", LatencyObjective: aim, Deadline: patient, PriorityWeight: 2, Idempotency: scheduler.NonIdempotent}}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -137,16 +137,16 @@
 	t.Cleanup(stop)
 	go r.core.Run(ctx)
 	for i, addr := range targets {
-		r.list(fmt.Sprint("t", i), addr, scheduler.Up)
+		r.list(fmt.Sprint("t", i), addr, scheduler.Serving)
 	}
 	r.server, r.addr = newServer(t, r.core, poolNQN)
 	return r
 }
 
 // list tells of one target, as the list's actor does: the registry first.
-func (r *rig) list(id, addr string, state scheduler.NodeState) {
+func (r *rig) list(id, addr string, state scheduler.TargetState) {
 	r.up.Apply([]upstream.Target{{ID: id, Addr: addr, State: state}}, false)
-	r.core.List(scheduler.NodeList{Nodes: []scheduler.Node{{ID: id, State: state}}})
+	r.core.List(scheduler.EndpointList{Targets: []scheduler.Target{{ID: id, State: state}}})
 }
 
 // client is the stand-in host: an admin queue and one I/O queue of some depth, spoken to by hand.
@@ -300,11 +300,11 @@
 		always := func() bool { return true }
 		until := time.Now().Add(patient)
 		got, _, reason := queue.Do(dispatcher.Attempt{Until: until, Payload: &IO{Write: true, NSID: 1, SLBA: 100, Blocks: 200, Bytes: len(large), Data: large}}, always)
-		if got.Code != scheduler.Delivered {
+		if got.Code != scheduler.Succeeded {
 			t.Fatalf("large write: %+v, %s", got, reason)
 		}
 		got, _, reason = queue.Do(dispatcher.Attempt{Until: until, Payload: &IO{NSID: 1, SLBA: 100, Blocks: 200, Bytes: len(large)}}, always)
-		if body, _ := got.Payload.([]byte); got.Code != scheduler.Delivered || !bytes.Equal(body, large) {
+		if body, _ := got.Payload.([]byte); got.Code != scheduler.Succeeded || !bytes.Equal(body, large) {
 			t.Fatalf("large read: %v, %d bytes, %s", got.Code, len(body), reason)
 		}
 	}
@@ -350,7 +350,7 @@
 	first := c.write(1, "event")
 	<-stuck.came
 	r.list("t0", a, scheduler.Draining)
-	r.list("t1", b, scheduler.Up)
+	r.list("t1", b, scheduler.Serving)
 	second := c.write(2, "later")
 	third := c.read(3, 1)
 	ends := map[uint16]status{}
@@ -397,7 +397,7 @@
 	r, reuse, _ := queue.Do(dispatcher.Attempt{Until: time.Now().Add(patient), Payload: &IO{NSID: 1, Blocks: 1, Bytes: blockSize}},
 		func() bool { return false })
 	queue.Close()
-	if n := <-bytesSent; r.Code != scheduler.Moot || reuse || n != 0 {
+	if n := <-bytesSent; r.Code != scheduler.NotSent || reuse || n != 0 {
 		t.Errorf("code %v, kept %v, %d bytes sent; want it not sent", r.Code, reuse, n)
 	}
 }
@@ -449,7 +449,7 @@
 		{"refused", dispatcher.Answer{Ending: dispatcher.Refused, RetryAfter: 200 * time.Millisecond}, false, stNSNotReady},
 		{"refused, told how long", dispatcher.Answer{Ending: dispatcher.Refused, RetryAfter: 200 * time.Millisecond}, true, stNSNotReady.withDelay(2)},
 		{"refused for longer than can be told", dispatcher.Answer{Ending: dispatcher.Refused, RetryAfter: time.Minute}, true, stNSNotReady.withDelay(3)},
-		{"timed out", dispatcher.Answer{Ending: dispatcher.Failed, Last: scheduler.Expired}, true, stTransient | dnr},
+		{"timed out", dispatcher.Answer{Ending: dispatcher.Failed, Last: scheduler.DeadlineExceeded}, true, stTransient | dnr},
 		{"error", dispatcher.Answer{Ending: dispatcher.Failed, Last: scheduler.Errored}, true, stInternal | dnr},
 	} {
 		if got := statusOf(c.answer, c.delays); got != c.want {
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -27,7 +27,7 @@
 // attempt carries one attempt through connect and exchange and reports its outcome. Where it ends early, the
 // connection is closed first: one attempt out at a time.
 func (t *target) attempt(y *try, c *conn) {
-	r := dispatcher.Result{Code: scheduler.NoConnection}
+	r := dispatcher.Result{Code: scheduler.ConnectFailed}
 	var again *conn
 	reason, used := "CONNECT_FAILED", 0
 	if c != nil {
@@ -45,8 +45,8 @@
 	if again == nil {
 		t.logEnd(used, reason, y.Name)
 	}
-	if r.Code == scheduler.NoConnection && y.calledOff() {
-		r.Code = scheduler.Moot // its client left: that tells nothing of the target
+	if r.Code == scheduler.ConnectFailed && y.calledOff() {
+		r.Code = scheduler.NotSent // its client left: that tells nothing of the target
 	}
 	r.Request, r.Number, r.Node = y.Request, y.Number, t.id
 	// The pool hears first, so that a send decided on this outcome finds the connection.
@@ -115,7 +115,7 @@
 // exchange has the attempt carried out on c, and returns c if it can be used again.
 func (t *target) exchange(y *try, c *conn, r *dispatcher.Result) (*conn, string) {
 	if !y.hold(c.Session) || y.clientGone() {
-		r.Code = scheduler.Moot
+		r.Code = scheduler.NotSent
 		return c, ""
 	}
 	c.used++
@@ -126,7 +126,7 @@
 	*r, reuse, reason = c.Do(y.Attempt, func() bool { return t.mayBegin(y, c) })
 	if y.calledOff() {
 		switch r.Code {
-		case scheduler.Delivered, scheduler.Moot, scheduler.NoConnection:
+		case scheduler.Succeeded, scheduler.NotSent, scheduler.ConnectFailed:
 		default:
 			r.Code, reason = scheduler.Cancelled, "CANCELLED"
 		}
--- a/internal/upstream/calledoff_test.go
+++ b/internal/upstream/calledoff_test.go
@@ -29,7 +29,7 @@
 	g.Cancel("n", "r")
 	select {
 	case r := <-results:
-		if r.Code != scheduler.Moot {
+		if r.Code != scheduler.NotSent {
 			t.Errorf("code %v, want it not sent", r.Code)
 		}
 	case <-time.After(20 * time.Second):
--- a/internal/upstream/http.go
+++ b/internal/upstream/http.go
@@ -98,11 +98,11 @@
 	whole := append(appendHead(make([]byte, 0, 256+len(m.Body)), m, c.host, wait), m.Body...)
 	// The last look before the first byte: news may have come while the connection was being made.
 	if !first() {
-		r.Code = scheduler.Moot
+		r.Code = scheduler.NotSent
 		return r, false, "NOT_SENT"
 	}
 	if n, err := c.Write(whole); n < len(whole) {
-		r.Code = scheduler.NoConnection
+		r.Code = scheduler.ConnectFailed
 		return r, false, "WRITE_" + Cause(err)
 	}
 	parts := &stallReader{Conn: c.Conn, until: a.Until}
@@ -123,12 +123,12 @@
 		return err
 	})
 	if err != nil {
-		r.Code = scheduler.Reset
+		r.Code = scheduler.ConnectionReset
 		switch late := errors.Is(err, os.ErrDeadlineExceeded); {
 		case late && parts.begun && time.Now().Before(a.Until):
 			return r, false, "READ_STALLED"
 		case late:
-			r.Code = scheduler.Expired
+			r.Code = scheduler.DeadlineExceeded
 		case limit.N <= 0:
 			return r, false, "ANSWER_TOO_LARGE"
 		}
@@ -168,7 +168,7 @@
 type answer struct {
 	status int
 	notRun bool
-	load   *scheduler.Load
+	load   *scheduler.LoadReport
 	used   int
 	body   []byte
 	close  bool
@@ -176,12 +176,12 @@
 
 // code is the outcome. The target's word that it never began counts only with the two statuses that go
 // with it: anything else may have run.
-func (a *answer) code() scheduler.Code {
+func (a *answer) code() scheduler.AttemptStatus {
 	switch {
 	case a.status == http.StatusOK:
-		return scheduler.Delivered
+		return scheduler.Succeeded
 	case a.notRun && (a.status == http.StatusServiceUnavailable || a.status == http.StatusGatewayTimeout):
-		return scheduler.Full
+		return scheduler.Rejected
 	}
 	return scheduler.Errored
 }
@@ -246,11 +246,11 @@
 const mostLoad = 1e5
 
 // parseLoad reads a load report such as inflight=7,queue=2; nil where there is none that can be read.
-func parseLoad(s string) *scheduler.Load {
+func parseLoad(s string) *scheduler.LoadReport {
 	if s == "" {
 		return nil
 	}
-	l := &scheduler.Load{Queue: -1, InFlight: -1}
+	l := &scheduler.LoadReport{QueueDepth: -1, InFlight: -1}
 	for field := range strings.SplitSeq(s, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		x, err := strconv.ParseFloat(value, 64)
@@ -259,12 +259,12 @@
 		}
 		switch name {
 		case "queue":
-			l.Queue = x
+			l.QueueDepth = x
 		case "inflight":
 			l.InFlight = x
 		}
 	}
-	if l.Queue < 0 && l.InFlight < 0 {
+	if l.QueueDepth < 0 && l.InFlight < 0 {
 		return nil
 	}
 	return l
--- a/internal/upstream/registry.go
+++ b/internal/upstream/registry.go
@@ -15,7 +15,7 @@
 type Target struct {
 	ID    string
 	Addr  string
-	State scheduler.NodeState
+	State scheduler.TargetState
 }
 
 // Options are the bounds of every connection.
@@ -90,7 +90,7 @@
 	g.mu.Unlock()
 	if t == nil {
 		// Not sent: the target left the list between the decision and now.
-		g.report(dispatcher.Result{Request: a.Request, Number: a.Number, Node: a.Node, Code: scheduler.Moot})
+		g.report(dispatcher.Result{Request: a.Request, Number: a.Number, Node: a.Node, Code: scheduler.NotSent})
 	}
 }
 
@@ -109,4 +109,4 @@
 }
 
 // open tells whether something new may still go to the target.
-func open(state *atomic.Int32) bool { return state.Load() == int32(scheduler.Up) }
+func open(state *atomic.Int32) bool { return state.Load() == int32(scheduler.Serving) }
--- a/internal/upstream/samples_test.go
+++ b/internal/upstream/samples_test.go
@@ -29,17 +29,17 @@
 func TestAnswerSamples(t *testing.T) {
 	for _, c := range []struct {
 		in   string
-		code scheduler.Code
-		load scheduler.Load
+		code scheduler.AttemptStatus
+		load scheduler.LoadReport
 		used int
 		body string
 	}{
 		{"HTTP/1.1 200 OK\r\nServer-Load: inflight=7,queue=2,util=0.61\r\nVolume-Load: 86\r\nContent-Length: 4\r\n\r\ndata",
-			scheduler.Delivered, scheduler.Load{Queue: 2, InFlight: 7}, 87, "data"},
-		{"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n", scheduler.Errored, scheduler.Load{}, 0, ""},
-		{"HTTP/1.1 503 Service Unavailable\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", scheduler.Full, scheduler.Load{}, 0, ""},
-		{"HTTP/1.1 504 Gateway Timeout\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", scheduler.Full, scheduler.Load{}, 0, ""},
-		{"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n", scheduler.Errored, scheduler.Load{}, 0, ""},
+			scheduler.Succeeded, scheduler.LoadReport{QueueDepth: 2, InFlight: 7}, 87, "data"},
+		{"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n", scheduler.Errored, scheduler.LoadReport{}, 0, ""},
+		{"HTTP/1.1 503 Service Unavailable\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", scheduler.Rejected, scheduler.LoadReport{}, 0, ""},
+		{"HTTP/1.1 504 Gateway Timeout\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", scheduler.Rejected, scheduler.LoadReport{}, 0, ""},
+		{"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n", scheduler.Errored, scheduler.LoadReport{}, 0, ""},
 	} {
 		var room atomic.Int64
 		room.Store(2 * maxAnswer)
@@ -48,7 +48,7 @@
 			t.Errorf("%q: %v", c.in, err)
 			continue
 		}
-		var load scheduler.Load
+		var load scheduler.LoadReport
 		if a.load != nil {
 			load = *a.load
 		}
--- a/internal/upstream/target.go
+++ b/internal/upstream/target.go
@@ -48,11 +48,11 @@
 }
 
 // set takes over what the list says; at once for attempts about to write, in turn for the pool.
-func (t *target) set(addr string, state scheduler.NodeState) {
+func (t *target) set(addr string, state scheduler.TargetState) {
 	if addr != "" {
 		t.addr.Store(&addr)
 	}
-	if before := scheduler.NodeState(t.state.Swap(int32(state))); before != state {
+	if before := scheduler.TargetState(t.state.Swap(int32(state))); before != state {
 		t.opt.Log.LogAttrs(context.Background(), slog.LevelDebug, "target changed", slog.String("peer", t.id),
 			slog.String("from", before.String()), slog.String("to", state.String()))
 	}
@@ -100,13 +100,13 @@
 func (t *target) start(a dispatcher.Attempt) {
 	r := dispatcher.Result{Request: a.Request, Number: a.Number, Node: t.id}
 	if !open(&t.state) {
-		r.Code = scheduler.Moot
+		r.Code = scheduler.NotSent
 		t.report(r)
 		return
 	}
 	c, found := t.choose()
 	if !found {
-		r.Code = scheduler.NoConnection
+		r.Code = scheduler.ConnectFailed
 		t.report(r)
 		return
 	}
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -117,7 +117,7 @@
 // the look at the idle connection fail, and nearly every request paid for a handshake.
 func TestConnectionOutlivesAttempt(t *testing.T) {
 	tg := newTarget("n", Options{Log: slog.New(slog.DiscardHandler)}, nil, func(dispatcher.Result) {})
-	tg.set("a:1", scheduler.Up)
+	tg.set("a:1", scheduler.Serving)
 	near, far := net.Pipe()
 	go func() {
 		http.ReadRequest(bufio.NewReader(far))
@@ -136,15 +136,15 @@
 func TestOutcomes(t *testing.T) {
 	for _, c := range []struct {
 		name, head string
-		want       scheduler.Code
+		want       scheduler.AttemptStatus
 	}{
-		{"served", "200 OK", scheduler.Delivered},
+		{"served", "200 OK", scheduler.Succeeded},
 		{"error", "500 Internal Server Error", scheduler.Errored},
 		{"error that claims not to have run", "500 Internal Server Error\r\nNot-Started: 1", scheduler.Errored},
-		{"turned away", "503 Service Unavailable\r\nNot-Started: 1", scheduler.Full},
-		{"over already", "504 Gateway Timeout\r\nNot-Started: 1", scheduler.Full},
+		{"turned away", "503 Service Unavailable\r\nNot-Started: 1", scheduler.Rejected},
+		{"over already", "504 Gateway Timeout\r\nNot-Started: 1", scheduler.Rejected},
 		{"unavailable, no word", "503 Service Unavailable", scheduler.Errored},
-		{"broken off", "", scheduler.Reset},
+		{"broken off", "", scheduler.ConnectionReset},
 	} {
 		s := newStandIn(t, func(_ int32, _ *http.Request, conn net.Conn) bool {
 			return c.head != "" && say(conn, c.head, "")
@@ -160,11 +160,11 @@
 // TestSpoiltAnswers has targets answer what cannot be used: it may have run, nothing of it is served, the connection is
 // not used again, and what stops midway is not waited for. What is only more than was due costs the connection alone.
 func TestSpoiltAnswers(t *testing.T) {
-	const ok, spoilt = scheduler.Delivered, scheduler.Reset
+	const ok, spoilt = scheduler.Succeeded, scheduler.ConnectionReset
 	good := "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx"
 	for _, c := range []struct {
 		name, says string
-		want       scheduler.Code
+		want       scheduler.AttemptStatus
 		conns      int32 // for two attempts
 	}{
 		{"whole", good, ok, 1},
@@ -218,14 +218,14 @@
 	for _, c := range []struct {
 		name  string
 		end   func(*net.TCPConn) bool // whether the connection goes on
-		want  scheduler.Code
+		want  scheduler.AttemptStatus
 		close string
 	}{
-		{"ended", func(c *net.TCPConn) bool { return false }, scheduler.Delivered, ""},
-		{"ended as announced", func(c *net.TCPConn) bool { return false }, scheduler.Delivered, "Connection: close\r\n"},
-		{"half closed", func(c *net.TCPConn) bool { c.CloseWrite(); return true }, scheduler.Delivered, ""},
-		{"reset", func(c *net.TCPConn) bool { c.SetLinger(0); return false }, scheduler.Reset, ""},
-		{"stalled", func(c *net.TCPConn) bool { return true }, scheduler.Reset, ""},
+		{"ended", func(c *net.TCPConn) bool { return false }, scheduler.Succeeded, ""},
+		{"ended as announced", func(c *net.TCPConn) bool { return false }, scheduler.Succeeded, "Connection: close\r\n"},
+		{"half closed", func(c *net.TCPConn) bool { c.CloseWrite(); return true }, scheduler.Succeeded, ""},
+		{"reset", func(c *net.TCPConn) bool { c.SetLinger(0); return false }, scheduler.ConnectionReset, ""},
+		{"stalled", func(c *net.TCPConn) bool { return true }, scheduler.ConnectionReset, ""},
 	} {
 		s := newStandIn(t, func(_ int32, _ *http.Request, conn net.Conn) bool {
 			io.WriteString(conn, "HTTP/1.1 200 OK\r\n"+c.close+"\r\nwhole")
@@ -235,7 +235,7 @@
 		for range 2 {
 			b.send(10 * time.Second)
 			r := b.result(t)
-			if body, _ := r.Payload.([]byte); r.Code != c.want || r.Code == scheduler.Delivered && string(body) != "whole" {
+			if body, _ := r.Payload.([]byte); r.Code != c.want || r.Code == scheduler.Succeeded && string(body) != "whole" {
 				t.Errorf("%s: code %v, body %q, want code %v", c.name, r.Code, body, c.want)
 			}
 		}
@@ -268,12 +268,12 @@
 			Payload: &Message{Method: "GET", URI: "/r/1", ID: "id"}})
 	}
 	send("1")
-	if r := b.result(t); r.Code != scheduler.Delivered || string(r.Payload.([]byte)) != body {
+	if r := b.result(t); r.Code != scheduler.Succeeded || string(r.Payload.([]byte)) != body {
 		t.Errorf("a large answer in pieces: code %v", r.Code)
 	}
 	send("2")
 	send("3")
-	if one, two := b.result(t), b.result(t); one.Code != scheduler.Reset || two.Code != scheduler.Delivered {
+	if one, two := b.result(t), b.result(t); one.Code != scheduler.ConnectionReset || two.Code != scheduler.Succeeded {
 		t.Errorf("two at a time, with room for one: codes %v and %v", one.Code, two.Code)
 	}
 	if left := wire.room.Load(); left != 500<<10 {
@@ -297,7 +297,7 @@
 	<-closed
 	time.Sleep(20 * time.Millisecond)
 	b.send(10 * time.Second)
-	if r := b.result(t); r.Code != scheduler.Delivered || s.asked.Load() != 2 {
+	if r := b.result(t); r.Code != scheduler.Succeeded || s.asked.Load() != 2 {
 		t.Errorf("code %v after %d requests, want it served by the second", r.Code, s.asked.Load())
 	}
 }
@@ -313,7 +313,7 @@
 			return false
 		})
 		b := newBench(s.Addr().String())
-		want := scheduler.Expired
+		want := scheduler.DeadlineExceeded
 		if way != "time-out" {
 			want = scheduler.Cancelled
 			b.send(time.Minute)
@@ -355,7 +355,7 @@
 	b.result(t)
 	b.Apply([]Target{{ID: "n", Addr: s.Addr().String(), State: scheduler.Draining}}, false)
 	b.send(10 * time.Second)
-	if r := b.result(t); r.Code != scheduler.Moot || s.asked.Load() != 1 {
+	if r := b.result(t); r.Code != scheduler.NotSent || s.asked.Load() != 1 {
 		t.Errorf("draining: code %v, %d requests reached the target; want none after the first", r.Code, s.asked.Load())
 	}
 	// The same at the last look, with the connection in hand.
@@ -365,7 +365,7 @@
 	defer far.Close()
 	var r dispatcher.Result
 	y := &try{ctx: t.Context(), Attempt: dispatcher.Attempt{Until: time.Now().Add(time.Minute), Payload: &Message{Method: "GET", URI: "/"}}}
-	if again, _ := tg.exchange(y, &conn{Session: &httpSession{near, "", NewHTTP(0).room}}, &r); again != nil || r.Code != scheduler.Moot {
+	if again, _ := tg.exchange(y, &conn{Session: &httpSession{near, "", NewHTTP(0).room}}, &r); again != nil || r.Code != scheduler.NotSent {
 		t.Errorf("first byte: code %v, want it not sent", r.Code)
 	}
 }
@@ -390,7 +390,7 @@
 	b := newBench(s.Addr().String())
 	for _, want := range []string{"first", "second"} {
 		b.send(10 * time.Second)
-		if r := b.result(t); r.Code != scheduler.Delivered || string(r.Payload.([]byte)) != want {
+		if r := b.result(t); r.Code != scheduler.Succeeded || string(r.Payload.([]byte)) != want {
 			t.Errorf("code %v, answer %q, want %q", r.Code, r.Payload, want)
 		}
 	}
@@ -414,10 +414,10 @@
 			Payload: &Message{Method: "GET", URI: "/r/1", ID: "id"}})
 		return b.result(t)
 	}
-	if r := send(time.Now()); r.Code != scheduler.Moot || s.asked.Load() != 0 {
+	if r := send(time.Now()); r.Code != scheduler.NotSent || s.asked.Load() != 0 {
 		t.Errorf("too late: code %v, %d requests reached the target", r.Code, s.asked.Load())
 	}
-	if r := send(time.Now().Add(time.Minute)); r.Code != scheduler.Delivered {
+	if r := send(time.Now().Add(time.Minute)); r.Code != scheduler.Succeeded {
 		t.Errorf("in time: code %v", r.Code)
 	}
 }
@@ -443,7 +443,7 @@
 type served struct{}
 
 func (served) Do(dispatcher.Attempt, func() bool) (dispatcher.Result, bool, string) {
-	return dispatcher.Result{Code: scheduler.Delivered}, true, ""
+	return dispatcher.Result{Code: scheduler.Succeeded}, true, ""
 }
 func (served) Alive() bool  { return true }
 func (served) Close() error { return nil }
@@ -458,7 +458,7 @@
 	b.Apply([]Target{{ID: "n", Addr: "a:1"}}, true)
 	for i := range 2 {
 		b.send(10 * time.Second)
-		if r := b.result(t); r.Code != scheduler.NoConnection {
+		if r := b.result(t); r.Code != scheduler.ConnectFailed {
 			t.Fatalf("attempt %d: code %v, want no connection", i, r.Code)
 		}
 	}
@@ -473,7 +473,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	b.send(10 * time.Second)
-	if r := b.result(t); r.Code != scheduler.Delivered || w.asked.Load() != 2 {
+	if r := b.result(t); r.Code != scheduler.Succeeded || w.asked.Load() != 2 {
 		t.Errorf("on the connection that came late: code %v, %d dials", r.Code, w.asked.Load())
 	}
 	b.Apply([]Target{{ID: "m", Addr: "a:2"}}, true)
@@ -497,7 +497,7 @@
 	b.send(time.Minute)
 	<-w.came
 	b.Cancel("n", "1")
-	if r := b.result(t); r.Code != scheduler.Moot || r.Request != "1" {
+	if r := b.result(t); r.Code != scheduler.NotSent || r.Request != "1" {
 		t.Errorf("code %v of request %s, want it not sent", r.Code, r.Request)
 	}
 	close(w.held)
@@ -508,7 +508,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	b.send(time.Minute)
-	if r := b.result(t); r.Code != scheduler.Delivered || s.asked.Load() != 1 || s.accepted.Load() != 1 {
+	if r := b.result(t); r.Code != scheduler.Succeeded || s.asked.Load() != 1 || s.accepted.Load() != 1 {
 		t.Errorf("afterwards: code %v, %d requests on %d connections, want one on one", r.Code, s.asked.Load(), s.accepted.Load())
 	}
 }
@@ -538,13 +538,13 @@
 			Payload: &Message{Method: "GET", URI: "/r/1", ID: "id"}})
 	}
 	for range 4 { // the fifth at n, and all past two at m
-		if r := b.result(t); r.Code != scheduler.NoConnection {
+		if r := b.result(t); r.Code != scheduler.ConnectFailed {
 			t.Errorf("past the bounds: code %v, want no connection", r.Code)
 		}
 	}
 	close(wait)
 	for range 6 {
-		if r := b.result(t); r.Code != scheduler.Delivered {
+		if r := b.result(t); r.Code != scheduler.Succeeded {
 			t.Errorf("within the bounds: code %v, want it served", r.Code)
 		}
 	}
@@ -553,13 +553,13 @@
 // TestPartWritten checks that an attempt which ends short of its last byte cannot have run.
 func TestPartWritten(t *testing.T) {
 	tg := newTarget("n", Options{Log: slog.New(slog.DiscardHandler)}, nil, func(dispatcher.Result) {})
-	tg.set("a:1", scheduler.Up)
+	tg.set("a:1", scheduler.Serving)
 	near, far := net.Pipe()
 	go func() { io.ReadFull(far, make([]byte, 20)); far.Close() }()
 	var r dispatcher.Result
 	y := &try{Attempt: dispatcher.Attempt{Until: time.Now().Add(time.Minute), Payload: &Message{Method: "PUT", URI: "/",
 		Body: make([]byte, 1000)}}}
-	if again, _ := tg.exchange(y, &conn{Session: &httpSession{near, "", NewHTTP(0).room}}, &r); again != nil || r.Code != scheduler.NoConnection {
+	if again, _ := tg.exchange(y, &conn{Session: &httpSession{near, "", NewHTTP(0).room}}, &r); again != nil || r.Code != scheduler.ConnectFailed {
 		t.Errorf("code %v, want no connection", r.Code)
 	}
 }
--- a/scheduler/api.go
+++ b/scheduler/api.go
@@ -10,91 +10,91 @@
 )
 
 // Effect says what a class allows to happen twice.
-type Effect int
+type Idempotency int
 
 const (
 	// Pure requests may be repeated and refused freely.
-	Pure Effect = iota
+	Idempotent Idempotency = iota
 	// Keyed requests may be repeated only among nodes that drop the repeat.
-	Keyed
+	IdempotencyKey
 	// Unsafe requests may be repeated only when no earlier attempt can have run.
-	Unsafe
+	NonIdempotent
 )
 
 // Group says which nodes drop repeats of a keyed request.
-type Group int
+type DedupScope int
 
 const (
 	// GroupAll is every node.
-	GroupAll Group = iota
+	DedupEverywhere DedupScope = iota
 	// GroupZone is the nodes of one zone.
-	GroupZone
+	DedupZone
 	// GroupCell is the nodes that hold one shard.
-	GroupCell
+	DedupShard
 )
 
 // Class is one request class.
 type Class struct {
-	Name     string
-	Aim      time.Duration // an answer by then earns the full worth
-	Deadline time.Duration // the client's whole patience, over all its tries
-	Effect   Effect
-	Group    Group         // for Keyed
-	Window   time.Duration // for Keyed: how long repeats are remembered
-	Worth    float64       // of a mean request answered within the aim
-	InOrder  bool          // requests with one extent run one at a time, as taken
+	Name             string
+	LatencyObjective time.Duration // an answer by then earns the full worth
+	Deadline         time.Duration // the client's whole patience, over all its tries
+	Idempotency      Idempotency
+	DedupScope       DedupScope    // for Keyed
+	DedupWindow      time.Duration // for Keyed: how long repeats are remembered
+	PriorityWeight   float64       // of a mean request answered within the aim
+	Serialized       bool          // requests with one extent run one at a time, as taken
 }
 
 // Plan is what each volume on it is owed, over all initiators and nodes.
 type Plan struct {
-	Name       string
-	Rate       float64 // units a second that such a volume is sized for
-	Reserve    float64 // units a second that earn their full worth; 0: none
-	Weight     float64 // part of what a shard can do beyond the reserves
-	Price      float64 // factor on the worth
-	Limit      float64 // units a second at most; 0: no limit
-	LimitBurst float64 // units that the limit's store holds
+	Name            string
+	ProvisionedRate float64 // units a second that such a volume is sized for
+	Reservation     float64 // units a second that earn their full worth; 0: none
+	Weight          float64 // part of what a shard can do beyond the reserves
+	PriorityFactor  float64 // factor on the worth
+	Limit           float64 // units a second at most; 0: no limit
+	BurstCapacity   float64 // units that the limit's store holds
 }
 
 // Rules holds the figures of the rules. A zero asks nothing, except for Drain.
 type Rules struct {
-	ColdShare    float64       // a node starts at this part of its capacity or more
-	WarmWithin   time.Duration // and is warm after this
-	FallWithin   time.Duration // the span over which work to a cold node is counted
-	FallMultiple float64       // times its capacity that a cold node bears for that long
-	Settle       time.Duration // rest of an ordered extent after a doubtful outcome
-	Budget       bool          // whether further attempts are rationed
-	BudgetFree   float64
-	BudgetShare  float64
-	BudgetSpan   time.Duration
+	SlowStartInitialCapacity float64       // a node starts at this part of its capacity or more
+	SlowStartDuration        time.Duration // and is warm after this
+	SlowStartWindow          time.Duration // the span over which work to a cold node is counted
+	SlowStartOverloadFactor  float64       // times its capacity that a cold node bears for that long
+	SettleTime               time.Duration // rest of an ordered extent after a doubtful outcome
+	RetryBudget              bool          // whether further attempts are rationed
+	RetryBudgetMinimum       float64
+	RetryBudgetRatio         float64
+	RetryBudgetWindow        time.Duration
 }
 
 // Settings is what an initiator is told at its start.
 type Settings struct {
-	Initiators   int           // how many share the pool
-	Tick         time.Duration // least time between two steps
-	Classes      []Class
-	Plans        []Plan
-	Rules        Rules
-	MaxAttempts  int           // for one request; 0: no bound
-	MeanUnits    float64       // mean size of a request
-	LargestUnits float64       // size of the largest request
-	ColdUnits    float64       // units within FallWithin that a cold node bears from all initiators
-	FairWorth    float64       // part of the worth that units beyond the reserve earn inside the share
-	IdleWorth    float64       // part of the worth that units beyond the share earn
-	Meter        time.Duration // period of the use meter; 0: none
-	AskForList   bool          // the node list must be subscribed to
+	Initiators        int           // how many share the pool
+	Tick              time.Duration // least time between two steps
+	Classes           []Class
+	Plans             []Plan
+	Rules             Rules
+	MaxAttempts       int           // for one request; 0: no bound
+	MeanUnits         float64       // mean size of a request
+	MaxUnits          float64       // size of the largest request
+	SlowStartBudget   float64       // units within FallWithin that a cold node bears from all initiators
+	WithinShareFactor float64       // part of the worth that units beyond the reserve earn inside the share
+	BeyondShareFactor float64       // part of the worth that units beyond the share earn
+	UsageReportPeriod time.Duration // period of the use meter; 0: none
+	PollEndpoints     bool          // the node list must be subscribed to
 }
 
 // Event is one of the event types below.
 type Event interface{ event() }
 
 // NodeState is what the list says of a node.
-type NodeState int
+type TargetState int
 
 const (
 	// Up nodes take requests.
-	Up NodeState = iota
+	Serving TargetState = iota
 	// Draining nodes finish what they have.
 	Draining
 	// Removed nodes are gone.
@@ -102,25 +102,25 @@
 )
 
 // stateNames are the states as logs tell them.
-var stateNames = [...]string{Up: "UP", Draining: "DRAINING", Removed: "REMOVED"}
+var targetStateNames = [...]string{Serving: "SERVING", Draining: "DRAINING", Removed: "REMOVED"}
 
 // String returns the state's name.
-func (s NodeState) String() string { return stateNames[s] }
+func (s TargetState) String() string { return targetStateNames[s] }
 
 // Node is an entry of the node list.
-type Node struct {
+type Target struct {
 	ID      string
 	Zone    string
 	Shard   int
-	State   NodeState
+	State   TargetState
 	Started time.Duration // clock time of its last start; 0: long ago
 }
 
 // NodeList reports the list, or what changed in it.
-type NodeList struct {
-	Whole  bool // a node that is absent is gone
-	Broken bool // the call for it failed; nothing changed
-	Nodes  []Node
+type EndpointList struct {
+	Complete bool // a node that is absent is gone
+	Failed   bool // the call for it failed; nothing changed
+	Targets  []Target
 }
 
 // Request is a client request that the initiator now owes one final answer.
@@ -133,83 +133,85 @@
 	Shard      int           // where the data is; -1: a new object, for any node
 	Units      float64       // its size
 	Initiators int           // how many carry this volume
-	Budget     time.Duration // the client gives this try up after that
+	Timeout    time.Duration // the client gives this try up after that
 }
 
 // Code is how an attempt ended.
-type Code int
+type AttemptStatus int
 
 const (
 	// Delivered was served.
-	Delivered Code = iota
+	Succeeded AttemptStatus = iota
 	// Errored was answered with an error and may have run.
 	Errored
 	// Full was turned away unseen.
-	Full
+	Rejected
 	// Expired had no answer in time and may have run.
-	Expired
+	DeadlineExceeded
 	// NoConnection never reached the node.
-	NoConnection
+	ConnectFailed
 	// Reset lost its connection and may have run.
-	Reset
+	ConnectionReset
 	// Cancelled was called off and may have run.
 	Cancelled
 	// Moot was not sent.
-	Moot
+	NotSent
 )
 
 // codeNames are the outcomes as logs tell them.
-var codeNames = [...]string{Delivered: "DELIVERED", Errored: "ERRORED", Full: "FULL", Expired: "EXPIRED",
-	NoConnection: "NO_CONNECTION", Reset: "RESET", Cancelled: "CANCELLED", Moot: "MOOT"}
+var attemptStatusNames = [...]string{Succeeded: "SUCCEEDED", Errored: "ERRORED", Rejected: "REJECTED", DeadlineExceeded: "DEADLINE_EXCEEDED",
+	ConnectFailed: "CONNECT_FAILED", ConnectionReset: "CONNECTION_RESET", Cancelled: "CANCELLED", NotSent: "NOT_SENT"}
 
 // String returns the outcome's name.
-func (c Code) String() string {
-	if c < 0 || int(c) >= len(codeNames) {
+func (c AttemptStatus) String() string {
+	if c < 0 || int(c) >= len(attemptStatusNames) {
 		return fmt.Sprintf("CODE_%d", int(c))
 	}
-	return codeNames[c]
+	return attemptStatusNames[c]
 }
 
 // MayRun tells whether an attempt that ended so may have run.
-func (c Code) MayRun() bool { return c != Full && c != NoConnection && c != Moot }
+func (c AttemptStatus) MayHaveExecuted() bool {
+	return c != Rejected && c != ConnectFailed && c != NotSent
+}
 
 // Load is what a node reports of itself, late and noisy. A negative figure is not told.
-type Load struct {
-	Queue    float64 // requests that wait
-	InFlight float64 // requests that it holds
+type LoadReport struct {
+	QueueDepth float64 // requests that wait
+	InFlight   float64 // requests that it holds
 }
 
 // Outcome ends one attempt.
-type Outcome struct {
-	ID      string
-	Attempt int
-	Node    string
-	Code    Code
-	Took    time.Duration
-	Closed  bool  // the request has its final answer
-	Load    *Load // the node's report; nil: none
-	Used    int   // 1 + percent of the plan's rate the volume had everywhere; 0: not told
+type AttemptEnded struct {
+	RequestID   string
+	Attempt     int
+	Target      string
+	Status      AttemptStatus
+	Latency     time.Duration
+	Answered    bool        // the request has its final answer
+	LoadReport  *LoadReport // the node's report; nil: none
+	VolumeUsage int         // 1 + percent of the plan's rate the volume had everywhere; 0: not told
 }
 
 // StreamBegun tells that the answer of an attempt has started.
-type StreamBegun struct{ ID string }
+type ResponseStarted struct{ RequestID string }
 
 // Departed tells that the client is gone; nothing more is owed.
-type Departed struct{ ID string }
+type ClientClosed struct{ RequestID string }
 
 // Leaving tells that the initiator ends: no request may be open any more once so much time is over.
-type Leaving struct{ Within time.Duration }
+type Shutdown struct{ Within time.Duration }
 
 // Timer is due, as asked for by SetTimer.
 type Timer struct{}
 
-func (NodeList) event()    {}
-func (Request) event()     {}
-func (Outcome) event()     {}
-func (StreamBegun) event() {}
-func (Departed) event()    {}
-func (Leaving) event()     {}
-func (Timer) event()       {}
+func (EndpointList) event()    {}
+func (Request) event()         {}
+func (AttemptEnded) event()    {}
+func (ResponseStarted) event() {}
+func (ClientClosed) event()    {}
+func (Shutdown) event()        {}
+func (Timer) event()           {}
 
 // ActionKind tells the actions apart.
 type ActionKind int
@@ -218,23 +220,23 @@
 	// Send starts an attempt of Request at Node, given up after Wait.
 	Send ActionKind = iota
 	// Refuse turns Request away: a retry is harmless, and best comes after Wait (0: no advice).
-	Refuse
+	Reject
 	// Fail ends Request with no promise about its effect.
 	Fail
 	// SetTimer asks for a Timer after Wait.
 	SetTimer
 	// Subscribe asks for the node list and its changes.
-	Subscribe
+	WatchEndpoints
 	// Log writes Text to the report.
 	Log
 )
 
 // Action is something for the initiator to do, in the order given.
 type Action struct {
-	Kind    ActionKind
-	Request string
-	Node    string
-	Wait    time.Duration
-	Begin   time.Duration // of a Send: its first byte must leave within that; 0: at any time
-	Text    string
+	Kind        ActionKind
+	RequestID   string
+	Target      string
+	Wait        time.Duration
+	StartWithin time.Duration // of a Send: its first byte must leave within that; 0: at any time
+	Text        string
 }
--- a/scheduler/attempts.go
+++ b/scheduler/attempts.go
@@ -11,132 +11,132 @@
 	if s.requests[e.ID] != nil {
 		return
 	}
-	s.taken = append(trim(s.taken, s.now-s.set.Rules.BudgetSpan), s.now)
+	s.firstAttempts = append(trimBefore(s.firstAttempts, s.now-s.settings.Rules.RetryBudgetWindow), s.now)
 	c, p := s.classes[e.Class], s.plans[e.Plan]
-	if c == nil || p == nil || e.Budget <= 0 {
-		s.act(Action{Kind: Refuse, Request: e.ID})
+	if c == nil || p == nil || e.Timeout <= 0 {
+		s.emit(Action{Kind: Reject, RequestID: e.ID})
 		return
 	}
-	e.Budget = min(e.Budget, c.Deadline, s.endAt-s.now) // nobody's patience is longer
+	e.Timeout = min(e.Timeout, c.Deadline, s.shutdownDeadline-s.now) // nobody's patience is longer
 	v := s.volumes[e.Volume]
 	if v == nil {
-		v = &volume{plan: p, hosts: float64(max(1, e.Initiators)), filled: s.now, storeAt: s.now}
+		v = &volume{plan: p, initiators: float64(max(1, e.Initiators)), refilledAt: s.now, limitRefilledAt: s.now}
 		v.tokens = s.sigma(v)
 		s.volumes[e.Volume] = v
 	}
-	v.hosts = float64(max(1, e.Initiators))
+	v.initiators = float64(max(1, e.Initiators))
 	e.Units = max(e.Units, 0)
-	r := &request{Request: e, class: c, vol: v, born: s.now, due: s.now + e.Budget}
-	r.by = s.now + max(e.Budget/2-4*s.set.Tick, s.set.Tick)
-	r.fullAim = s.now + c.Aim
-	if waited := c.Deadline - e.Budget; s.stalled > 0 && waited < s.stalled+s.leastAim/beatParts {
-		r.fullAim -= waited
+	r := &request{Request: e, class: c, volume: v, firstAskedAt: s.now, deadline: s.now + e.Timeout}
+	r.answerBy = s.now + max(e.Timeout/2-4*s.settings.Tick, s.settings.Tick)
+	r.objectiveAt = s.now + c.LatencyObjective
+	if waited := c.Deadline - e.Timeout; s.stall > 0 && waited < s.stall+s.shortestObjective/timersPerObjective {
+		r.objectiveAt -= waited
 	}
 	// A later try of a client that this initiator turned away has spent part of its aim. It is known by
 	// asking for the same, within the whole patience; a short budget alone may be an impatient client's.
-	if first := s.turned[r.sameAs()]; first != nil && s.now+e.Budget <= first.born+c.Deadline+2*s.set.Tick {
-		r.born, r.fullAim = first.born, first.born+c.Aim
-		delete(s.turned, r.sameAs())
+	if first := s.rejected[r.retryKey()]; first != nil && s.now+e.Timeout <= first.firstAskedAt+c.Deadline+2*s.settings.Tick {
+		r.firstAskedAt, r.objectiveAt = first.firstAskedAt, first.firstAskedAt+c.LatencyObjective
+		delete(s.rejected, r.retryKey())
 	}
-	r.fullAim = min(r.fullAim, r.due-2*s.set.Tick)
+	r.objectiveAt = min(r.objectiveAt, r.deadline-2*s.settings.Tick)
 	s.requests[r.ID] = r
-	heap.Push(&s.dues, r)
+	heap.Push(&s.deadlines, r)
 	v.backlog++
-	if c.InOrder && r.Extent != "" {
-		k := s.keys[r.Extent]
+	if c.Serialized && r.Extent != "" {
+		k := s.serialQueues[r.Extent]
 		if k == nil {
-			k = &orderKey{}
-			s.keys[r.Extent] = k
+			k = &serialQueue{}
+			s.serialQueues[r.Extent] = k
 		}
-		k.line = append(k.line, r)
+		k.requests = append(k.requests, r)
 	}
-	r.lane = s.place(r)
-	if r.fullAim <= s.now { // a later try of what was turned away, past its aim already
-		r.late = true
-		s.answer(r)
+	r.queue = s.selectQueue(r)
+	if r.objectiveAt <= s.now { // a later try of what was turned away, past its aim already
+		r.pastObjective = true
+		s.giveUp(r)
 		return
 	}
-	s.tag(r, r.lane)
-	r.lane.hold(r)
+	s.assignTags(r, r.queue)
+	r.queue.enqueue(r)
 }
 
-func (s *Scheduler) onOutcome(e Outcome) {
-	r := s.requests[e.ID]
-	if r == nil || r.out == nil || e.Attempt != r.sent-1 {
+func (s *Scheduler) onAttemptEnded(e AttemptEnded) {
+	r := s.requests[e.RequestID]
+	if r == nil || r.inFlight == nil || e.Attempt != r.attempts-1 {
 		return
 	}
-	n := r.out
-	s.learn(n, r, e)
-	s.onLoad(n, e.Load)
-	n.out = without(n.out, r)
-	r.out = nil
-	if e.Code == Delivered {
-		s.meter(r.vol, r.Units, e.Used)
+	n := r.inFlight
+	s.recordResult(n, r, e)
+	s.onLoadReport(n, e.LoadReport)
+	n.inFlight = without(n.inFlight, r)
+	r.inFlight = nil
+	if e.Status == Succeeded {
+		s.recordUsage(r.volume, r.Units, e.VolumeUsage)
 	}
-	doubt := e.Code == Expired || e.Code == Reset || e.Code == Cancelled
-	if k := s.keys[r.Extent]; k != nil && r.class.InOrder && doubt {
-		k.rest = max(k.rest, s.now+s.set.Rules.Settle)
+	doubt := e.Status == DeadlineExceeded || e.Status == ConnectionReset || e.Status == Cancelled
+	if k := s.serialQueues[r.Extent]; k != nil && r.class.Serialized && doubt {
+		k.settleUntil = max(k.settleUntil, s.now+s.settings.Rules.SettleTime)
 	}
-	if e.Code != NoConnection && e.Code != Moot {
-		r.by = r.due - 2*s.set.Tick // an attempt was written: its client is not held back for nothing
+	if e.Status != ConnectFailed && e.Status != NotSent {
+		r.answerBy = r.deadline - 2*s.settings.Tick // an attempt was written: its client is not held back for nothing
 	}
-	if e.Code.MayRun() && !r.mayRun {
-		r.mayRun, r.ranZone, r.ranShard, r.ranSince = true, n.Zone, n.Shard, r.outAt
+	if e.Status.MayHaveExecuted() && !r.mayHaveExecuted {
+		r.mayHaveExecuted, r.executedZone, r.executedShard, r.executedSince = true, n.Zone, n.Shard, r.sentAt
 	}
 	switch {
-	case r.done:
-		s.forget(r)
-	case e.Closed:
+	case r.answered:
+		s.release(r)
+	case e.Answered:
 		s.finish(r)
-	case s.now >= r.by || !s.mayRepeat(r):
-		s.answer(r)
+	case s.now >= r.answerBy || !s.mayRetry(r):
+		s.giveUp(r)
 	default:
-		if r.mayRun && r.class.Effect == Keyed {
-			r.by = min(r.by, r.ranSince+r.class.Window) // it could not be sent any more
+		if r.mayHaveExecuted && r.class.Idempotency == IdempotencyKey {
+			r.answerBy = min(r.answerBy, r.executedSince+r.class.DedupWindow) // it could not be sent any more
 		}
 		// Further attempts wait a little longer each, the node's gate on top.
-		r.retryAt = s.now + s.quietAfter(n)*time.Duration(r.sent)/8
-		r.lane.hold(r)
-		if r.heapAt >= 0 {
-			heap.Fix(&s.dues, r.heapAt)
+		r.notBefore = s.now + s.silenceTimeout(n)*time.Duration(r.attempts)/8
+		r.queue.enqueue(r)
+		if r.heapIndex >= 0 {
+			heap.Fix(&s.deadlines, r.heapIndex)
 		} else {
-			heap.Push(&s.dues, r)
+			heap.Push(&s.deadlines, r)
 		}
 	}
 }
 
 // onLeaving cuts the time of all requests, those to come included. An attempt that is out keeps its own:
 // whoever drives the module calls it off in time, and its outcome brings the answer.
-func (s *Scheduler) onLeaving(e Leaving) {
-	s.endAt = s.now + e.Within
+func (s *Scheduler) onShutdown(e Shutdown) {
+	s.shutdownDeadline = s.now + e.Within
 	for _, r := range s.requests {
-		r.due = min(r.due, s.endAt)
-		r.by = min(r.by, r.due-2*s.set.Tick)
+		r.deadline = min(r.deadline, s.shutdownDeadline)
+		r.answerBy = min(r.answerBy, r.deadline-2*s.settings.Tick)
 		// One bound for all keeps the order of what is held.
-		r.fullAim = min(r.fullAim, r.due-2*s.set.Tick)
+		r.objectiveAt = min(r.objectiveAt, r.deadline-2*s.settings.Tick)
 	}
-	heap.Init(&s.dues)
+	heap.Init(&s.deadlines)
 }
 
 // answer gives the final answer: a refusal where a client's retry is harmless, otherwise a failure.
-func (s *Scheduler) answer(r *request) {
-	kind, wait := Refuse, time.Duration(0)
-	if r.late {
-		wait = r.due - s.now // a further try of the same ask would come too late for its aim
-	} else if r.start > s.now {
-		wait = r.start - s.now // the volume is ahead of its rate until then
-	}
-	if r.mayRun && r.class.Effect != Pure && !(r.class.Effect == Keyed && r.class.Group == GroupAll) {
+func (s *Scheduler) giveUp(r *request) {
+	kind, wait := Reject, time.Duration(0)
+	if r.pastObjective {
+		wait = r.deadline - s.now // a further try of the same ask would come too late for its aim
+	} else if r.startTag > s.now {
+		wait = r.startTag - s.now // the volume is ahead of its rate until then
+	}
+	if r.mayHaveExecuted && r.class.Idempotency != Idempotent && !(r.class.Idempotency == IdempotencyKey && r.class.DedupScope == DedupEverywhere) {
 		kind, wait = Fail, 0
 	}
-	s.act(Action{Kind: kind, Request: r.ID, Wait: wait})
-	s.turned[r.sameAs()] = r
-	s.turnedAt = append(s.turnedAt, r)
-	for old := s.turnedAt[0]; s.now > old.born+old.class.Deadline; old = s.turnedAt[0] {
-		if s.turned[old.sameAs()] == old {
-			delete(s.turned, old.sameAs())
+	s.emit(Action{Kind: kind, RequestID: r.ID, Wait: wait})
+	s.rejected[r.retryKey()] = r
+	s.rejectedInOrder = append(s.rejectedInOrder, r)
+	for old := s.rejectedInOrder[0]; s.now > old.firstAskedAt+old.class.Deadline; old = s.rejectedInOrder[0] {
+		if s.rejected[old.retryKey()] == old {
+			delete(s.rejected, old.retryKey())
 		}
-		if s.turnedAt = s.turnedAt[1:]; len(s.turnedAt) == 0 {
+		if s.rejectedInOrder = s.rejectedInOrder[1:]; len(s.rejectedInOrder) == 0 {
 			break
 		}
 	}
@@ -145,65 +145,65 @@
 
 // finish notes that the request has its final answer.
 func (s *Scheduler) finish(r *request) {
-	r.done = true
-	if r.heapAt >= 0 {
-		heap.Remove(&s.dues, r.heapAt)
+	r.answered = true
+	if r.heapIndex >= 0 {
+		heap.Remove(&s.deadlines, r.heapIndex)
 	}
-	if r.out == nil {
-		r.unhold()
-		s.forget(r)
+	if r.inFlight == nil {
+		r.dequeue()
+		s.release(r)
 	}
 }
 
 // forget drops a finished request that has no attempt out.
-func (s *Scheduler) forget(r *request) {
+func (s *Scheduler) release(r *request) {
 	delete(s.requests, r.ID)
-	r.vol.backlog--
-	k := s.keys[r.Extent]
-	if k == nil || !r.class.InOrder {
+	r.volume.backlog--
+	k := s.serialQueues[r.Extent]
+	if k == nil || !r.class.Serialized {
 		return
 	}
-	k.line = without(k.line, r)
-	if len(k.line) == 0 && k.rest <= s.now {
-		delete(s.keys, r.Extent)
+	k.requests = without(k.requests, r)
+	if len(k.requests) == 0 && k.settleUntil <= s.now {
+		delete(s.serialQueues, r.Extent)
 	}
 }
 
 // answerDue ends the held requests whose client is about to leave, and those of which half the time is over
 // without an attempt: what still comes of them earns next to nothing, and clients pay for being held back.
-func (s *Scheduler) answerDue() {
-	for len(s.dues) > 0 {
-		r := s.dues[0]
-		if r.by > s.now {
+func (s *Scheduler) giveUpOverdue() {
+	for len(s.deadlines) > 0 {
+		r := s.deadlines[0]
+		if r.answerBy > s.now {
 			return
 		}
-		if r.out != nil {
+		if r.inFlight != nil {
 			// Its attempt was cut to end with the budget; the outcome brings the answer, or puts it back.
-			heap.Pop(&s.dues)
+			heap.Pop(&s.deadlines)
 			continue
 		}
-		s.answer(r)
+		s.giveUp(r)
 	}
 }
 
 // setTimer asks to be woken when the next thing is due.
 func (s *Scheduler) setTimer() {
-	if s.askAt <= s.now {
-		s.askAt = never
-		s.act(Action{Kind: Subscribe})
+	if s.nextPoll <= s.now {
+		s.nextPoll = never
+		s.emit(Action{Kind: WatchEndpoints})
 	}
-	next := s.askAt
-	if len(s.dues) > 0 {
-		next = min(next, s.dues[0].by)
+	next := s.nextPoll
+	if len(s.deadlines) > 0 {
+		next = min(next, s.deadlines[0].answerBy)
 	}
-	for _, l := range s.lanes {
-		if len(l.held) > 0 {
-			next = min(next, l.wake)
+	for _, l := range s.shardQueues {
+		if len(l.queued) > 0 {
+			next = min(next, l.wakeAt)
 		}
 	}
-	s.wakeAt, next = next, min(next, s.now+s.leastAim/beatParts)
+	s.nextWorkAt, next = next, min(next, s.now+s.shortestObjective/timersPerObjective)
 	if next < s.timerAt {
 		s.timerAt = next
-		s.act(Action{Kind: SetTimer, Wait: max(next-s.now, s.set.Tick)})
+		s.emit(Action{Kind: SetTimer, Wait: max(next-s.now, s.settings.Tick)})
 	}
 }
--- a/scheduler/example_test.go
+++ b/scheduler/example_test.go
@@ -12,8 +12,8 @@
 		Initiators: 1,
 		Tick:       time.Millisecond,
 		MeanUnits:  1,
-		Classes:    []scheduler.Class{{Name: "read", Aim: 400 * time.Millisecond, Deadline: 2 * time.Second, Worth: 1}},
-		Plans:      []scheduler.Plan{{Name: "basic", Rate: 10, Reserve: 5, Price: 1}},
+		Classes:    []scheduler.Class{{Name: "read", LatencyObjective: 400 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 1}},
+		Plans:      []scheduler.Plan{{Name: "basic", ProvisionedRate: 10, Reservation: 5, PriorityFactor: 1}},
 	}
 	s, err := scheduler.New(settings, 1)
 	if err != nil {
@@ -21,12 +21,12 @@
 		return
 	}
 	events := []scheduler.Event{
-		scheduler.NodeList{Whole: true, Nodes: []scheduler.Node{{ID: "node-a", Shard: 0}}},
-		scheduler.Request{ID: "r1", Class: "read", Plan: "basic", Volume: "v", Units: 1, Initiators: 1, Budget: time.Second},
+		scheduler.EndpointList{Complete: true, Targets: []scheduler.Target{{ID: "node-a", Shard: 0}}},
+		scheduler.Request{ID: "r1", Class: "read", Plan: "basic", Volume: "v", Units: 1, Initiators: 1, Timeout: time.Second},
 	}
 	for _, a := range s.Step(time.Second, events) {
 		if a.Kind == scheduler.Send {
-			fmt.Println("send", a.Request, "to", a.Node)
+			fmt.Println("send", a.RequestID, "to", a.Target)
 		}
 	}
 	// Output: send r1 to node-a
--- a/scheduler/invariants_test.go
+++ b/scheduler/invariants_test.go
@@ -15,7 +15,7 @@
 	due     time.Duration
 	sends   []Action
 	sentAt  []time.Duration
-	codes   []Code // outcome of each send; -1: still out
+	codes   []AttemptStatus // outcome of each send; -1: still out
 	ended   bool
 	endedAt time.Duration
 	doubtAt time.Duration
@@ -26,7 +26,7 @@
 // ran returns when and where an attempt that may have run was sent.
 func (q *seen) ran() (int, bool) {
 	for i, c := range q.codes {
-		if c != Full && c != NoConnection && c != Moot {
+		if c != Rejected && c != ConnectFailed && c != NotSent {
 			return i, true
 		}
 	}
@@ -45,7 +45,7 @@
 	set    Settings
 	s      *Scheduler
 	now    time.Duration
-	nodes  map[string]Node
+	nodes  map[string]Target
 	barred map[string]time.Duration // node told draining or gone since
 	all    map[string]*seen
 	order  []*seen
@@ -67,71 +67,71 @@
 func (w *world) pick(p float64) bool { return w.rng.Float64() < p }
 
 func ruleSettings(mask int) Settings {
-	set := Settings{Initiators: 3, Tick: 2 * ms, MeanUnits: 2, LargestUnits: 6, Meter: time.Second, MaxAttempts: 4,
-		FairWorth: 0.3, IdleWorth: 0.05, ColdUnits: 30,
+	set := Settings{Initiators: 3, Tick: 2 * ms, MeanUnits: 2, MaxUnits: 6, UsageReportPeriod: time.Second, MaxAttempts: 4,
+		WithinShareFactor: 0.3, BeyondShareFactor: 0.05, SlowStartBudget: 30,
 		Classes: []Class{
-			{Name: "pure", Aim: 200 * ms, Deadline: time.Second, Worth: 3},
-			{Name: "cell", Aim: 300 * ms, Deadline: 2 * time.Second, Worth: 2, Effect: Keyed, Group: GroupCell, Window: 700 * ms},
-			{Name: "zone", Aim: 300 * ms, Deadline: 2 * time.Second, Worth: 2, Effect: Keyed, Group: GroupZone, Window: 700 * ms},
-			{Name: "once", Aim: 300 * ms, Deadline: time.Second, Worth: 2, Effect: Unsafe},
-			{Name: "turn", Aim: 300 * ms, Deadline: time.Second, Worth: 2, InOrder: mask&1 != 0},
+			{Name: "pure", LatencyObjective: 200 * ms, Deadline: time.Second, PriorityWeight: 3},
+			{Name: "cell", LatencyObjective: 300 * ms, Deadline: 2 * time.Second, PriorityWeight: 2, Idempotency: IdempotencyKey, DedupScope: DedupShard, DedupWindow: 700 * ms},
+			{Name: "zone", LatencyObjective: 300 * ms, Deadline: 2 * time.Second, PriorityWeight: 2, Idempotency: IdempotencyKey, DedupScope: DedupZone, DedupWindow: 700 * ms},
+			{Name: "once", LatencyObjective: 300 * ms, Deadline: time.Second, PriorityWeight: 2, Idempotency: NonIdempotent},
+			{Name: "turn", LatencyObjective: 300 * ms, Deadline: time.Second, PriorityWeight: 2, Serialized: mask&1 != 0},
 		},
-		Plans: []Plan{{Name: "p0", Rate: 10, Reserve: 5, Weight: 1, Price: 1}, {Name: "p1", Rate: 20, Weight: 2, Price: 1}},
+		Plans: []Plan{{Name: "p0", ProvisionedRate: 10, Reservation: 5, Weight: 1, PriorityFactor: 1}, {Name: "p1", ProvisionedRate: 20, Weight: 2, PriorityFactor: 1}},
 	}
-	set.Rules.Settle = 100 * ms
+	set.Rules.SettleTime = 100 * ms
 	if mask&2 != 0 {
-		set.Rules.Budget, set.Rules.BudgetFree, set.Rules.BudgetShare = true, 3, 0.2
-		set.Rules.BudgetSpan = time.Second
+		set.Rules.RetryBudget, set.Rules.RetryBudgetMinimum, set.Rules.RetryBudgetRatio = true, 3, 0.2
+		set.Rules.RetryBudgetWindow = time.Second
 	}
 	if mask&4 != 0 {
-		set.Plans[0].Limit, set.Plans[0].LimitBurst = 40, 36
+		set.Plans[0].Limit, set.Plans[0].BurstCapacity = 40, 36
 	}
 	if mask&8 != 0 {
-		set.Rules.ColdShare, set.Rules.WarmWithin, set.Rules.FallWithin = 0.2, 4*time.Second, time.Second
-		set.Rules.FallMultiple = 3
+		set.Rules.SlowStartInitialCapacity, set.Rules.SlowStartDuration, set.Rules.SlowStartWindow = 0.2, 4*time.Second, time.Second
+		set.Rules.SlowStartOverloadFactor = 3
 	}
 	return set
 }
 
 // list returns a random change of the list and notes what it tells.
-func (w *world) list() NodeList {
+func (w *world) list() EndpointList {
 	if w.pick(0.1) {
-		return NodeList{Broken: true}
+		return EndpointList{Failed: true}
 	}
-	e := NodeList{Whole: w.pick(0.3)}
+	e := EndpointList{Complete: w.pick(0.3)}
 	id := fmt.Sprintf("n%d", w.rng.IntN(8))
 	n := w.nodes[id]
 	n.ID, n.Shard, n.Zone = id, int(id[1]-'0')%4, []string{"a", "b"}[int(id[1]-'0')/4]
-	n.State = NodeState(w.rng.IntN(3))
-	if n.State == Up && w.pick(0.5) {
+	n.State = TargetState(w.rng.IntN(3))
+	if n.State == Serving && w.pick(0.5) {
 		n.Started = w.now - time.Duration(w.rng.IntN(500))*ms
 	}
-	e.Nodes = []Node{n}
-	if e.Whole {
+	e.Targets = []Target{n}
+	if e.Complete {
 		for _, m := range slices.Sorted(keysOf(w.nodes)) {
 			if m != id && w.pick(0.8) {
-				e.Nodes = append(e.Nodes, w.nodes[m])
+				e.Targets = append(e.Targets, w.nodes[m])
 			}
 		}
 	}
 	told := map[string]bool{}
-	for _, m := range e.Nodes {
+	for _, m := range e.Targets {
 		w.nodes[m.ID], told[m.ID] = m, true
-		if m.State == Up {
+		if m.State == Serving {
 			delete(w.barred, m.ID)
 		} else if _, ok := w.barred[m.ID]; !ok {
 			w.barred[m.ID] = w.now
 		}
 	}
 	for m := range w.nodes {
-		if _, ok := w.barred[m]; e.Whole && !told[m] && !ok {
+		if _, ok := w.barred[m]; e.Complete && !told[m] && !ok {
 			w.barred[m] = w.now
 		}
 	}
 	return e
 }
 
-func keysOf(m map[string]Node) func(func(string) bool) {
+func keysOf(m map[string]Target) func(func(string) bool) {
 	return func(yield func(string) bool) {
 		for k := range m {
 			if !yield(k) {
@@ -147,12 +147,12 @@
 	vol := w.rng.IntN(6)
 	r := Request{ID: fmt.Sprintf("r%d", w.serial), Class: c.Name, Plan: w.set.Plans[vol%2].Name,
 		Volume: fmt.Sprintf("v%d", vol), Extent: fmt.Sprintf("k%d", w.rng.IntN(5)), Shard: w.rng.IntN(5) - 1,
-		Units: float64(1 + w.rng.IntN(6)), Initiators: 2, Budget: c.Deadline * time.Duration(1+w.rng.IntN(4)) / 4}
-	q := &seen{req: r, class: c, due: w.now + r.Budget}
+		Units: float64(1 + w.rng.IntN(6)), Initiators: 2, Timeout: c.Deadline * time.Duration(1+w.rng.IntN(4)) / 4}
+	q := &seen{req: r, class: c, due: w.now + r.Timeout}
 	w.all[r.ID] = q
 	w.order = append(w.order, q)
 	w.taken = append(w.taken, w.now)
-	if c.InOrder {
+	if c.Serialized {
 		w.byKey[r.Extent] = append(w.byKey[r.Extent], q)
 	}
 	return r
@@ -170,24 +170,24 @@
 		if !over && !w.pick(0.1) {
 			continue
 		}
-		code := Delivered
+		code := Succeeded
 		if over {
-			code = Expired
+			code = DeadlineExceeded
 		} else if w.pick(bad) {
-			code = []Code{Errored, Full, NoConnection, Reset, Cancelled, Moot}[w.rng.IntN(6)]
+			code = []AttemptStatus{Errored, Rejected, ConnectFailed, ConnectionReset, Cancelled, NotSent}[w.rng.IntN(6)]
 		}
 		q.codes[i] = code
-		if code == Expired || code == Reset || code == Cancelled {
+		if code == DeadlineExceeded || code == ConnectionReset || code == Cancelled {
 			q.doubtAt = w.now
 		}
-		if code == Delivered {
-			w.served[q.sends[i].Node] = append(w.served[q.sends[i].Node], drawn{w.now, q.req.Units})
+		if code == Succeeded {
+			w.served[q.sends[i].Target] = append(w.served[q.sends[i].Target], drawn{w.now, q.req.Units})
 		}
-		if code == Delivered && !q.ended {
+		if code == Succeeded && !q.ended {
 			q.ended, q.endedAt = true, w.now
 		}
-		events = append(events, Outcome{ID: q.req.ID, Attempt: i, Node: q.sends[i].Node, Code: code,
-			Took: w.now - q.sentAt[i], Closed: q.ended, Used: w.rng.IntN(200)})
+		events = append(events, AttemptEnded{RequestID: q.req.ID, Attempt: i, Target: q.sends[i].Target, Status: code,
+			Latency: w.now - q.sentAt[i], Answered: q.ended, VolumeUsage: w.rng.IntN(200)})
 	}
 	return events
 }
@@ -196,24 +196,24 @@
 	if a.Kind == SetTimer {
 		w.timers = append(w.timers, w.now+a.Wait)
 	}
-	if a.Kind != Send && a.Kind != Refuse && a.Kind != Fail {
+	if a.Kind != Send && a.Kind != Reject && a.Kind != Fail {
 		return
 	}
-	q := w.all[a.Request]
+	q := w.all[a.RequestID]
 	if q == nil {
-		w.fault("action for unknown request %s", a.Request)
+		w.fault("action for unknown request %s", a.RequestID)
 		return
 	}
 	if q.ended {
-		w.fault("rule 1: action %d for %s after its end", a.Kind, a.Request)
+		w.fault("rule 1: action %d for %s after its end", a.Kind, a.RequestID)
 		return
 	}
 	if a.Kind != Send {
 		q.ended, q.endedAt = true, w.now
-		if _, ran := q.ran(); ran && a.Kind == Refuse && q.class.Effect != Pure && q.class.Group != GroupAll {
-			w.fault("rule 2: %s refused though it may have run", a.Request)
-		} else if ran && a.Kind == Refuse && q.class.Effect == Unsafe {
-			w.fault("rule 2: unsafe %s refused though it may have run", a.Request)
+		if _, ran := q.ran(); ran && a.Kind == Reject && q.class.Idempotency != Idempotent && q.class.DedupScope != DedupEverywhere {
+			w.fault("rule 2: %s refused though it may have run", a.RequestID)
+		} else if ran && a.Kind == Reject && q.class.Idempotency == NonIdempotent {
+			w.fault("rule 2: unsafe %s refused though it may have run", a.RequestID)
 		}
 		return
 	}
@@ -222,76 +222,76 @@
 }
 
 func (w *world) checkSend(q *seen, a Action) {
-	n, known := w.nodes[a.Node]
+	n, known := w.nodes[a.Target]
 	if !known {
-		w.fault("sent to unknown node %s", a.Node)
+		w.fault("sent to unknown node %s", a.Target)
 	}
-	if _, bad := w.barred[a.Node]; bad {
-		w.fault("rule 3: sent to %s, which drains or is gone", a.Node)
+	if _, bad := w.barred[a.Target]; bad {
+		w.fault("rule 3: sent to %s, which drains or is gone", a.Target)
 	}
 	if q.out() {
-		w.fault("rule 2: two attempts of %s out", a.Request)
+		w.fault("rule 2: two attempts of %s out", a.RequestID)
 	}
-	if i, ran := q.ran(); ran && q.class.Effect != Pure {
-		first := w.nodes[q.sends[i].Node]
+	if i, ran := q.ran(); ran && q.class.Idempotency != Idempotent {
+		first := w.nodes[q.sends[i].Target]
 		switch {
-		case q.class.Effect == Unsafe:
-			w.fault("rule 2: unsafe %s sent again", a.Request)
-		case w.now > q.sentAt[i]+q.class.Window:
-			w.fault("rule 2: keyed %s sent after its window", a.Request)
-		case q.class.Group == GroupCell && first.Shard != n.Shard, first.Zone != n.Zone:
-			w.fault("rule 2: keyed %s sent outside its group", a.Request)
+		case q.class.Idempotency == NonIdempotent:
+			w.fault("rule 2: unsafe %s sent again", a.RequestID)
+		case w.now > q.sentAt[i]+q.class.DedupWindow:
+			w.fault("rule 2: keyed %s sent after its window", a.RequestID)
+		case q.class.DedupScope == DedupShard && first.Shard != n.Shard, first.Zone != n.Zone:
+			w.fault("rule 2: keyed %s sent outside its group", a.RequestID)
 		}
 	}
 	ru := w.set.Rules
-	if ru.FallWithin > 0 && n.Started > 0 && w.now-n.Started < ru.WarmWithin {
-		w.cold[a.Node] = append(w.cold[a.Node], drawn{w.now, q.req.Units})
+	if ru.SlowStartWindow > 0 && n.Started > 0 && w.now-n.Started < ru.SlowStartDuration {
+		w.cold[a.Target] = append(w.cold[a.Target], drawn{w.now, q.req.Units})
 		sum := 0.0
-		for _, d := range w.cold[a.Node] {
-			if d.at > w.now-ru.FallWithin && d.at >= n.Started {
+		for _, d := range w.cold[a.Target] {
+			if d.at > w.now-ru.SlowStartWindow && d.at >= n.Started {
 				sum += d.units
 			}
 		}
-		grown := ru.ColdShare + (1-ru.ColdShare)*(w.now-n.Started).Seconds()/ru.WarmWithin.Seconds()
-		if bears := w.set.ColdUnits/float64(w.set.Initiators)*grown/ru.ColdShare + w.servedBy(a.Node); sum > bears+1e-6 {
-			w.fault("rule 4: %v units to cold %s, which bears %v of this host", sum, a.Node, bears)
+		grown := ru.SlowStartInitialCapacity + (1-ru.SlowStartInitialCapacity)*(w.now-n.Started).Seconds()/ru.SlowStartDuration.Seconds()
+		if bears := w.set.SlowStartBudget/float64(w.set.Initiators)*grown/ru.SlowStartInitialCapacity + w.servedBy(a.Target); sum > bears+1e-6 {
+			w.fault("rule 4: %v units to cold %s, which bears %v of this host", sum, a.Target, bears)
 		}
 	}
-	if q.class.InOrder {
+	if q.class.Serialized {
 		for _, p := range w.byKey[q.req.Extent] {
 			if p == q {
 				break
 			}
 			if !p.ended || p.out() {
-				w.fault("rule 5: %s sent before %s of its key is over", a.Request, p.req.ID)
+				w.fault("rule 5: %s sent before %s of its key is over", a.RequestID, p.req.ID)
 			}
 		}
 		for _, p := range w.byKey[q.req.Extent] {
-			if p != q && p.doubtAt > 0 && w.now < p.doubtAt+ru.Settle {
-				w.fault("rule 5: %s sent while its key rests", a.Request)
+			if p != q && p.doubtAt > 0 && w.now < p.doubtAt+ru.SettleTime {
+				w.fault("rule 5: %s sent while its key rests", a.RequestID)
 			}
 		}
 	}
-	if ru.Budget && len(q.sends) > 0 {
+	if ru.RetryBudget && len(q.sends) > 0 {
 		w.extra = append(w.extra, w.now)
 		from := func(list []time.Duration) (n float64) {
 			for _, at := range list {
-				if at > w.now-ru.BudgetSpan {
+				if at > w.now-ru.RetryBudgetWindow {
 					n++
 				}
 			}
 			return n
 		}
-		if from(w.extra) > ru.BudgetFree+ru.BudgetShare*from(w.taken) {
-			w.fault("rule 6: further attempt of %s over the budget", a.Request)
+		if from(w.extra) > ru.RetryBudgetMinimum+ru.RetryBudgetRatio*from(w.taken) {
+			w.fault("rule 6: further attempt of %s over the budget", a.RequestID)
 		}
 	}
 	if p := w.set.Plans[slices.IndexFunc(w.set.Plans, func(p Plan) bool { return p.Name == q.req.Plan })]; p.Limit > 0 && len(q.sends) == 0 {
 		v, hosts := q.req.Volume, float64(q.req.Initiators)
 		w.store[v] = append(w.store[v], drawn{w.now, q.req.Units})
-		level, at := p.LimitBurst/hosts, time.Duration(0)
+		level, at := p.BurstCapacity/hosts, time.Duration(0)
 		for _, d := range w.store[v] {
-			level = min(p.LimitBurst/hosts, level+(d.at-at).Seconds()*p.Limit/hosts) - d.units
+			level = min(p.BurstCapacity/hosts, level+(d.at-at).Seconds()*p.Limit/hosts) - d.units
 			at = d.at
 		}
 		if level < -1e-6 {
@@ -303,7 +303,7 @@
 // servedBy is what the node has answered within the span of the cold rule, which it has shown to bear.
 func (w *world) servedBy(node string) (sum float64) {
 	for _, d := range w.served[node] {
-		if d.at > w.now-w.set.Rules.FallWithin {
+		if d.at > w.now-w.set.Rules.SlowStartWindow {
 			sum += d.units
 		}
 	}
@@ -313,7 +313,7 @@
 // play runs one seeded sequence and returns the rules broken and a digest of the actions.
 func play(seed uint64, mask int) (faults []string, digest string) {
 	w := &world{rng: rand.New(rand.NewPCG(seed, 7)), set: ruleSettings(mask), now: time.Second,
-		nodes: map[string]Node{}, barred: map[string]time.Duration{}, all: map[string]*seen{},
+		nodes: map[string]Target{}, barred: map[string]time.Duration{}, all: map[string]*seen{},
 		byKey: map[string][]*seen{}, cold: map[string][]drawn{}, served: map[string][]drawn{}, store: map[string][]drawn{}}
 	w.s, _ = New(w.set, seed)
 	const length = 6000
@@ -329,11 +329,11 @@
 		}
 		if q := w.some(); q != nil && w.pick(0.01) && !q.ended {
 			q.ended, q.endedAt = true, w.now
-			events = append(events, Departed{ID: q.req.ID})
+			events = append(events, ClientClosed{RequestID: q.req.ID})
 		}
 		if w.pick(0.02) && len(w.order) > 0 { // what is already dropped
 			old := w.order[w.rng.IntN(len(w.order))].req.ID
-			events = append(events, Timer{}, Outcome{ID: old, Attempt: 9, Code: Reset}, Departed{ID: old + "x"})
+			events = append(events, Timer{}, AttemptEnded{RequestID: old, Attempt: 9, Status: ConnectionReset}, ClientClosed{RequestID: old + "x"})
 		}
 		due := false
 		w.timers = slices.DeleteFunc(w.timers, func(t time.Duration) bool { due = due || t <= w.now; return t <= w.now })
@@ -343,7 +343,7 @@
 		if len(events) > 0 {
 			for _, a := range w.s.Step(w.now, events) {
 				w.act(a)
-				digest += fmt.Sprintf("%d%s%s", a.Kind, a.Request, a.Node)
+				digest += fmt.Sprintf("%d%s%s", a.Kind, a.RequestID, a.Target)
 			}
 		}
 		w.order = slices.DeleteFunc(w.order, func(q *seen) bool {
--- a/scheduler/release.go
+++ b/scheduler/release.go
@@ -6,20 +6,20 @@
 
 const (
 	// runLength bounds a run on one extent. Half saves less work, double passes others' deadlines.
-	runLength = 6
+	maxSequentialRun = 6
 	// idleRise is how near to its base a node must answer to get late work. At 1.2 it crowds out timely work.
-	idleRise = 1.05
+	idleLatencyFactor = 1.05
 )
 
 // releaseLane sends while the lane's node has room.
-func (s *Scheduler) releaseLane(l *lane) {
-	l.wake = never
-	for l.node != nil && len(l.held) > 0 {
-		room := s.room(l.node, 0)
-		if !room && !s.room(l.node, runLength-1) {
+func (s *Scheduler) dispatchQueue(l *shardQueue) {
+	l.wakeAt = never
+	for l.target != nil && len(l.queued) > 0 {
+		room := s.hasCapacity(l.target, 0)
+		if !room && !s.hasCapacity(l.target, maxSequentialRun-1) {
 			return
 		}
-		r := s.pick(l, room)
+		r := s.selectNext(l, room)
 		if r == nil {
 			return
 		}
@@ -29,47 +29,47 @@
 
 // pick returns what leaves next: of what can make its aim the eligible request of least finish tag, or one of
 // the last extent; at a synchronization point the next to become eligible; on an idle node a late one.
-func (s *Scheduler) pick(l *lane, room bool) *request {
-	n := l.node
+func (s *Scheduler) selectNext(l *shardQueue, room bool) *request {
+	n := l.target
 	var best, ahead, late, aside, follow *request
-	s.sift(l)
-	for _, r := range s.ready {
+	s.collectEligible(l)
+	for _, r := range s.eligible {
 		switch {
-		case r.late:
-			if late == nil || r.finish < late.finish {
+		case r.pastObjective:
+			if late == nil || r.finishTag < late.finishTag {
 				late = r
 			}
-		case r.aside:
-			if aside == nil || s.value(r) > s.value(aside) {
+		case r.deprioritized:
+			if aside == nil || s.priority(r) > s.priority(aside) {
 				aside = r
 			}
-		case r.start > s.now:
-			if ahead == nil || r.start < ahead.start || r.start == ahead.start && r.finish < ahead.finish {
+		case r.startTag > s.now:
+			if ahead == nil || r.startTag < ahead.startTag || r.startTag == ahead.startTag && r.finishTag < ahead.finishTag {
 				ahead = r
 			}
 		default:
-			if best == nil || r.finish < best.finish {
+			if best == nil || r.finishTag < best.finishTag {
 				best = r
 			}
-			same := r.Extent != "" && r.Extent == n.last && r.sent == 0
-			if same && (follow == nil || r.finish < follow.finish) {
+			same := r.Extent != "" && r.Extent == n.lastExtent && r.attempts == 0
+			if same && (follow == nil || r.finishTag < follow.finishTag) {
 				follow = r
 			}
 		}
 	}
 	switch {
-	case follow != nil && n.run < runLength:
+	case follow != nil && n.sequentialRun < maxSequentialRun:
 		return follow
 	case !room:
 		return nil
 	case best != nil:
 		return best
 	case ahead != nil:
-		s.sync(l, ahead.start-s.now)
+		s.resynchronize(l, ahead.startTag-s.now)
 		return ahead
-	case aside != nil && len(n.out) == 0:
+	case aside != nil && len(n.inFlight) == 0:
 		return aside
-	case late != nil && len(n.out) == 0 && s.expect(n) < idleRise*n.base:
+	case late != nil && len(n.inFlight) == 0 && s.expectedLatency(n) < idleLatencyFactor*n.baseLatency:
 		return late
 	}
 	return nil
@@ -78,118 +78,118 @@
 // sift fills ready with the requests that the gate lets through. One that can no longer make its aim is
 // late; where the rest cannot all make it, those that earn least for a unit are set aside for now: earliest
 // deadline first would serve each just too late. It harms where the latency is judged too high.
-func (s *Scheduler) sift(l *lane) {
-	n := l.node
-	s.ready = s.ready[:0]
-	usual := s.expect(n)
-	work, each := 0.0, usual/n.window/s.set.MeanUnits
-	for _, r := range l.held { // in order of aim
-		if wait := s.gate(r, l); wait > s.now {
-			l.wake = min(l.wake, wait)
+func (s *Scheduler) collectEligible(l *shardQueue) {
+	n := l.target
+	s.eligible = s.eligible[:0]
+	usual := s.expectedLatency(n)
+	work, each := 0.0, usual/n.concurrencyLimit/s.settings.MeanUnits
+	for _, r := range l.queued { // in order of aim
+		if wait := s.admitAt(r, l); wait > s.now {
+			l.wakeAt = min(l.wakeAt, wait)
 			continue
 		}
-		s.ready = append(s.ready, r)
-		r.aside = false
-		alone := s.now + seconds(usual*s.size(r.Units))
-		if !r.late && s.now+seconds(n.base*s.size(r.Units)) > r.fullAim {
-			r.late, n.pressed = true, s.now
-			s.untag(r)
+		s.eligible = append(s.eligible, r)
+		r.deprioritized = false
+		alone := s.now + seconds(usual*s.relativeSize(r.Units))
+		if !r.pastObjective && s.now+seconds(n.baseLatency*s.relativeSize(r.Units)) > r.objectiveAt {
+			r.pastObjective, n.lastPressure = true, s.now
+			s.refundTag(r)
 		}
-		if r.late {
+		if r.pastObjective {
 			continue
 		}
 		// The less it earns, the emptier its node must be: what waits there is mostly others', which no tag
 		// here orders. It guards all hosts' dear requests; a latency judged too high holds cheap ones back.
-		bar := (s.leastAim.Seconds() - n.base) * math.Sqrt(s.value(r)/max(s.dearest, 1e-9))
-		if usual-n.base > max(bar, (idleRise-1)*n.base) {
-			s.ready = s.ready[:len(s.ready)-1]
-			l.wake = min(l.wake, s.now+s.leastAim/4)
+		bar := (s.shortestObjective.Seconds() - n.baseLatency) * math.Sqrt(s.priority(r)/max(s.highestWeight, 1e-9))
+		if usual-n.baseLatency > max(bar, (idleLatencyFactor-1)*n.baseLatency) {
+			s.eligible = s.eligible[:len(s.eligible)-1]
+			l.wakeAt = min(l.wakeAt, s.now+s.shortestObjective/4)
 			continue
 		}
 		work += r.Units
-		for alone+seconds((work-r.Units)*each) > r.fullAim && !r.aside {
+		for alone+seconds((work-r.Units)*each) > r.objectiveAt && !r.deprioritized {
 			least := r
-			for _, q := range s.ready {
-				if !q.late && !q.aside && s.value(q) < s.value(least) {
+			for _, q := range s.eligible {
+				if !q.pastObjective && !q.deprioritized && s.priority(q) < s.priority(least) {
 					least = q
 				}
 			}
-			least.aside, n.pressed = true, s.now
+			least.deprioritized, n.lastPressure = true, s.now
 			work -= least.Units
 		}
 	}
 }
 
 // size is how much longer than a mean request one of so many units takes.
-func (s *Scheduler) size(units float64) float64 { return (1 + units/s.set.MeanUnits) / 2 }
+func (s *Scheduler) relativeSize(units float64) float64 { return (1 + units/s.settings.MeanUnits) / 2 }
 
 // value is what a unit of the request earns: full while its volume's reserve is owed, the share's part
 // where its start tag says so, and less the further it is ahead.
-func (s *Scheduler) value(r *request) float64 {
-	v := r.class.Worth * r.vol.plan.Price
+func (s *Scheduler) priority(r *request) float64 {
+	v := r.class.PriorityWeight * r.volume.plan.PriorityFactor
 	switch {
-	case s.owed(r.vol) >= r.Units:
+	case s.reservationCredit(r.volume) >= r.Units:
 		return v
-	case r.start <= s.now:
-		return v * s.set.FairWorth
+	case r.startTag <= s.now:
+		return v * s.settings.WithinShareFactor
 	}
-	return v * (s.set.IdleWorth + (s.set.FairWorth-s.set.IdleWorth)/(1+(r.start-s.now).Seconds()))
+	return v * (s.settings.BeyondShareFactor + (s.settings.WithinShareFactor-s.settings.BeyondShareFactor)/(1+(r.startTag-s.now).Seconds()))
 }
 
 // owed refills and returns what of its reserve the volume may still have served at full worth here.
-func (s *Scheduler) owed(v *volume) float64 {
-	rate := v.plan.Reserve * s.rho(v) / max(v.plan.Rate, 1e-3)
-	v.owed = min(rate+s.set.LargestUnits, v.owed+(s.now-v.owedAt).Seconds()*rate)
-	v.owedAt = s.now
-	return v.owed
+func (s *Scheduler) reservationCredit(v *volume) float64 {
+	rate := v.plan.Reservation * s.rho(v) / max(v.plan.ProvisionedRate, 1e-3)
+	v.reservationCredit = min(rate+s.settings.MaxUnits, v.reservationCredit+(s.now-v.reservationCreditAt).Seconds()*rate)
+	v.reservationCreditAt = s.now
+	return v.reservationCredit
 }
 
 // room tells whether the node may have another attempt out now, extra of them past the bound. An attempt
 // overdue far beyond the usual no longer holds its slot: it was lost, or nothing else would get through.
-func (s *Scheduler) room(n *node, extra int) bool {
+func (s *Scheduler) hasCapacity(n *target, extra int) bool {
 	fresh := 0
-	for _, r := range n.out {
-		if s.now-r.outAt < s.quietAfter(n) {
+	for _, r := range n.inFlight {
+		if s.now-r.sentAt < s.silenceTimeout(n) {
 			fresh++
 		}
 	}
-	if s.troubled(n) {
+	if s.isOutlier(n) {
 		return fresh == 0
 	}
-	return float64(fresh) < math.Floor(n.window)+float64(extra)
+	return float64(fresh) < math.Floor(n.concurrencyLimit)+float64(extra)
 }
 
 // send is the only way out: it sends r to the lane's node.
-func (s *Scheduler) send(r *request, l *lane) {
-	n := l.node
-	r.unhold()
-	if n.last == r.Extent {
-		n.run++
+func (s *Scheduler) send(r *request, l *shardQueue) {
+	n := l.target
+	r.dequeue()
+	if n.lastExtent == r.Extent {
+		n.sequentialRun++
 	} else {
-		n.last, n.run = r.Extent, 1
+		n.lastExtent, n.sequentialRun = r.Extent, 1
 	}
-	if r.sent > 0 {
-		s.extra = append(trim(s.extra, s.now-s.set.Rules.BudgetSpan-2*s.set.Tick), s.now)
+	if r.attempts > 0 {
+		s.retries = append(trimBefore(s.retries, s.now-s.settings.Rules.RetryBudgetWindow-2*s.settings.Tick), s.now)
 	} else {
-		r.vol.owed = max(0, s.owed(r.vol)-r.Units)
+		r.volume.reservationCredit = max(0, s.reservationCredit(r.volume)-r.Units)
 	}
-	if !r.drawn {
-		r.vol.store, r.drawn = r.vol.store-r.Units, true
+	if !r.charged {
+		r.volume.limitTokens, r.charged = r.volume.limitTokens-r.Units, true
 	}
-	if s.set.Rules.FallWithin > 0 {
-		n.recent = append(n.recent, draw{s.now, r.Units})
+	if s.settings.Rules.SlowStartWindow > 0 {
+		n.recentlySent = append(n.recentlySent, unitSample{s.now, r.Units})
 	}
-	r.sent++
-	r.out, r.outAt, r.met = n, s.now, -1
-	if s.now-n.told < s.leastAim/2 {
-		r.met = n.load
+	r.attempts++
+	r.inFlight, r.sentAt, r.loadAtSend = n, s.now, -1
+	if s.now-n.loadReportedAt < s.shortestObjective/2 {
+		r.loadAtSend = n.reportedLoad
 	}
-	n.out = append(n.out, r)
-	wait := s.patience(n, r)
-	a := Action{Kind: Send, Request: r.ID, Node: n.ID, Wait: min(wait, max(r.due-s.now, s.set.Tick))}
-	if r.mayRun && r.class.Effect == Keyed {
+	n.inFlight = append(n.inFlight, r)
+	wait := s.attemptTimeout(n, r)
+	a := Action{Kind: Send, RequestID: r.ID, Target: n.ID, Wait: min(wait, max(r.deadline-s.now, s.settings.Tick))}
+	if r.mayHaveExecuted && r.class.Idempotency == IdempotencyKey {
 		// Its connection may take longer to come up than the repeat may wait.
-		a.Begin = r.ranSince + r.class.Window - s.now
+		a.StartWithin = r.executedSince + r.class.DedupWindow - s.now
 	}
-	s.act(a)
+	s.emit(a)
 }
--- a/scheduler/retries.go
+++ b/scheduler/retries.go
@@ -5,24 +5,24 @@
 import "time"
 
 // mayRepeat tells whether a further attempt of the request could ever be allowed.
-func (s *Scheduler) mayRepeat(r *request) bool {
-	if s.set.MaxAttempts > 0 && r.sent >= s.set.MaxAttempts {
+func (s *Scheduler) mayRetry(r *request) bool {
+	if s.settings.MaxAttempts > 0 && r.attempts >= s.settings.MaxAttempts {
 		return false
 	}
-	return !r.mayRun || r.class.Effect == Pure ||
-		r.class.Effect == Keyed && s.now < r.ranSince+r.class.Window
+	return !r.mayHaveExecuted || r.class.Idempotency == Idempotent ||
+		r.class.Idempotency == IdempotencyKey && s.now < r.executedSince+r.class.DedupWindow
 }
 
 // budgetGate keeps further attempts within the ration, counted against us at both edges.
-func (s *Scheduler) budgetGate() time.Duration {
-	ru := s.set.Rules
-	if !ru.Budget {
+func (s *Scheduler) retryBudgetAdmitAt() time.Duration {
+	ru := s.settings.Rules
+	if !ru.RetryBudget {
 		return 0
 	}
-	s.taken = trim(s.taken, s.now-ru.BudgetSpan+2*s.set.Tick)
-	s.extra = trim(s.extra, s.now-ru.BudgetSpan-2*s.set.Tick)
-	if float64(len(s.extra)+1) <= ru.BudgetFree+ru.BudgetShare*float64(len(s.taken)) {
+	s.firstAttempts = trimBefore(s.firstAttempts, s.now-ru.RetryBudgetWindow+2*s.settings.Tick)
+	s.retries = trimBefore(s.retries, s.now-ru.RetryBudgetWindow-2*s.settings.Tick)
+	if float64(len(s.retries)+1) <= ru.RetryBudgetMinimum+ru.RetryBudgetRatio*float64(len(s.firstAttempts)) {
 		return 0
 	}
-	return s.now + ru.BudgetSpan/64
+	return s.now + ru.RetryBudgetWindow/64
 }
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -17,40 +17,40 @@
 	// windowLeast is what all initiators together lean on a node with at least, one each in any case: sizes
 	// differ, so answers exceed the base with nothing waiting, and the depth falls as far as it may. At one
 	// each, two initiators left cores idle between answers (recording r7646); 6 gained no more there.
-	windowLeast = 4
-	beatParts   = 8  // how many timers fit in a least aim, so that own pauses show. Half misses some.
-	keepAims    = 60 // how many least aims what is idle stays known. Half forgets more, double holds more.
+	sharedMinConcurrency = 4
+	timersPerObjective   = 8  // how many timers fit in a least aim, so that own pauses show. Half misses some.
+	idleStateObjectives  = 60 // how many least aims what is idle stays known. Half forgets more, double holds more.
 )
 
 // Scheduler decides for one initiator. It is not safe for concurrent use.
 type Scheduler struct {
-	set      Settings
-	rng      *rand.Rand
-	now      time.Duration
-	classes  map[string]*Class
-	plans    map[string]*Plan
-	turned   map[ask]*request // turned away, and may come again
-	turnedAt []*request       // the same by time
-	leastAim time.Duration
-	dearest  float64 // what a unit earns at most
-	least    float64 // a node's least depth here
-	crowd    bool    // the even part of what a cold node bears is under one mean request
-	volumes  map[string]*volume
-	requests map[string]*request
-	lanes    []*lane
-	nodes    []*node
-	byID     map[string]*node
-	keys     map[string]*orderKey
-	dues     dueHeap
+	settings          Settings
+	rng               *rand.Rand
+	now               time.Duration
+	classes           map[string]*Class
+	plans             map[string]*Plan
+	rejected          map[retryKey]*request // turned away, and may come again
+	rejectedInOrder   []*request            // the same by time
+	shortestObjective time.Duration
+	highestWeight     float64 // what a unit earns at most
+	minConcurrency    float64 // a node's least depth here
+	sharedSlowStart   bool    // the even part of what a cold node bears is under one mean request
+	volumes           map[string]*volume
+	requests          map[string]*request
+	shardQueues       []*shardQueue
+	targets           []*target
+	targetsByID       map[string]*target
+	serialQueues      map[string]*serialQueue
+	deadlines         deadlineHeap
 	// For the attempt budget; the next timer and what it is for, the last sweep, how long this initiator
 	// stood still before this step (0: not), when to ask for the list and how long to wait after that.
-	taken, extra                                    []time.Duration
-	timerAt, wakeAt, swept, stalled, askAt, askWait time.Duration
-	endAt                                           time.Duration // no request may be open after that
+	firstAttempts, retries                                       []time.Duration
+	timerAt, nextWorkAt, lastSweep, stall, nextPoll, pollBackoff time.Duration
+	shutdownDeadline                                             time.Duration // no request may be open after that
 
-	adds    float64    // part of the base latency that a request waiting at a node adds
-	ready   []*request // what the gate lets through at the lane in hand
-	actions []Action
+	queueingFactor float64    // part of the base latency that a request waiting at a node adds
+	eligible       []*request // what the gate lets through at the lane in hand
+	actions        []Action
 }
 
 // New returns a scheduler for the given settings, or an error if they cannot be served.
@@ -62,38 +62,38 @@
 		return nil, fmt.Errorf("settings name %d initiators", set.Initiators)
 	}
 	s := &Scheduler{
-		set:      set.clone(),
-		rng:      rand.New(rand.NewPCG(seed, seed)),
-		classes:  map[string]*Class{},
-		plans:    map[string]*Plan{},
-		turned:   map[ask]*request{},
-		leastAim: never,
-		volumes:  map[string]*volume{},
-		requests: map[string]*request{},
-		byID:     map[string]*node{},
-		keys:     map[string]*orderKey{},
-		timerAt:  never,
-		adds:     0.5, // two served at once, until seen
-		askAt:    never,
-		endAt:    never,
-		askWait:  time.Second,
+		settings:          set.clone(),
+		rng:               rand.New(rand.NewPCG(seed, seed)),
+		classes:           map[string]*Class{},
+		plans:             map[string]*Plan{},
+		rejected:          map[retryKey]*request{},
+		shortestObjective: never,
+		volumes:           map[string]*volume{},
+		requests:          map[string]*request{},
+		targetsByID:       map[string]*target{},
+		serialQueues:      map[string]*serialQueue{},
+		timerAt:           never,
+		queueingFactor:    0.5, // two served at once, until seen
+		nextPoll:          never,
+		shutdownDeadline:  never,
+		pollBackoff:       time.Second,
 	}
-	s.set.MeanUnits = max(set.MeanUnits, 1e-3)
-	s.least = max(1, windowLeast/float64(set.Initiators))
-	s.crowd = set.ColdUnits < s.set.MeanUnits*float64(set.Initiators)
-	if set.AskForList {
-		s.askAt = 0
+	s.settings.MeanUnits = max(set.MeanUnits, 1e-3)
+	s.minConcurrency = max(1, sharedMinConcurrency/float64(set.Initiators))
+	s.sharedSlowStart = set.SlowStartBudget < s.settings.MeanUnits*float64(set.Initiators)
+	if set.PollEndpoints {
+		s.nextPoll = 0
 	}
-	for i := range s.set.Classes {
-		c := &s.set.Classes[i]
-		if c.Aim <= 0 || c.Deadline <= 0 {
+	for i := range s.settings.Classes {
+		c := &s.settings.Classes[i]
+		if c.LatencyObjective <= 0 || c.Deadline <= 0 {
 			return nil, fmt.Errorf("class %q needs an aim and a deadline", c.Name)
 		}
 		s.classes[c.Name] = c
-		s.leastAim = min(s.leastAim, c.Aim)
+		s.shortestObjective = min(s.shortestObjective, c.LatencyObjective)
 		for i := range set.Plans {
-			s.plans[set.Plans[i].Name] = &s.set.Plans[i]
-			s.dearest = max(s.dearest, c.Worth*set.Plans[i].Price)
+			s.plans[set.Plans[i].Name] = &s.settings.Plans[i]
+			s.highestWeight = max(s.highestWeight, c.PriorityWeight*set.Plans[i].PriorityFactor)
 		}
 	}
 	return s, nil
@@ -103,48 +103,48 @@
 func (s *Scheduler) Step(now time.Duration, events []Event) []Action {
 	s.now, s.actions = now, s.actions[:0]
 	// A timer that comes late: this initiator stood still, and what it finds has waited here, at no node.
-	s.stalled = 0
+	s.stall = 0
 	if late := now - s.timerAt; late >= 0 {
 		s.timerAt = never
-		if late > s.leastAim/beatParts {
-			s.stalled = late
+		if late > s.shortestObjective/timersPerObjective {
+			s.stall = late
 		}
 	}
-	idle := now < s.wakeAt // but for what the events bring
+	idle := now < s.nextWorkAt // but for what the events bring
 	for _, e := range events {
 		_, beat := e.(Timer)
 		idle = idle && beat
 		switch e := e.(type) {
-		case NodeList:
-			s.onList(e)
+		case EndpointList:
+			s.onEndpointList(e)
 		case Request:
 			s.onRequest(e)
-		case Outcome:
-			s.onOutcome(e)
-		case StreamBegun:
-			if r := s.requests[e.ID]; r != nil && r.heapAt >= 0 {
-				heap.Remove(&s.dues, r.heapAt)
+		case AttemptEnded:
+			s.onAttemptEnded(e)
+		case ResponseStarted:
+			if r := s.requests[e.RequestID]; r != nil && r.heapIndex >= 0 {
+				heap.Remove(&s.deadlines, r.heapIndex)
 			}
-		case Departed:
-			if r := s.requests[e.ID]; r != nil && !r.done {
+		case ClientClosed:
+			if r := s.requests[e.RequestID]; r != nil && !r.answered {
 				s.finish(r)
 			}
-		case Leaving:
-			s.onLeaving(e)
+		case Shutdown:
+			s.onShutdown(e)
 		case Timer: // also one a little early: whoever drives the module may round
 			s.timerAt = never
 		}
 	}
 	if !idle {
-		s.answerDue()
-		s.replace()
-		for _, l := range s.lanes {
-			s.releaseLane(l)
+		s.giveUpOverdue()
+		s.migrateQueued()
+		for _, l := range s.shardQueues {
+			s.dispatchQueue(l)
 		}
 	}
-	if now-s.swept > keepAims*s.leastAim {
-		s.sweep(s.swept) // what was idle for that long starts afresh, as after a synchronization point
-		s.swept = now
+	if now-s.lastSweep > idleStateObjectives*s.shortestObjective {
+		s.sweep(s.lastSweep) // what was idle for that long starts afresh, as after a synchronization point
+		s.lastSweep = now
 	}
 	s.setTimer()
 	return s.actions
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -13,9 +13,9 @@
 // plain returns settings with one safe class, one plan of 10 units a second and no rules.
 func plain() Settings {
 	return Settings{
-		Initiators: 1, Tick: ms, MeanUnits: 1, LargestUnits: 1, Meter: time.Second,
-		Classes: []Class{{Name: "get", Aim: 400 * ms, Deadline: 2 * time.Second, Worth: 1}},
-		Plans:   []Plan{{Name: "std", Rate: 10, Reserve: 10, Weight: 1, Price: 1}},
+		Initiators: 1, Tick: ms, MeanUnits: 1, MaxUnits: 1, UsageReportPeriod: time.Second,
+		Classes: []Class{{Name: "get", LatencyObjective: 400 * ms, Deadline: 2 * time.Second, PriorityWeight: 1}},
+		Plans:   []Plan{{Name: "std", ProvisionedRate: 10, Reservation: 10, Weight: 1, PriorityFactor: 1}},
 	}
 }
 
@@ -29,14 +29,14 @@
 	tries map[string]int
 }
 
-func newRig(t *testing.T, set Settings, nodes ...Node) *rig {
+func newRig(t *testing.T, set Settings, nodes ...Target) *rig {
 	t.Helper()
 	s, err := New(set, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	r := &rig{t: t, s: s, now: time.Second, tries: map[string]int{}}
-	r.step(NodeList{Whole: true, Nodes: nodes})
+	r.step(EndpointList{Complete: true, Targets: nodes})
 	return r
 }
 
@@ -46,8 +46,8 @@
 		switch a.Kind {
 		case Send:
 			r.sends = append(r.sends, a)
-			r.tries[a.Request]++
-		case Refuse, Fail:
+			r.tries[a.RequestID]++
+		case Reject, Fail:
 			r.ends = append(r.ends, a)
 		}
 	}
@@ -62,23 +62,23 @@
 	}
 }
 
-func (r *rig) end(id string, code Code, took time.Duration) []Action {
-	return r.step(Outcome{ID: id, Attempt: r.tries[id] - 1, Code: code, Took: took, Closed: code == Delivered})
+func (r *rig) end(id string, code AttemptStatus, took time.Duration) []Action {
+	return r.step(AttemptEnded{RequestID: id, Attempt: r.tries[id] - 1, Status: code, Latency: took, Answered: code == Succeeded})
 }
 
 func (r *rig) sent() []string {
 	var ids []string
 	for _, a := range r.sends {
-		ids = append(ids, a.Request)
+		ids = append(ids, a.RequestID)
 	}
 	return ids
 }
 
 func req(id, vol string, units float64) Request {
-	return Request{ID: id, Class: "get", Plan: "std", Volume: vol, Units: units, Initiators: 1, Budget: 2 * time.Second}
+	return Request{ID: id, Class: "get", Plan: "std", Volume: vol, Units: units, Initiators: 1, Timeout: 2 * time.Second}
 }
 
-func up(id string, shard int) Node { return Node{ID: id, Shard: shard} }
+func up(id string, shard int) Target { return Target{ID: id, Shard: shard} }
 
 // TestTagCases works the three cases of the start tag by hand: bucket of 11 (a second's rate and one
 // largest request), 10 units a second.
@@ -101,13 +101,13 @@
 		}
 		r.step(req("x", "v", c.units))
 		x := r.s.requests["x"]
-		if got := (x.start - r.now).Round(time.Microsecond); got != c.start {
+		if got := (x.startTag - r.now).Round(time.Microsecond); got != c.start {
 			t.Errorf("%s: start tag %v after now, want %v", c.name, got, c.start)
 		}
-		if x.finish-x.start != 400*ms {
-			t.Errorf("%s: finish tag %v after start, want the aim", c.name, x.finish-x.start)
+		if x.finishTag-x.startTag != 400*ms {
+			t.Errorf("%s: finish tag %v after start, want the aim", c.name, x.finishTag-x.startTag)
 		}
-		if got := x.vol.tokens; got < c.left-1e-9 || got > c.left+1e-9 {
+		if got := x.volume.tokens; got < c.left-1e-9 || got > c.left+1e-9 {
 			t.Errorf("%s: %v tokens left, want %v", c.name, got, c.left)
 		}
 	}
@@ -119,7 +119,7 @@
 		"no class":      func(s *Settings) { s.Classes = nil },
 		"no plan":       func(s *Settings) { s.Plans = nil },
 		"no initiator":  func(s *Settings) { s.Initiators = 0 },
-		"class, no aim": func(s *Settings) { s.Classes[0].Aim = 0 },
+		"class, no aim": func(s *Settings) { s.Classes[0].LatencyObjective = 0 },
 	} {
 		set := plain()
 		spoil(&set)
@@ -133,10 +133,10 @@
 func TestHeldIsAnswered(t *testing.T) {
 	r := newRig(t, plain(), up("n", 1))
 	q := req("a", "v", 1)
-	q.Budget = 100 * ms
+	q.Timeout = 100 * ms
 	r.step(q)
 	r.wait(98 * ms)
-	if len(r.sends) != 0 || len(r.ends) != 1 || r.ends[0].Kind != Refuse {
+	if len(r.sends) != 0 || len(r.ends) != 1 || r.ends[0].Kind != Reject {
 		t.Fatalf("sends %v, ends %v; want one refusal", r.sends, r.ends)
 	}
 }
@@ -144,13 +144,13 @@
 // TestDrainStopsAtOnce checks that a draining node gets nothing and its successor gets what was held.
 func TestDrainStopsAtOnce(t *testing.T) {
 	r := newRig(t, plain(), up("old", 0))
-	r.step(NodeList{Nodes: []Node{{ID: "old", State: Draining}}}, req("a", "v", 1))
+	r.step(EndpointList{Targets: []Target{{ID: "old", State: Draining}}}, req("a", "v", 1))
 	r.wait(50 * ms)
 	if len(r.sends) != 0 {
 		t.Fatalf("sent to a draining node: %v", r.sends)
 	}
-	r.step(NodeList{Nodes: []Node{up("new", 0)}})
-	if len(r.sends) != 1 || r.sends[0].Node != "new" {
+	r.step(EndpointList{Targets: []Target{up("new", 0)}})
+	if len(r.sends) != 1 || r.sends[0].Target != "new" {
 		t.Fatalf("sends %v, want one to the successor", r.sends)
 	}
 }
@@ -163,17 +163,17 @@
 		id := string(rune('a' + i))
 		r.step(req(id, "v", 1))
 		r.now += 30 * ms
-		r.end(id, Delivered, 30*ms)
+		r.end(id, Succeeded, 30*ms)
 	}
 	r.step(req("slow", "v", 1))
 	r.now += 5 * time.Second
-	r.end("slow", Delivered, 5*time.Second)
+	r.end("slow", Succeeded, 5*time.Second)
 	r.now += 10 * time.Second // a few spells
 	r.step(req("next", "v", 1))
 	if got := r.sent(); got[len(got)-1] != "next" {
 		t.Fatalf("sent %v; want the next request sent at once", got)
 	}
-	if r.s.requests["next"].late {
+	if r.s.requests["next"].pastObjective {
 		t.Fatal("the next request counts as late")
 	}
 }
@@ -182,15 +182,15 @@
 // tag is earlier, and that what is kept is what can be done in time.
 func TestOverloadSetsLeastWorthAside(t *testing.T) {
 	set := plain()
-	set.Classes[0].Worth = 1
-	set.Classes = append(set.Classes, Class{Name: "dear", Aim: 400 * ms, Deadline: 2 * time.Second, Worth: 3})
-	set.Plans[0].Price = 1
+	set.Classes[0].PriorityWeight = 1
+	set.Classes = append(set.Classes, Class{Name: "dear", LatencyObjective: 400 * ms, Deadline: 2 * time.Second, PriorityWeight: 3})
+	set.Plans[0].PriorityFactor = 1
 	r := newRig(t, set, up("n", 0))
 	r.step(req("warm", "v", 1))
 	r.wait(300 * ms)
-	r.end("warm", Delivered, 300*ms)
-	n := r.s.byID["n"]
-	n.window = 1
+	r.end("warm", Succeeded, 300*ms)
+	n := r.s.targetsByID["n"]
+	n.concurrencyLimit = 1
 	a, b, c := req("cheap1", "v", 1), req("cheap2", "w", 1), req("dear", "x", 1)
 	c.Class = "dear"
 	r.step(a, b, c)
@@ -205,14 +205,14 @@
 	r := newRig(t, plain(), up("n", 0))
 	r.step(req("full", "v", 1))
 	r.now += 20 * ms
-	r.end("full", Delivered, 20*ms)
+	r.end("full", Succeeded, 20*ms)
 	for i := range 40 {
 		q := req(string(rune('A'+i)), "v", 1)
-		q.Budget = 200 * ms
+		q.Timeout = 200 * ms
 		r.step(q)
 		r.now += 20 * ms
 		if r.tries[q.ID] > 0 {
-			r.end(q.ID, Delivered, 20*ms)
+			r.end(q.ID, Succeeded, 20*ms)
 		}
 	}
 	if got := len(r.sends); got < 25 {
@@ -224,14 +224,14 @@
 // three errors in a row must not cut a node down to trials, while twelve must.
 func TestErringNodeIsStillUsed(t *testing.T) {
 	r := newRig(t, plain(), up("n", 0))
-	n := r.s.byID["n"]
+	n := r.s.targetsByID["n"]
 	for i := range 12 {
 		id := string(rune('a' + i))
 		r.now += time.Second
 		r.step(req(id, "v", 1))
 		r.end(id, Errored, ms)
-		r.step(Departed{ID: id})
-		if got, want := r.s.troubled(n), i >= 11; got != want {
+		r.step(ClientClosed{RequestID: id})
+		if got, want := r.s.isOutlier(n), i >= 11; got != want {
 			t.Fatalf("after %d errors troubled is %v, want %v", i+1, got, want)
 		}
 	}
@@ -241,7 +241,7 @@
 // and is used again from its first answer on.
 func TestQuietNodeGetsTrials(t *testing.T) {
 	set := plain()
-	set.Initiators = windowLeast
+	set.Initiators = sharedMinConcurrency
 	r := newRig(t, set, up("n", 0))
 	r.step(req("a", "v", 1), req("b", "v", 1))
 	r.now += 500 * ms
@@ -252,7 +252,7 @@
 		t.Fatalf("sent %v, want the two lost and one trial", got)
 	}
 	r.now += 10 * ms
-	r.end("p", Delivered, 10*ms)
+	r.end("p", Succeeded, 10*ms)
 	if got := r.sent(); len(got) != 4 {
 		t.Fatalf("sent %v, want the next one after the trial's answer", got)
 	}
@@ -262,14 +262,14 @@
 // the other comes back.
 func TestRedemption(t *testing.T) {
 	set := plain()
-	set.Classes[0] = Class{Name: "get", Aim: 10 * time.Second, Deadline: 60 * time.Second}
-	set.Plans[0].Rate, set.Plans[0].Reserve = 50, 50
+	set.Classes[0] = Class{Name: "get", LatencyObjective: 10 * time.Second, Deadline: 60 * time.Second}
+	set.Plans[0].ProvisionedRate, set.Plans[0].Reservation = 50, 50
 	r := newRig(t, set, up("n", 0))
-	n := r.s.byID["n"]
+	n := r.s.targetsByID["n"]
 	ask := func(vol string, count int) {
 		for range count {
 			q := req(vol+string(rune(0x4e00+len(r.s.requests)+len(r.sends))), vol, 1)
-			q.Budget = time.Minute
+			q.Timeout = time.Minute
 			r.step(q)
 		}
 	}
@@ -277,11 +277,11 @@
 	play := func(steps int) { // the node serves one request each 10 ms, in the order sent
 		for range steps {
 			r.now += 10 * ms
-			n.window = 1
-			if len(n.out) > 0 {
-				id := n.out[0].ID
+			n.concurrencyLimit = 1
+			if len(n.inFlight) > 0 {
+				id := n.inFlight[0].ID
 				served[id[0]]++
-				r.end(id, Delivered, 10*ms)
+				r.end(id, Succeeded, 10*ms)
 			}
 		}
 	}
@@ -305,8 +305,8 @@
 // others', and each host added its spare work to it because it had none out there itself.
 func TestCheapWaitsForEmptyNode(t *testing.T) {
 	set := plain()
-	set.Classes[0].Worth, set.Plans[0].Price = 1, 1
-	set.Plans = append(set.Plans, Plan{Name: "spare", Rate: 1, Price: 0.1})
+	set.Classes[0].PriorityWeight, set.Plans[0].PriorityFactor = 1, 1
+	set.Plans = append(set.Plans, Plan{Name: "spare", ProvisionedRate: 1, PriorityFactor: 0.1})
 	for _, c := range []struct {
 		name  string
 		queue float64
@@ -320,7 +320,7 @@
 		r := newRig(t, set, up("n", 0))
 		r.step(req("warm", "v", 1))
 		r.now += 50 * ms
-		r.step(Outcome{ID: "warm", Code: Delivered, Took: 50 * ms, Closed: true, Load: &Load{Queue: -1, InFlight: c.queue}})
+		r.step(AttemptEnded{RequestID: "warm", Status: Succeeded, Latency: 50 * ms, Answered: true, LoadReport: &LoadReport{QueueDepth: -1, InFlight: c.queue}})
 		r.now += c.gap
 		cheap := req("cheap", "w", 1)
 		cheap.Plan = "spare"
@@ -339,9 +339,9 @@
 		r.wait(10 * time.Second)
 		r.step(req(id, "v", 1))
 		r.wait(took)
-		r.end(id, Delivered, took)
+		r.end(id, Succeeded, took)
 	}
-	if got := r.s.expect(r.s.byID["n"]); got < 0.5 {
+	if got := r.s.expectedLatency(r.s.targetsByID["n"]); got < 0.5 {
 		t.Fatalf("%.2f s expected after one answer in 0.6 s, long after the others", got)
 	}
 }
@@ -352,7 +352,7 @@
 	r := newRig(t, plain()) // no node: held until its client is about to leave
 	q := req("a", "v", 1)
 	r.step(q)
-	for end := r.now + q.Budget; r.now < end; {
+	for end := r.now + q.Timeout; r.now < end; {
 		wait := time.Duration(-1)
 		for _, a := range r.step(Timer{}) {
 			if a.Kind == SetTimer {
@@ -384,7 +384,7 @@
 		r := newRig(t, plain(), up("n", 0))
 		r.step(req("a", "v", 1))
 		r.wait(50 * ms)
-		r.end("a", Delivered, 50*ms)
+		r.end("a", Succeeded, 50*ms)
 		r.step(req("b", "v", 1))
 		if c.stands {
 			r.now += 600 * ms
@@ -392,12 +392,12 @@
 			r.wait(600 * ms)
 		}
 		q := req("c", "v", 1)
-		q.Budget -= 300 * ms
-		r.step(q, Outcome{ID: "b", Code: Delivered, Took: 600 * ms, Closed: true})
-		if got := r.s.requests["c"].fullAim - r.now; got != c.aim {
+		q.Timeout -= 300 * ms
+		r.step(q, AttemptEnded{RequestID: "b", Status: Succeeded, Latency: 600 * ms, Answered: true})
+		if got := r.s.requests["c"].objectiveAt - r.now; got != c.aim {
 			t.Errorf("%s: aim in %v, want %v", c.name, got, c.aim)
 		}
-		if got := r.s.byID["n"].latency > 0.06; got != c.learns {
+		if got := r.s.targetsByID["n"].smoothedLatency > 0.06; got != c.learns {
 			t.Errorf("%s: learned %v, want %v", c.name, got, c.learns)
 		}
 	}
@@ -408,12 +408,12 @@
 	r := newRig(t, plain(), up("n", 0))
 	for i := range 5 {
 		q := req(fmt.Sprintf("a%d", i), "v", 1)
-		q.Budget = 60 * ms
+		q.Timeout = 60 * ms
 		r.step(q)
 		r.now += 60 * ms
-		r.end(q.ID, Expired, 60*ms)
+		r.end(q.ID, DeadlineExceeded, 60*ms)
 	}
-	if r.s.troubled(r.s.byID["n"]) {
+	if r.s.isOutlier(r.s.targetsByID["n"]) {
 		t.Fatal("five short patiences make the node troubled")
 	}
 }
@@ -422,40 +422,40 @@
 func TestLongLife(t *testing.T) {
 	for _, budget := range []bool{false, true} {
 		set := plain()
-		set.Rules.Budget, set.Rules.BudgetSpan, set.Rules.BudgetFree = budget, time.Second, 3
-		set.Classes[0].InOrder, set.Rules.Settle = true, 100*ms
+		set.Rules.RetryBudget, set.Rules.RetryBudgetWindow, set.Rules.RetryBudgetMinimum = budget, time.Second, 3
+		set.Classes[0].Serialized, set.Rules.SettleTime = true, 100*ms
 		r := newRig(t, set, up("n0", 0))
 		for i := range 4000 {
 			if i%10 == 0 {
-				r.step(NodeList{Whole: true, Nodes: []Node{{ID: fmt.Sprintf("n%d", i), Started: r.now - time.Hour}}})
+				r.step(EndpointList{Complete: true, Targets: []Target{{ID: fmt.Sprintf("n%d", i), Started: r.now - time.Hour}}})
 			}
 			q := req(fmt.Sprintf("r%d", i), fmt.Sprintf("v%d", i), 1)
 			q.Extent = fmt.Sprintf("k%d", i)
 			r.step(q)
 			r.now += 20 * ms
 			if r.tries[q.ID] > 0 {
-				r.end(q.ID, []Code{Delivered, Reset}[i%2], 20*ms)
+				r.end(q.ID, []AttemptStatus{Succeeded, ConnectionReset}[i%2], 20*ms)
 			}
 			for range 5 {
 				r.now += time.Second
 				r.step(Timer{})
 			}
 			for _, a := range r.sends {
-				if r.s.requests[a.Request] != nil && r.s.requests[a.Request].out != nil {
-					r.end(a.Request, Delivered, time.Second)
+				if r.s.requests[a.RequestID] != nil && r.s.requests[a.RequestID].inFlight != nil {
+					r.end(a.RequestID, Succeeded, time.Second)
 				}
 			}
 			r.sends = nil
 		}
 		s := r.s
-		for name, size := range map[string]int{"requests": len(s.requests), "taken": len(s.taken), "extra": len(s.extra),
-			"turned": len(s.turned), "turned by time": len(s.turnedAt), "due": len(s.dues)} {
+		for name, size := range map[string]int{"requests": len(s.requests), "taken": len(s.firstAttempts), "extra": len(s.retries),
+			"turned": len(s.rejected), "turned by time": len(s.rejectedInOrder), "due": len(s.deadlines)} {
 			if size > 10 {
 				t.Errorf("budget %v: %d %s kept", budget, size, name)
 			}
 		}
-		for name, size := range map[string]int{"volumes": len(s.volumes), "keys": len(s.keys), "nodes": len(s.nodes),
-			"nodes by name": len(s.byID), "flows": len(s.lanes[0].flows), "flows by volume": len(s.lanes[0].byVol)} {
+		for name, size := range map[string]int{"volumes": len(s.volumes), "keys": len(s.serialQueues), "nodes": len(s.targets),
+			"nodes by name": len(s.targetsByID), "flows": len(s.shardQueues[0].flows), "flows by volume": len(s.shardQueues[0].flowsByVolume)} {
 			if size > 250 {
 				t.Errorf("budget %v: %d %s kept of 4000", budget, size, name)
 			}
@@ -467,9 +467,9 @@
 func TestSettingsAreOwn(t *testing.T) {
 	set := plain()
 	r := newRig(t, set, up("n", 0))
-	set.Classes[0].Aim, set.Plans[0].Rate = 0, 0
+	set.Classes[0].LatencyObjective, set.Plans[0].ProvisionedRate = 0, 0
 	r.step(req("a", "v", 1))
-	if r.s.classes["get"].Aim != 400*ms || r.s.plans["std"].Rate != 10 {
+	if r.s.classes["get"].LatencyObjective != 400*ms || r.s.plans["std"].ProvisionedRate != 10 {
 		t.Fatal("the settings changed with the caller's slices")
 	}
 }
@@ -479,24 +479,24 @@
 func TestCalmNodeGetsDepth(t *testing.T) {
 	depth := func(pressed bool) float64 {
 		set := plain()
-		set.Initiators = windowLeast
+		set.Initiators = sharedMinConcurrency
 		r := newRig(t, set, up("n", 0))
-		n := r.s.byID["n"]
+		n := r.s.targetsByID["n"]
 		r.wait(time.Minute)
 		for i := range 60 {
 			if pressed {
-				n.pressed = r.now
+				n.lastPressure = r.now
 			}
 			a, b := req(fmt.Sprintf("a%d", i), "v", 1), req(fmt.Sprintf("b%d", i), "w", 1)
 			r.step(a, b)
 			took := time.Duration(20+15*(i%4)) * ms
 			r.wait(took)
-			for _, q := range slices.Clone(n.out) {
-				r.end(q.ID, Delivered, took)
+			for _, q := range slices.Clone(n.inFlight) {
+				r.end(q.ID, Succeeded, took)
 			}
 			r.wait(100 * ms)
 		}
-		return n.window
+		return n.concurrencyLimit
 	}
 	if calm, pressed := depth(false), depth(true); calm <= pressed {
 		t.Fatalf("depth %.2f when calm, %.2f under pressure; want it deeper when calm", calm, pressed)
@@ -510,21 +510,21 @@
 		set := plain()
 		set.Initiators = hosts
 		r := newRig(t, set, up("n", 0))
-		n := r.s.byID["n"]
+		n := r.s.targetsByID["n"]
 		for i := range 200 {
-			n.pressed = r.now
+			n.lastPressure = r.now
 			r.step(req(fmt.Sprint("a", i), "v", 1), req(fmt.Sprint("b", i), "w", 1))
 			took := time.Duration(5+15*(i%2)) * ms
-			for len(n.out) > 0 {
+			for len(n.inFlight) > 0 {
 				r.now += took
-				r.end(n.out[0].ID, Delivered, took)
+				r.end(n.inFlight[0].ID, Succeeded, took)
 			}
 			r.wait(200 * ms)
 		}
 		for i := range 6 {
 			r.step(req(fmt.Sprint("x", i), fmt.Sprint("v", i), 1))
 		}
-		if got := len(n.out); got != want {
+		if got := len(n.inFlight); got != want {
 			t.Errorf("%d initiators: %d requests out at once, want %d", hosts, got, want)
 		}
 	}
@@ -536,13 +536,13 @@
 	starts := map[time.Duration]bool{}
 	for seed := range uint64(20) {
 		set := plain()
-		set.Initiators, set.ColdUnits = 200, 10
-		set.Rules = Rules{ColdShare: 0.2, WarmWithin: 10 * time.Second, FallWithin: time.Second, FallMultiple: 3}
+		set.Initiators, set.SlowStartBudget = 200, 10
+		set.Rules = Rules{SlowStartInitialCapacity: 0.2, SlowStartDuration: 10 * time.Second, SlowStartWindow: time.Second, SlowStartOverloadFactor: 3}
 		r := newRig(t, set, up("n", 0))
 		r.s, _ = New(set, seed)
 		r.wait(20 * time.Second)
-		r.step(NodeList{Whole: true, Nodes: []Node{up("n", 0)}})
-		r.step(NodeList{Nodes: []Node{{ID: "n", Started: r.now - time.Second}}})
+		r.step(EndpointList{Complete: true, Targets: []Target{up("n", 0)}})
+		r.step(EndpointList{Targets: []Target{{ID: "n", Started: r.now - time.Second}}})
 		told := r.now
 		first, sent := time.Duration(0), []time.Duration{}
 		for i := range 400 {
@@ -557,7 +557,7 @@
 			r.wait(15 * ms)
 		}
 		starts[first.Round(100*ms)] = true
-		if first == 0 || first > set.Rules.FallWithin/2+50*ms {
+		if first == 0 || first > set.Rules.SlowStartWindow/2+50*ms {
 			t.Errorf("seed %d: first request %v after the start was told", seed, first)
 		}
 		for i := 1; i < len(sent); i++ {
@@ -575,13 +575,13 @@
 // request a span, and never more than half the multiple of what it answered within the span.
 func TestColdNodeThatAnswersGetsMore(t *testing.T) {
 	set := plain()
-	set.Initiators, set.ColdUnits = 200, 10
-	set.Rules = Rules{ColdShare: 0.2, WarmWithin: 12 * time.Second, FallWithin: 3 * time.Second, FallMultiple: 4}
+	set.Initiators, set.SlowStartBudget = 200, 10
+	set.Rules = Rules{SlowStartInitialCapacity: 0.2, SlowStartDuration: 12 * time.Second, SlowStartWindow: 3 * time.Second, SlowStartOverloadFactor: 4}
 	r := newRig(t, set, up("n", 0))
-	r.step(NodeList{Nodes: []Node{{ID: "n", Started: r.now}}})
-	n := r.s.byID["n"]
+	r.step(EndpointList{Targets: []Target{{ID: "n", Started: r.now}}})
+	n := r.s.targetsByID["n"]
 	var sent, answered []time.Duration
-	since := func(list []time.Duration) int { return len(trim(list, r.now-set.Rules.FallWithin)) }
+	since := func(list []time.Duration) int { return len(trimBefore(list, r.now-set.Rules.SlowStartWindow)) }
 	for i := 0; r.now < 12*time.Second; i++ {
 		before := len(r.sends)
 		r.step(req(fmt.Sprint("r", i), "v", 1))
@@ -592,8 +592,8 @@
 			}
 		}
 		r.wait(20 * ms)
-		for _, q := range slices.Clone(n.out) {
-			r.end(q.ID, Delivered, 20*ms)
+		for _, q := range slices.Clone(n.inFlight) {
+			r.end(q.ID, Succeeded, 20*ms)
 			answered = append(answered, r.now)
 		}
 	}
@@ -616,9 +616,9 @@
 		id := fmt.Sprint("w", i)
 		r.step(fresh(id))
 		r.now += 20 * ms
-		r.end(id, Delivered, 20*ms)
+		r.end(id, Succeeded, 20*ms)
 		r.wait(200 * ms)
-		used[r.sends[len(r.sends)-1].Node] = true
+		used[r.sends[len(r.sends)-1].Target] = true
 	}
 	if len(used) != 1 {
 		t.Fatalf("new objects went to %v while one node answered at once", used)
@@ -627,7 +627,7 @@
 		r.step(fresh(fmt.Sprint("x", i)))
 	}
 	for _, a := range r.sends {
-		used[a.Node] = true
+		used[a.Target] = true
 	}
 	if len(used) < 2 {
 		t.Error("a hundred new objects at once went to one node")
@@ -637,16 +637,16 @@
 // TestAbsurdReports checks that figures no node can mean change nothing, and that a report for a node without an
 // answer yet is no harm.
 func TestAbsurdReports(t *testing.T) {
-	for _, load := range []*Load{nil, {Queue: -1, InFlight: -1}, {Queue: 1e300, InFlight: -1}, {Queue: math.Inf(1)},
-		{Queue: math.NaN(), InFlight: math.NaN()}, {Queue: -7, InFlight: -1e9}} {
+	for _, load := range []*LoadReport{nil, {QueueDepth: -1, InFlight: -1}, {QueueDepth: 1e300, InFlight: -1}, {QueueDepth: math.Inf(1)},
+		{QueueDepth: math.NaN(), InFlight: math.NaN()}, {QueueDepth: -7, InFlight: -1e9}} {
 		r := newRig(t, plain(), up("n", 0))
 		for i := range 3 {
 			id := fmt.Sprintf("a%d", i)
 			r.step(req(id, "v", 1))
 			r.now += 40 * ms
-			r.step(Outcome{ID: id, Code: Delivered, Took: 40 * ms, Closed: true, Load: load})
+			r.step(AttemptEnded{RequestID: id, Status: Succeeded, Latency: 40 * ms, Answered: true, LoadReport: load})
 		}
-		if got := r.s.expect(r.s.byID["n"]); got < 0.039 || got > 0.041 {
+		if got := r.s.expectedLatency(r.s.targetsByID["n"]); got < 0.039 || got > 0.041 {
 			t.Errorf("%+v: %v s expected, want the 40 ms answered", load, got)
 		}
 		if len(r.sends) != 3 {
@@ -660,10 +660,10 @@
 func TestDecidedByHalfTime(t *testing.T) {
 	r := newRig(t, plain(), up("n", 1)) // its shard is nowhere
 	q := req("a", "v", 1)
-	q.Budget = time.Second
+	q.Timeout = time.Second
 	r.step(q)
 	r.wait(500 * ms)
-	if len(r.ends) != 1 || r.ends[0].Kind != Refuse {
+	if len(r.ends) != 1 || r.ends[0].Kind != Reject {
 		t.Fatalf("ends %v by half the time, want one refusal", r.ends)
 	}
 }
@@ -672,14 +672,14 @@
 func TestSentIsHeldToTheEnd(t *testing.T) {
 	r := newRig(t, plain(), up("n", 0))
 	r.step(req("a", "v", 1))
-	r.end("a", Full, ms)
-	r.step(NodeList{Nodes: []Node{{ID: "n", State: Draining}}})
+	r.end("a", Rejected, ms)
+	r.step(EndpointList{Targets: []Target{{ID: "n", State: Draining}}})
 	r.wait(1900 * ms)
 	if len(r.ends) != 0 {
 		t.Fatalf("ended %v early", r.ends)
 	}
 	r.wait(100 * ms)
-	if len(r.ends) != 1 || r.ends[0].Kind != Refuse {
+	if len(r.ends) != 1 || r.ends[0].Kind != Reject {
 		t.Fatalf("ends %v, want one refusal", r.ends)
 	}
 }
@@ -695,9 +695,9 @@
 		t.Fatalf("ends %v, want the first try refused", r.ends)
 	}
 	before := r.s.volumes["v"].tokens
-	q.ID, q.Budget = "b", 900*ms
+	q.ID, q.Timeout = "b", 900*ms
 	out := r.step(q)
-	if len(r.ends) != 2 || r.ends[1].Kind != Refuse || r.ends[1].Wait != 900*ms {
+	if len(r.ends) != 2 || r.ends[1].Kind != Reject || r.ends[1].Wait != 900*ms {
 		t.Fatalf("second try: %v, want it refused at once with a wait of 900ms", out)
 	}
 	if after := r.s.volumes["v"].tokens; after != before {
@@ -708,13 +708,13 @@
 // TestNeverWrittenIsDecidedByHalfTime checks that attempts which found no connection, or were not sent, do not
 // count as tried: their request is decided as early as one that never left.
 func TestNeverWrittenIsDecidedByHalfTime(t *testing.T) {
-	for _, code := range []Code{NoConnection, Moot} {
+	for _, code := range []AttemptStatus{ConnectFailed, NotSent} {
 		r := newRig(t, plain(), up("n", 0))
 		r.step(req("a", "v", 1))
 		r.end("a", code, ms)
-		r.step(NodeList{Nodes: []Node{{ID: "n", State: Draining}}})
+		r.step(EndpointList{Targets: []Target{{ID: "n", State: Draining}}})
 		r.wait(time.Second)
-		if len(r.ends) != 1 || r.ends[0].Kind != Refuse {
+		if len(r.ends) != 1 || r.ends[0].Kind != Reject {
 			t.Errorf("code %v: ends %v by half the time, want one refusal", code, r.ends)
 		}
 	}
@@ -726,8 +726,8 @@
 	r := newRig(t, plain(), up("n", 0))
 	r.step(req("a", "v", 1))
 	r.wait(1500 * ms)
-	r.end("a", Full, 1500*ms)
-	r.step(NodeList{Nodes: []Node{{ID: "n", State: Draining}}})
+	r.end("a", Rejected, 1500*ms)
+	r.step(EndpointList{Targets: []Target{{ID: "n", State: Draining}}})
 	r.wait(400 * ms)
 	if len(r.ends) != 0 {
 		t.Errorf("ended %v with time left", r.ends)
@@ -742,25 +742,25 @@
 // is told by when its first byte must leave, and a request that waits past the window is answered then, not at its end.
 func TestRepeatWindow(t *testing.T) {
 	set := plain()
-	set.Classes[0].Effect, set.Classes[0].Window = Keyed, 500*ms
-	r := newRig(t, set, Node{ID: "n"})
+	set.Classes[0].Idempotency, set.Classes[0].DedupWindow = IdempotencyKey, 500*ms
+	r := newRig(t, set, Target{ID: "n"})
 	begun := r.now
 	r.step(req("a", "v", 1), req("b", "w", 1))
 	r.wait(50 * ms)
-	r.end("a", Reset, 50*ms)
-	r.end("b", Reset, 50*ms)
+	r.end("a", ConnectionReset, 50*ms)
+	r.end("b", ConnectionReset, 50*ms)
 	r.wait(200 * ms)
-	if len(r.sends) < 3 || r.sends[0].Begin != 0 {
+	if len(r.sends) < 3 || r.sends[0].StartWithin != 0 {
 		t.Fatalf("sends %+v, want two first ones bound by nothing, and a further one", r.sends)
 	}
 	for i, a := range r.sends[2:] {
-		if a.Begin <= 0 || a.Begin > 450*ms {
-			t.Errorf("further attempt %d may begin within %v", i, a.Begin)
+		if a.StartWithin <= 0 || a.StartWithin > 450*ms {
+			t.Errorf("further attempt %d may begin within %v", i, a.StartWithin)
 		}
 	}
-	r.step(NodeList{Nodes: []Node{{ID: "n", State: Draining}}})
+	r.step(EndpointList{Targets: []Target{{ID: "n", State: Draining}}})
 	for _, a := range r.sends[2:] {
-		r.end(a.Request, NoConnection, 10*ms)
+		r.end(a.RequestID, ConnectFailed, 10*ms)
 	}
 	for len(r.ends) < 2 && r.now < begun+2*time.Second {
 		r.wait(5 * ms)
@@ -780,7 +780,7 @@
 	r.step(held)
 	r.wait(100 * ms)
 	leaving := r.now
-	r.step(Leaving{Within: 500 * ms})
+	r.step(Shutdown{Within: 500 * ms})
 	late := req("late", "v", 1)
 	late.Shard = 1
 	r.wait(400 * ms)
@@ -790,7 +790,7 @@
 	r.wait(5 * ms)
 	ended := map[string]bool{}
 	for _, a := range r.ends {
-		ended[a.Request] = true
+		ended[a.RequestID] = true
 	}
 	if !ended["held"] || !ended["late"] || !ended["out"] || len(r.ends) != 3 {
 		t.Errorf("ended %v after %v, want one end for each of three", r.ends, r.now-leaving)
--- a/scheduler/state.go
+++ b/scheduler/state.go
@@ -25,99 +25,99 @@
 // request is a held or sent request; it stays known until it is answered and no attempt is out.
 type request struct {
 	Request
-	class    *Class
-	vol      *volume
-	lane     *lane
-	born     time.Duration // when its client first asked
-	fullAim  time.Duration // when the aim ends
-	due      time.Duration // when the client leaves
-	by       time.Duration // when it gets its answer, if nothing is out then
-	start    time.Duration // start tag
-	finish   time.Duration // finish tag
-	retryAt  time.Duration // no attempt before
-	sent     int
-	out      *node // where its attempt is, if any
-	outAt    time.Duration
-	mayRun   bool          // an attempt may have run
-	ranZone  string        // where
-	ranShard int           // and at which shard
-	ranSince time.Duration // since when
-	drawn    bool          // its units were drawn from the volume's limit
-	met      float64       // load that the node told of just before the attempt; -1: not known
-	late     bool          // can no longer be answered within the aim
-	aside    bool          // set aside: the node cannot do all in time, and this earns least
-	done     bool
-	heapAt   int // place among the times to answer by; -1: not there
+	class           *Class
+	volume          *volume
+	queue           *shardQueue
+	firstAskedAt    time.Duration // when its client first asked
+	objectiveAt     time.Duration // when the aim ends
+	deadline        time.Duration // when the client leaves
+	answerBy        time.Duration // when it gets its answer, if nothing is out then
+	startTag        time.Duration // start tag
+	finishTag       time.Duration // finish tag
+	notBefore       time.Duration // no attempt before
+	attempts        int
+	inFlight        *target // where its attempt is, if any
+	sentAt          time.Duration
+	mayHaveExecuted bool          // an attempt may have run
+	executedZone    string        // where
+	executedShard   int           // and at which shard
+	executedSince   time.Duration // since when
+	charged         bool          // its units were drawn from the volume's limit
+	loadAtSend      float64       // load that the node told of just before the attempt; -1: not known
+	pastObjective   bool          // can no longer be answered within the aim
+	deprioritized   bool          // set aside: the node cannot do all in time, and this earns least
+	answered        bool
+	heapIndex       int // place among the times to answer by; -1: not there
 }
 
 // ask is what two tries of one client have in common.
-type ask struct {
+type retryKey struct {
 	class, volume, extent string
 	units                 float64
 }
 
-func (r *request) sameAs() ask { return ask{r.Class, r.Volume, r.Extent, r.Units} }
+func (r *request) retryKey() retryKey { return retryKey{r.Class, r.Volume, r.Extent, r.Units} }
 
 // volume is the client of RFQ: one bucket at this initiator.
 type volume struct {
-	plan    *Plan
-	hosts   float64
-	tokens  float64
-	filled  time.Duration
-	backlog int // requests held or out here
-	own     float64
-	ownAt   time.Duration
-	total   float64
-	totalAt time.Duration
-	store   float64 // this initiator's part of the limit
-	storeAt time.Duration
-	owed    float64 // units of the reserve not yet served here
-	owedAt  time.Duration
+	plan                *Plan
+	initiators          float64
+	tokens              float64
+	refilledAt          time.Duration
+	backlog             int // requests held or out here
+	localRate           float64
+	localRateAt         time.Duration
+	globalRate          float64
+	globalRateAt        time.Duration
+	limitTokens         float64 // this initiator's part of the limit
+	limitRefilledAt     time.Duration
+	reservationCredit   float64 // units of the reserve not yet served here
+	reservationCreditAt time.Duration
 }
 
 // flow is a volume's tag state at one lane.
 type flow struct {
-	vol  *volume
-	maxS time.Duration
-	held int
+	volume      *volume
+	maxStartTag time.Duration
+	queued      int
 }
 
 // lane is the queue of one shard; its tags move together.
-type lane struct {
-	shard int
-	node  *node // where the shard is served now; nil: nowhere known
-	held  []*request
-	flows []*flow
-	byVol map[*volume]*flow
-	wake  time.Duration
+type shardQueue struct {
+	shard         int
+	target        *target // where the shard is served now; nil: nowhere known
+	queued        []*request
+	flows         []*flow
+	flowsByVolume map[*volume]*flow
+	wakeAt        time.Duration
 }
 
 // node is one server process.
-type node struct {
-	Node
-	out     []*request
-	window  float64
-	latency float64       // smoothed, seconds for a request of mean size; 0: not known
-	base    float64       // a low quantile of it: what the node takes when little waits there
-	heard   time.Duration // when it last answered an attempt
-	told    time.Duration // when it last reported its load
-	load    float64       // requests that it last said to hold or have waiting; -1: never told
-	pressed time.Duration // when a request here was last late or set aside
-	streak  float64       // bad outcomes since the last good one
-	openAt  time.Duration // no attempt before
-	last    string        // extent sent last
-	run     int           // how often in a row
-	recent  []draw        // units sent within the fall window
-	served  []draw        // and answered
-}
-
-type draw struct {
+type target struct {
+	Target
+	inFlight            []*request
+	concurrencyLimit    float64
+	smoothedLatency     float64       // smoothed, seconds for a request of mean size; 0: not known
+	baseLatency         float64       // a low quantile of it: what the node takes when little waits there
+	lastHeard           time.Duration // when it last answered an attempt
+	loadReportedAt      time.Duration // when it last reported its load
+	reportedLoad        float64       // requests that it last said to hold or have waiting; -1: never told
+	lastPressure        time.Duration // when a request here was last late or set aside
+	consecutiveFailures float64       // bad outcomes since the last good one
+	ejectedUntil        time.Duration // no attempt before
+	lastExtent          string        // extent sent last
+	sequentialRun       int           // how often in a row
+	recentlySent        []unitSample  // units sent within the fall window
+	recentlyServed      []unitSample  // and answered
+}
+
+type unitSample struct {
 	at    time.Duration
 	units float64
 }
 
 // within drops the draws before from, and sums the rest.
-func within(list []draw, from time.Duration) ([]draw, float64) {
+func sumSince(list []unitSample, from time.Duration) ([]unitSample, float64) {
 	for len(list) > 0 && list[0].at < from {
 		list = list[1:]
 	}
@@ -129,38 +129,38 @@
 }
 
 // orderKey is the queue of one extent whose requests take turns.
-type orderKey struct {
-	line []*request
-	rest time.Duration
+type serialQueue struct {
+	requests    []*request
+	settleUntil time.Duration
 }
 
-func (l *lane) flow(v *volume) *flow {
-	f := l.byVol[v]
+func (l *shardQueue) flow(v *volume) *flow {
+	f := l.flowsByVolume[v]
 	if f == nil {
-		f = &flow{vol: v}
-		l.byVol[v] = f
+		f = &flow{volume: v}
+		l.flowsByVolume[v] = f
 		l.flows = append(l.flows, f)
 	}
 	return f
 }
 
 // hold queues the request at the lane, in order of aim.
-func (l *lane) hold(r *request) {
-	r.lane = l
-	at := len(l.held)
-	for at > 0 && l.held[at-1].fullAim > r.fullAim {
+func (l *shardQueue) enqueue(r *request) {
+	r.queue = l
+	at := len(l.queued)
+	for at > 0 && l.queued[at-1].objectiveAt > r.objectiveAt {
 		at--
 	}
-	l.held = slices.Insert(l.held, at, r)
-	l.flow(r.vol).held++
+	l.queued = slices.Insert(l.queued, at, r)
+	l.flow(r.volume).queued++
 }
 
 // unhold takes the request out of its lane's queue, if it is there.
-func (r *request) unhold() {
-	l := r.lane
-	if i := slices.Index(l.held, r); i >= 0 {
-		l.held = slices.Delete(l.held, i, i+1)
-		l.flow(r.vol).held--
+func (r *request) dequeue() {
+	l := r.queue
+	if i := slices.Index(l.queued, r); i >= 0 {
+		l.queued = slices.Delete(l.queued, i, i+1)
+		l.flow(r.volume).queued--
 	}
 }
 
@@ -173,45 +173,45 @@
 // sweep drops volumes that nothing was asked for since then, their flows and empty lanes, keys at rest, and nodes that
 // are gone.
 func (s *Scheduler) sweep(since time.Duration) {
-	idle := func(v *volume) bool { return v.backlog == 0 && v.filled < since && v.ownAt < since }
-	for _, l := range s.lanes {
+	idle := func(v *volume) bool { return v.backlog == 0 && v.refilledAt < since && v.localRateAt < since }
+	for _, l := range s.shardQueues {
 		l.flows = slices.DeleteFunc(l.flows, func(f *flow) bool {
-			drop := f.held == 0 && idle(f.vol)
+			drop := f.queued == 0 && idle(f.volume)
 			if drop {
-				delete(l.byVol, f.vol)
+				delete(l.flowsByVolume, f.volume)
 			}
 			return drop
 		})
 	}
 	// A lane of a shard that no known node holds, and nothing waits in, is what somebody once asked for in vain.
-	s.lanes = slices.DeleteFunc(s.lanes, func(l *lane) bool {
-		return len(l.held)+len(l.flows) == 0 && !slices.ContainsFunc(s.nodes, func(n *node) bool { return n.Shard == l.shard })
+	s.shardQueues = slices.DeleteFunc(s.shardQueues, func(l *shardQueue) bool {
+		return len(l.queued)+len(l.flows) == 0 && !slices.ContainsFunc(s.targets, func(n *target) bool { return n.Shard == l.shard })
 	})
 	maps.DeleteFunc(s.volumes, func(_ string, v *volume) bool { return idle(v) })
-	maps.DeleteFunc(s.keys, func(_ string, k *orderKey) bool { return len(k.line) == 0 && k.rest < since })
-	s.nodes = slices.DeleteFunc(s.nodes, func(n *node) bool {
-		gone := n.State == Removed && len(n.out) == 0 && n.heard < since
+	maps.DeleteFunc(s.serialQueues, func(_ string, k *serialQueue) bool { return len(k.requests) == 0 && k.settleUntil < since })
+	s.targets = slices.DeleteFunc(s.targets, func(n *target) bool {
+		gone := n.State == Removed && len(n.inFlight) == 0 && n.lastHeard < since
 		if gone {
-			delete(s.byID, n.ID)
+			delete(s.targetsByID, n.ID)
 		}
 		return gone
 	})
 }
 
 // laneOf returns the lane of a shard, made at first need.
-func (s *Scheduler) laneOf(shard int) *lane {
-	for _, l := range s.lanes {
+func (s *Scheduler) shardQueueFor(shard int) *shardQueue {
+	for _, l := range s.shardQueues {
 		if l.shard == shard {
 			return l
 		}
 	}
-	l := &lane{shard: shard, byVol: map[*volume]*flow{}}
-	s.lanes = append(s.lanes, l)
+	l := &shardQueue{shard: shard, flowsByVolume: map[*volume]*flow{}}
+	s.shardQueues = append(s.shardQueues, l)
 	return l
 }
 
 // trim drops the times before from.
-func trim(list []time.Duration, from time.Duration) []time.Duration {
+func trimBefore(list []time.Duration, from time.Duration) []time.Duration {
 	cut := 0
 	for cut < len(list) && list[cut] < from {
 		cut++
@@ -220,27 +220,27 @@
 }
 
 // dueHeap orders requests by when they must be answered.
-type dueHeap []*request
+type deadlineHeap []*request
 
-func (h dueHeap) Len() int { return len(h) }
-func (h dueHeap) Less(i, j int) bool {
-	return h[i].by < h[j].by || h[i].by == h[j].by && h[i].ID < h[j].ID
+func (h deadlineHeap) Len() int { return len(h) }
+func (h deadlineHeap) Less(i, j int) bool {
+	return h[i].answerBy < h[j].answerBy || h[i].answerBy == h[j].answerBy && h[i].ID < h[j].ID
 }
-func (h dueHeap) Swap(i, j int) {
+func (h deadlineHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].heapAt, h[j].heapAt = i, j
+	h[i].heapIndex, h[j].heapIndex = i, j
 }
-func (h *dueHeap) Push(x any) {
+func (h *deadlineHeap) Push(x any) {
 	r := x.(*request)
-	r.heapAt = len(*h)
+	r.heapIndex = len(*h)
 	*h = append(*h, r)
 }
-func (h *dueHeap) Pop() any {
+func (h *deadlineHeap) Pop() any {
 	old := *h
 	r := old[len(old)-1]
-	r.heapAt = -1
+	r.heapIndex = -1
 	*h = old[:len(old)-1]
 	return r
 }
 
-func (s *Scheduler) act(a Action) { s.actions = append(s.actions, a) }
+func (s *Scheduler) emit(a Action) { s.actions = append(s.actions, a) }
