--- a/cmd/initiator/agent.go
+++ b/cmd/initiator/agent.go
@@ -44,7 +44,7 @@
 	if err != nil {
 		return fmt.Errorf("agent.peer.api: %w", err)
 	}
-	a, err := configstore.Start(configstore.Options{ID: set.ID, Dir: set.Dir, Peers: set.Peers, Log: log, Check: checkConfig})
+	a, err := configstore.Start(configstore.Options{ID: set.ID, Dir: set.Dir, Peers: set.Peers, Logger: log, Validate: checkConfig})
 	if err != nil {
 		l.Close()
 		return err
@@ -54,10 +54,10 @@
 	go func() { failed <- a.Serve(l) }()
 	select {
 	case err := <-failed:
-		a.Stop()
+		a.Shutdown()
 		return err
 	case <-stop.Done():
-		return a.Stop()
+		return a.Shutdown()
 	}
 }
 
--- a/cmd/initiator/check.go
+++ b/cmd/initiator/check.go
@@ -29,7 +29,7 @@
 				return err
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "%s: %d classes, %d plans, listens at %s\n",
-				cfg.Name, len(cfg.Module.Classes), len(cfg.Module.Plans), cfg.Listen)
+				cfg.Name, len(cfg.Scheduler.Classes), len(cfg.Scheduler.Plans), cfg.Listen)
 			if op.NVMe != nil {
 				fmt.Fprintf(cmd.OutOrStdout(), "NVMe over TCP: %d namespaces, listens at %s\n",
 					len(op.NVMe.Namespaces), op.NVMe.Listen)
--- a/cmd/initiator/serve.go
+++ b/cmd/initiator/serve.go
@@ -20,6 +20,7 @@
 	"dapplegate/internal/config"
 	"dapplegate/internal/discovery"
 	"dapplegate/internal/dispatcher"
+	"dapplegate/internal/endpoints"
 	"dapplegate/internal/nvme"
 	"dapplegate/internal/upstream"
 	"dapplegate/scheduler"
@@ -77,7 +78,7 @@
 // door is a front: it accepts until it is told to stop, and then finishes what it has taken.
 type door interface {
 	Serve(net.Listener) error
-	Stop(context.Context) error
+	Shutdown(context.Context) error
 }
 
 // serve runs until stop ends, and then until everything taken is answered. Where listening is given, it is called once
@@ -88,36 +89,36 @@
 	runtime.GOMAXPROCS(max(1, int(cfg.Limits.Cores+0.99)))
 	debug.SetMemoryLimit(int64(cfg.Limits.MemoryMB) << 20 * 7 / 10)
 
-	module, err := scheduler.New(cfg.Module, cfg.Seed)
+	module, err := scheduler.New(cfg.Scheduler, cfg.Seed)
 	if err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
 	work, end := context.WithCancel(context.Background())
 	defer end()
-	var wire upstream.Wire = upstream.NewHTTP(int64(cfg.Limits.MemoryMB) << 20 / 4)
+	var wire upstream.Dialer = upstream.NewHTTPDialer(int64(cfg.Limits.MemoryMB) << 20 / 4)
 	if op.NVMe != nil {
 		wire = nvme.NewHost(op.NVMe.Host())
 	}
-	var c *dispatcher.Core
-	up := upstream.NewRegistry(upstream.Options{Wire: wire, Dial: cfg.Dial, Idle: cfg.ConnIdle * 4 / 5,
-		MostConn: cfg.TargetConns(), MostAll: cfg.AllTargetConns(), Log: log}, func(r dispatcher.Result) { c.Report(r) })
+	var c *dispatcher.Dispatcher
+	up := upstream.NewRegistry(upstream.Options{Dialer: wire, DialTimeout: cfg.DialTimeout, IdleTimeout: cfg.ConnIdleTimeout * 4 / 5,
+		MaxConnsPerTarget: cfg.MaxConnsPerTarget(), MaxConns: cfg.MaxTargetConns(), Logger: log}, func(r dispatcher.AttemptResult) { c.ReportResult(r) })
 	clock := dispatcher.NewClock()
-	c = dispatcher.New(module, up, clock, dispatcher.Options{MostHeld: cfg.MostHeld, Margin: answerMargin, Log: log})
+	c = dispatcher.New(module, up, clock, dispatcher.Options{MaxOpenCalls: cfg.MaxOpenCalls, AnswerMargin: answerMargin, Logger: log})
 	var listed atomic.Bool
 	// The targets' actors hear before the module does: a send decided on the older list meets the newer one.
-	starts := discovery.NewStarts(time.Now, func() time.Duration { return clock.At(time.Now()) })
-	tell := func(l *discovery.List) {
+	starts := discovery.NewStartTimes(time.Now, func() time.Duration { return clock.At(time.Now()) })
+	tell := func(l *endpoints.List) {
 		up.Apply(targets(l), l.Full)
 		starts.Apply(l)
-		c.List(nodes(l, starts))
+		c.UpdateEndpoints(nodes(l, starts))
 		listed.Store(true)
 	}
 	go c.Run(work)
 	var spread time.Duration
-	if cfg.Module.PollEndpoints {
-		spread = time.Duration(cfg.Module.Initiators) * discovery.CallFor
+	if cfg.Scheduler.PollEndpoints {
+		spread = time.Duration(cfg.Scheduler.Initiators) * discovery.ExpectedCallTime
 	}
-	list := discovery.New(cfg.Discovery, cfg.Known, spread, tell, log)
+	list := discovery.New(cfg.Discovery, cfg.KnownEndpoints, spread, tell, log)
 	go list.Run(work)
 	go func() {
 		for {
@@ -125,17 +126,17 @@
 			case <-work.Done():
 				return
 			case addr := <-moves:
-				list.Move(addr)
+				list.SetAddress(addr)
 			}
 		}
 	}()
 
 	// With NVMe the platform's front stays for its ready page alone: a target speaks one wire.
-	doors := map[string]door{cfg.Listen: clienthttp.New(c, clienthttp.Options{Classes: cfg.Classes(), Plans: cfg.Plans(),
-		MostConn: cfg.ClientConns(), EasyConn: cfg.EasyConns(), Longest: cfg.Longest(), Ready: listed.Load, ReadyOnly: op.NVMe != nil, Log: log})}
+	doors := map[string]door{cfg.Listen: clienthttp.New(c, clienthttp.Options{Classes: cfg.ClassNames(), Plans: cfg.PlanNames(),
+		MaxConns: cfg.MaxClientConns(), MaxIdleConns: cfg.MaxIdleClientConns(), MaxDeadline: cfg.MaxDeadline(), Ready: listed.Load, HealthOnly: op.NVMe != nil, Logger: log})}
 	if op.NVMe != nil {
 		o := op.NVMe.Controller(cfg)
-		o.Log = log
+		o.Logger = log
 		doors[op.NVMe.Listen] = nvme.New(c, o)
 	}
 	failed := make(chan error, len(doors))
@@ -166,35 +167,35 @@
 		return err
 	case <-stop.Done():
 	}
-	log.Info("leaving", slog.String("reason", "STOPPED"), slog.Int("open", c.Open()))
+	log.Info("leaving", slog.String("reason", "STOPPED"), slog.Int("open", c.OpenCalls()))
 	if !errors.Is(context.Cause(stop), errSucceeded) { // a predecessor is not killed
-		c.Leave(time.Now().Add(dispatcher.ShutdownFor(cfg.Longest()).LastAnswer))
+		c.Shutdown(time.Now().Add(dispatcher.NewShutdownSchedule(cfg.MaxDeadline()).FinalAnswerBy))
 	}
-	bound, done := context.WithTimeout(context.Background(), max(cfg.Longest(), 3*time.Second)+600*time.Millisecond)
+	bound, done := context.WithTimeout(context.Background(), max(cfg.MaxDeadline(), 3*time.Second)+600*time.Millisecond)
 	defer done()
 	ended := make(chan error, len(doors))
 	for _, d := range doors {
-		go func() { ended <- d.Stop(bound) }()
+		go func() { ended <- d.Shutdown(bound) }()
 	}
 	for range doors {
 		err = errors.Join(err, <-ended)
 	}
-	log.Info("left", slog.Int("open", c.Open()))
+	log.Info("left", slog.Int("open", c.OpenCalls()))
 	return err
 }
 
-func targets(l *discovery.List) []upstream.Target {
-	out := make([]upstream.Target, 0, len(l.Servers))
+func targets(l *endpoints.List) []upstream.Endpoint {
+	out := make([]upstream.Endpoint, 0, len(l.Servers))
 	for _, e := range l.Servers {
-		out = append(out, upstream.Target{ID: e.ID, Addr: e.Addr, State: e.Node().State})
+		out = append(out, upstream.Endpoint{ID: e.ID, Addr: e.Addr, State: e.Target().State})
 	}
 	return out
 }
 
-func nodes(l *discovery.List, starts *discovery.Starts) scheduler.EndpointList {
+func nodes(l *endpoints.List, starts *discovery.StartTimes) scheduler.EndpointList {
 	out := scheduler.EndpointList{Complete: l.Full}
 	for _, e := range l.Servers {
-		n := e.Node()
+		n := e.Target()
 		n.Started = starts.At(e)
 		out.Targets = append(out.Targets, n)
 	}
--- a/cmd/simadapter/samples_test.go
+++ b/cmd/simadapter/samples_test.go
@@ -109,11 +109,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var o config.Options
+	var o config.WireSettings
 	if err := json.Unmarshal(raw, &o); err != nil {
 		t.Fatal(err)
 	}
-	got, err := o.Module()
+	got, err := o.SchedulerSettings()
 	want := scheduler.Settings{
 		Initiators: 3, Tick: 2 * time.Millisecond, MaxAttempts: 3, MeanUnits: 1.98, MaxUnits: 6, SlowStartBudget: 38,
 		WithinShareFactor: 0.35, BeyondShareFactor: 0.1, UsageReportPeriod: time.Second, PollEndpoints: true,
--- a/cmd/simadapter/wire.go
+++ b/cmd/simadapter/wire.go
@@ -17,28 +17,28 @@
 
 // event is any wire event; a nil field was absent or null.
 type event struct {
-	Type        *string         `json:"type"`
-	InitiatorID *string         `json:"initiatorId"`
-	InitSeed    *json.Number    `json:"initSeed"`
-	Options     *config.Options `json:"options"`
-	Mode        *string         `json:"mode"`
-	Records     []record        `json:"records"`
-	Rid         *string         `json:"rid"`
-	Tier        *string         `json:"tier"`
-	Writers     *float64        `json:"writers"`
-	Chunk       *string         `json:"chunk"`
-	Vol         *string         `json:"vol"`
-	BudgetUs    *int64          `json:"budgetUs"`
-	Weight      *float64        `json:"weight"`
-	Grade       *string         `json:"grade"`
-	GroupNo     *int            `json:"groupNo"`
-	Leg         *int            `json:"leg"`
-	Target      *string         `json:"target"`
-	StateCode   *string         `json:"stateCode"`
-	SpentUs     *int64          `json:"spentUs"`
-	Complete    *bool           `json:"complete"`
-	Used        *int            `json:"used"`
-	ServerStats *stats          `json:"serverStats"`
+	Type        *string              `json:"type"`
+	InitiatorID *string              `json:"initiatorId"`
+	InitSeed    *json.Number         `json:"initSeed"`
+	Options     *config.WireSettings `json:"options"`
+	Mode        *string              `json:"mode"`
+	Records     []record             `json:"records"`
+	Rid         *string              `json:"rid"`
+	Tier        *string              `json:"tier"`
+	Writers     *float64             `json:"writers"`
+	Chunk       *string              `json:"chunk"`
+	Vol         *string              `json:"vol"`
+	BudgetUs    *int64               `json:"budgetUs"`
+	Weight      *float64             `json:"weight"`
+	Grade       *string              `json:"grade"`
+	GroupNo     *int                 `json:"groupNo"`
+	Leg         *int                 `json:"leg"`
+	Target      *string              `json:"target"`
+	StateCode   *string              `json:"stateCode"`
+	SpentUs     *int64               `json:"spentUs"`
+	Complete    *bool                `json:"complete"`
+	Used        *int                 `json:"used"`
+	ServerStats *stats               `json:"serverStats"`
 }
 
 // stats is a load report; a nil field was absent.
@@ -75,7 +75,7 @@
 
 func missing(field string) error { return config.Missing(field) }
 
-func us(n int64) time.Duration { return config.Us(n) }
+func us(n int64) time.Duration { return config.Microseconds(n) }
 
 // link hosts the instances of one process. They share nothing but the line they are spoken to on.
 type link struct {
@@ -149,7 +149,7 @@
 		if err != nil {
 			return err
 		}
-		set, err := e.Options.Module()
+		set, err := e.Options.SchedulerSettings()
 		if err != nil {
 			return err
 		}
--- a/internal/clienthttp/accept_test.go
+++ b/internal/clienthttp/accept_test.go
@@ -52,7 +52,7 @@
 	s, b, _ := newFront(t, 64)
 	ended := make(chan error, 1)
 	go func() { ended <- s.Serve(failing) }()
-	go func() { (<-b.jobs).Done(dispatcher.Answer{Payload: []byte("x")}) }()
+	go func() { (<-b.jobs).Respond(dispatcher.Response{Payload: []byte("x")}) }()
 	wantServed(t, l.Addr().String(), goodRead, 1)
 	s.http.Close()
 	<-ended
@@ -95,10 +95,10 @@
 	sent := time.Now()
 	io.WriteString(c, goodRead)
 	j := <-b.jobs
-	if late := j.Arrived.Sub(sent); late > failsFor/10 {
+	if late := j.ReceivedAt.Sub(sent); late > failsFor/10 {
 		t.Errorf("the request came %v after it was sent", late)
 	}
-	j.Done(dispatcher.Answer{Payload: []byte("x")})
+	j.Respond(dispatcher.Response{Payload: []byte("x")})
 	// Once the listener has nothing left that waited, a connection is as new as it looks.
 	time.Sleep(failsFor)
 	fresh, err := net.Dial("tcp", l.Addr().String())
@@ -109,8 +109,8 @@
 	sent = time.Now()
 	io.WriteString(fresh, goodRead)
 	j = <-b.jobs
-	if j.Arrived.Before(sent) {
-		t.Errorf("the request came %v before it was sent", sent.Sub(j.Arrived))
+	if j.ReceivedAt.Before(sent) {
+		t.Errorf("the request came %v before it was sent", sent.Sub(j.ReceivedAt))
 	}
-	j.Done(dispatcher.Answer{Payload: []byte("x")})
+	j.Respond(dispatcher.Response{Payload: []byte("x")})
 }
--- a/internal/clienthttp/ahead_test.go
+++ b/internal/clienthttp/ahead_test.go
@@ -37,11 +37,11 @@
 			}
 			for i := range sent {
 				j := <-b.jobs
-				if late := j.Arrived.Sub(sent[i]); late > openFor/10 {
+				if late := j.ReceivedAt.Sub(sent[i]); late > openFor/10 {
 					t.Errorf("request %d came %v after it was sent", i, late)
 				}
 				time.Sleep(openFor)
-				j.Done(dispatcher.Answer{Payload: []byte("x")})
+				j.Respond(dispatcher.Response{Payload: []byte("x")})
 			}
 		})
 	}
--- a/internal/clienthttp/conns.go
+++ b/internal/clienthttp/conns.go
@@ -158,7 +158,7 @@
 
 // gone tells whether the client has ended the connection, also where bytes of it are still unread.
 func (c *clientConn) gone() bool {
-	return c.Conn != nil && socket.PeerGone(c.Conn)
+	return c.Conn != nil && socket.IsPeerClosed(c.Conn)
 }
 
 // took notes that bytes came.
@@ -186,9 +186,9 @@
 	case spent:
 		return claim()
 	case reading:
-		return socket.EndQuiet(c.Conn, lateRefusal, claim)
+		return socket.ShutdownIfQuiet(c.Conn, lateRefusal, claim)
 	}
-	return socket.EndQuiet(c.Conn, "", claim)
+	return socket.ShutdownIfQuiet(c.Conn, "", claim)
 }
 
 // CloseWrite lets net/http half-close, so that an answer is not lost to a reset by bytes it never read.
--- a/internal/clienthttp/holdup_test.go
+++ b/internal/clienthttp/holdup_test.go
@@ -16,9 +16,9 @@
 // heldUp runs, as if the process had been held up there.
 func heldUpFront(t *testing.T, readTimeout time.Duration, heldUp func(*Server)) string {
 	t.Helper()
-	b := &back{jobs: make(chan *dispatcher.Job, 64), gone: make(chan *dispatcher.Job, 64)}
-	s := New(b, Options{Classes: map[string]bool{"get": true, "put": true}, Plans: map[string]bool{"std": true}, MostConn: 64,
-		EasyConn: 64, Longest: 5 * time.Second, Log: slog.New(slog.DiscardHandler)})
+	b := &back{jobs: make(chan *dispatcher.Call, 64), gone: make(chan *dispatcher.Call, 64)}
+	s := New(b, Options{Classes: map[string]bool{"get": true, "put": true}, Plans: map[string]bool{"std": true}, MaxConns: 64,
+		MaxIdleConns: 64, MaxDeadline: 5 * time.Second, Logger: slog.New(slog.DiscardHandler)})
 	s.http.ReadTimeout = readTimeout
 	s.http.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		heldUp(s)
@@ -26,7 +26,7 @@
 	})
 	go func() {
 		for j := range b.jobs {
-			time.AfterFunc(20*time.Millisecond, func() { j.Done(dispatcher.Answer{Payload: []byte("x")}) })
+			time.AfterFunc(20*time.Millisecond, func() { j.Respond(dispatcher.Response{Payload: []byte("x")}) })
 		}
 	}()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/clienthttp/request.go
+++ b/internal/clienthttp/request.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"dapplegate/internal/dispatcher"
-	"dapplegate/internal/upstream"
+	"dapplegate/internal/httpmsg"
 	"dapplegate/scheduler"
 )
 
@@ -25,7 +25,7 @@
 }
 
 // parse reads the head of a request into a job; the body comes later.
-func (s *Server) parse(r *http.Request) (*dispatcher.Job, *upstream.Message, *fault) {
+func (s *Server) parse(r *http.Request) (*dispatcher.Call, *httpmsg.Request, *fault) {
 	// net/http takes a Content-Length beside a Transfer-Encoding for nothing and drops it, and of HTTP/1.0 takes the
 	// coding for nothing: whoever stands before or after may see another request in the body. A length is asked for
 	// instead, of everyone.
@@ -34,8 +34,8 @@
 		return nil, nil, bad(http.StatusLengthRequired, "Transfer-Encoding: a body needs a Content-Length instead")
 	case !r.ProtoAtLeast(1, 1):
 		return nil, nil, bad(http.StatusHTTPVersionNotSupported, "%s: HTTP/1.1 is served", r.Proto)
-	case r.ContentLength > upstream.MaxBody:
-		return nil, nil, bad(http.StatusRequestEntityTooLarge, "body: over %d bytes", upstream.MaxBody)
+	case r.ContentLength > httpmsg.MaxRequestBody:
+		return nil, nil, bad(http.StatusRequestEntityTooLarge, "body: over %d bytes", httpmsg.MaxRequestBody)
 	case r.Method == http.MethodGet && r.ContentLength != 0:
 		return nil, nil, bad(http.StatusBadRequest, "body: a GET has none")
 	}
@@ -70,15 +70,15 @@
 	if f != nil {
 		return nil, nil, f
 	}
-	j := &dispatcher.Job{Request: q, Name: id, Patience: time.Duration(ms) * time.Millisecond}
+	j := &dispatcher.Call{Request: q, ClientRequestID: id, ClientTimeout: time.Duration(ms) * time.Millisecond}
 	j.Class, j.Plan, j.Extent = class, r.Header.Get("Tier"), key
-	if !s.opt.Classes[j.Class] {
+	if !s.options.Classes[j.Class] {
 		return nil, nil, bad(http.StatusNotFound, "class %q is not served here", j.Class)
 	}
-	if !s.opt.Plans[j.Plan] {
+	if !s.options.Plans[j.Plan] {
 		return nil, nil, bad(http.StatusUnprocessableEntity, "Tier: plan %q is not known here", j.Plan)
 	}
-	return j, &upstream.Message{Method: r.Method, URI: r.RequestURI, ID: id}, nil
+	return j, &httpmsg.Request{Method: r.Method, URI: r.RequestURI, ID: id}, nil
 }
 
 // parseInfo reads IO-Info: volume, units, shard and hosts, in any order; other fields are skipped.
--- a/internal/clienthttp/server.go
+++ b/internal/clienthttp/server.go
@@ -15,7 +15,6 @@
 
 	"dapplegate/internal/dispatcher"
 	"dapplegate/internal/socket"
-	"dapplegate/internal/upstream"
 )
 
 const (
@@ -45,40 +44,40 @@
 
 // Options set up the front.
 type Options struct {
-	Classes   map[string]bool
-	Plans     map[string]bool
-	MostConn  int           // clients' connections at a time
-	EasyConn  int           // of these, how many may be without a request
-	Longest   time.Duration // that any client waits
-	Ready     func() bool   // whether requests can be sent on; nil: from the start
-	ReadyOnly bool          // requests come in by another front
-	Log       *slog.Logger
+	Classes      map[string]bool
+	Plans        map[string]bool
+	MaxConns     int           // clients' connections at a time
+	MaxIdleConns int           // of these, how many may be without a request
+	MaxDeadline  time.Duration // that any client waits
+	Ready        func() bool   // whether requests can be sent on; nil: from the start
+	HealthOnly   bool          // requests come in by another front
+	Logger       *slog.Logger
 }
 
 // Core is what the front needs of the core.
-type Core interface {
-	Submit(*dispatcher.Job) bool
-	Depart(*dispatcher.Job)
+type Dispatcher interface {
+	Submit(*dispatcher.Call) bool
+	Cancel(*dispatcher.Call)
 }
 
 // Server is the front.
 type Server struct {
-	opt      Options
-	core     Core
-	http     http.Server
-	listener atomic.Pointer[net.Listener]
-	conns    *connTable
-	shutdown dispatcher.Shutdown
-	left     atomic.Pointer[time.Time] // when Stop was called
-	ending   atomic.Bool               // each answer is its connection's last
+	options    Options
+	dispatcher Dispatcher
+	http       http.Server
+	listener   atomic.Pointer[net.Listener]
+	conns      *connTable
+	shutdown   dispatcher.ShutdownSchedule
+	left       atomic.Pointer[time.Time] // when Stop was called
+	ending     atomic.Bool               // each answer is its connection's last
 }
 
 // New returns a front for the core.
-func New(c Core, opt Options) *Server {
-	s := &Server{opt: opt, core: c, conns: newConnTable(opt.MostConn, opt.EasyConn, opt.Log),
-		shutdown: dispatcher.ShutdownFor(opt.Longest)}
-	s.http = http.Server{Handler: s, ReadTimeout: requestWithin, IdleTimeout: idleFor + idleFor/2 + s.shutdown.ServeFor, MaxHeaderBytes: maxHead,
-		ConnState: s.conns.state, ConnContext: withConn, ErrorLog: slog.NewLogLogger(opt.Log.Handler(), slog.LevelWarn)}
+func New(c Dispatcher, opt Options) *Server {
+	s := &Server{options: opt, dispatcher: c, conns: newConnTable(opt.MaxConns, opt.MaxIdleConns, opt.Logger),
+		shutdown: dispatcher.NewShutdownSchedule(opt.MaxDeadline)}
+	s.http = http.Server{Handler: s, ReadTimeout: requestWithin, IdleTimeout: idleFor + idleFor/2 + s.shutdown.ServeConnsFor, MaxHeaderBytes: maxHead,
+		ConnState: s.conns.state, ConnContext: withConn, ErrorLog: slog.NewLogLogger(opt.Logger.Handler(), slog.LevelWarn)}
 	return s
 }
 
@@ -108,17 +107,17 @@
 
 // Stop leaves ready at once, keeps accepting while clients may still come, serves them for a while on the connections
 // they have, and then finishes what was taken until the context ends.
-func (s *Server) Stop(ctx context.Context) error {
+func (s *Server) Shutdown(ctx context.Context) error {
 	now := time.Now()
 	s.left.Store(&now)
 	s.conns.leave()
-	dispatcher.Pause(ctx, now.Add(dispatcher.LingerFor))
+	dispatcher.WaitUntil(ctx, now.Add(dispatcher.AcceptGrace))
 	if l := s.listener.Load(); l != nil {
 		// The time may be over before the goroutine that accepts has run, or while accept fails: what waits there is a
 		// client's.
-		socket.CloseListener(*l, now.Add(s.shutdown.AnswerBy))
+		socket.DrainListener(*l, now.Add(s.shutdown.AnswerBy))
 	}
-	dispatcher.Pause(ctx, now.Add(s.shutdown.ServeFor))
+	dispatcher.WaitUntil(ctx, now.Add(s.shutdown.ServeConnsFor))
 	// Not by http.Server.Shutdown: it closes what net/http calls idle, and that may have a request half read.
 	s.ending.Store(true)
 	tick := time.NewTicker(endEvery)
@@ -136,16 +135,16 @@
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	conn := connOf(r.Context())
 	arrived := conn.arrival()
-	if ready := r.URL.Path == "/-/ready"; ready || s.opt.ReadyOnly || conn.extra {
+	if ready := r.URL.Path == "/-/ready"; ready || s.options.HealthOnly || conn.extra {
 		conn.claim()
 		switch {
 		case ready:
 			s.ready(w)
-		case s.opt.ReadyOnly:
+		case s.options.HealthOnly:
 			http.NotFound(w, r)
 		default:
 			w.Header().Set("Connection", "close")
-			s.write(w, dispatcher.TooMany)
+			s.write(w, dispatcher.Overloaded)
 		}
 		return
 	}
@@ -157,7 +156,7 @@
 		refuseBad(w, r, conn, f)
 		return
 	}
-	conn.open.Store(&j.Name)
+	conn.open.Store(&j.ClientRequestID)
 	conn.claim()
 	if len(m.Body) > 0 {
 		arrived = conn.arrival()
@@ -166,10 +165,10 @@
 	if err := http.NewResponseController(w).SetReadDeadline(time.Time{}); err != nil && !errors.Is(err, http.ErrNotSupported) {
 		panic(http.ErrAbortHandler)
 	}
-	j.Patience = s.shutdown.Cut(j.Patience, arrived, s.left.Load())
+	j.ClientTimeout = s.shutdown.LimitTimeout(j.ClientTimeout, arrived, s.left.Load())
 	// The core's goroutine must not wait for a client: the answer has a place of its own.
-	final := make(chan dispatcher.Answer, 1)
-	j.Arrived, j.Payload, j.Done, j.Gone = arrived, m, func(a dispatcher.Answer) { final <- a }, conn.gone
+	final := make(chan dispatcher.Response, 1)
+	j.ReceivedAt, j.Payload, j.Respond, j.ClientGone = arrived, m, func(a dispatcher.Response) { final <- a }, conn.gone
 	ahead := conn.ahead
 	select {
 	case <-ahead:
@@ -178,9 +177,9 @@
 		}
 	default:
 	}
-	if !s.core.Submit(j) {
+	if !s.dispatcher.Submit(j) {
 		// Nothing of it was taken or sent: a repeat is harmless.
-		s.write(w, dispatcher.TooMany)
+		s.write(w, dispatcher.Overloaded)
 		return
 	}
 	left := r.Context().Done()
@@ -202,7 +201,7 @@
 		case <-left:
 		}
 		conn.end("CLIENT_LEFT")
-		s.core.Depart(j)
+		s.dispatcher.Cancel(j)
 		// A plain return would be answered with an empty 200, which no target made.
 		panic(http.ErrAbortHandler)
 	}
@@ -212,7 +211,7 @@
 	switch {
 	case s.left.Load() != nil:
 		http.Error(w, "leaving", http.StatusServiceUnavailable)
-	case s.opt.Ready != nil && !s.opt.Ready():
+	case s.options.Ready != nil && !s.options.Ready():
 		http.Error(w, "no list of targets yet", http.StatusServiceUnavailable)
 	default:
 		w.WriteHeader(http.StatusOK)
@@ -236,11 +235,11 @@
 }
 
 // write gives the one final answer. Its length is told ahead, so that a cut one shows.
-func (s *Server) write(w http.ResponseWriter, a dispatcher.Answer) {
+func (s *Server) write(w http.ResponseWriter, a dispatcher.Response) {
 	if s.ending.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	switch a.Ending {
+	switch a.Status {
 	case dispatcher.Served:
 		body, _ := a.Payload.([]byte)
 		http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeWithin))
@@ -249,12 +248,12 @@
 		h.Set("Content-Length", strconv.Itoa(len(body)))
 		w.WriteHeader(http.StatusOK)
 		w.Write(body)
-	case dispatcher.Refused:
+	case dispatcher.Rejected:
 		if a.RetryAfter > 0 {
 			w.Header().Set("Retry-After", fmt.Sprintf("%.3f", a.RetryAfter.Seconds()))
 		}
 		http.Error(w, "refused: trying again is harmless", http.StatusServiceUnavailable)
-	case dispatcher.Conflict:
+	case dispatcher.Duplicate:
 		w.Header().Set("Connection", "close")
 		http.Error(w, "Request-Id: a request of that id is open or may have run", http.StatusConflict)
 	default:
@@ -262,5 +261,4 @@
 	}
 }
 
-var _ Core = (*dispatcher.Core)(nil)
-var _ dispatcher.Upstream = (*upstream.Registry)(nil)
+var _ Dispatcher = (*dispatcher.Dispatcher)(nil)
--- a/internal/clienthttp/server_test.go
+++ b/internal/clienthttp/server_test.go
@@ -20,33 +20,33 @@
 	"pgregory.net/rapid"
 
 	"dapplegate/internal/dispatcher"
+	"dapplegate/internal/httpmsg"
 	"dapplegate/internal/seeded"
-	"dapplegate/internal/upstream"
 )
 
 func TestMain(m *testing.M) { seeded.Main(m) }
 
 // back is the stand-in core: it hands jobs to the test and notes departures.
 type back struct {
-	jobs chan *dispatcher.Job
-	gone chan *dispatcher.Job
+	jobs chan *dispatcher.Call
+	gone chan *dispatcher.Call
 	full bool
 }
 
-func (b *back) Submit(j *dispatcher.Job) bool {
+func (b *back) Submit(j *dispatcher.Call) bool {
 	if b.full {
 		return false
 	}
 	b.jobs <- j
 	return true
 }
-func (b *back) Depart(j *dispatcher.Job) { b.gone <- j }
+func (b *back) Cancel(j *dispatcher.Call) { b.gone <- j }
 
 func newFront(t *testing.T, most int) (*Server, *back, string) {
 	t.Helper()
-	b := &back{jobs: make(chan *dispatcher.Job, 64), gone: make(chan *dispatcher.Job, 64)}
-	s := New(b, Options{Classes: map[string]bool{"get": true, "put": true}, Plans: map[string]bool{"std": true}, MostConn: most, EasyConn: most,
-		Longest: 5 * time.Second, Log: slog.New(slog.DiscardHandler)})
+	b := &back{jobs: make(chan *dispatcher.Call, 64), gone: make(chan *dispatcher.Call, 64)}
+	s := New(b, Options{Classes: map[string]bool{"get": true, "put": true}, Plans: map[string]bool{"std": true}, MaxConns: most, MaxIdleConns: most,
+		MaxDeadline: 5 * time.Second, Logger: slog.New(slog.DiscardHandler)})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -88,18 +88,18 @@
 func TestAnswers(t *testing.T) {
 	_, b, addr := newFront(t, 64)
 	for _, c := range []struct {
-		answer dispatcher.Answer
+		answer dispatcher.Response
 		status int
 		after  string
 		body   string
 	}{
-		{dispatcher.Answer{Payload: []byte("data")}, 200, "", "data"},
-		{dispatcher.Answer{Ending: dispatcher.Refused, RetryAfter: 250 * time.Millisecond}, 503, "0.250", "refused: trying again is harmless\n"},
-		{dispatcher.Answer{Ending: dispatcher.Refused}, 503, "", "refused: trying again is harmless\n"},
-		{dispatcher.Answer{Ending: dispatcher.Conflict}, 409, "", "Request-Id: a request of that id is open or may have run\n"},
-		{dispatcher.Answer{Ending: dispatcher.Failed}, 502, "", "failed: it may have run\n"},
+		{dispatcher.Response{Payload: []byte("data")}, 200, "", "data"},
+		{dispatcher.Response{Status: dispatcher.Rejected, RetryAfter: 250 * time.Millisecond}, 503, "0.250", "refused: trying again is harmless\n"},
+		{dispatcher.Response{Status: dispatcher.Rejected}, 503, "", "refused: trying again is harmless\n"},
+		{dispatcher.Response{Status: dispatcher.Duplicate}, 409, "", "Request-Id: a request of that id is open or may have run\n"},
+		{dispatcher.Response{Status: dispatcher.Failed}, 502, "", "failed: it may have run\n"},
 	} {
-		go func() { (<-b.jobs).Done(c.answer) }()
+		go func() { (<-b.jobs).Respond(c.answer) }()
 		resp, body, _ := ask(t, addr, good)
 		if resp.StatusCode != c.status || body != c.body || resp.Header.Get("Retry-After") != c.after {
 			t.Errorf("%+v: status %d, after %q, body %q", c.answer, resp.StatusCode, resp.Header.Get("Retry-After"), body)
@@ -107,9 +107,9 @@
 	}
 	go func() {
 		j := <-b.jobs
-		m := j.Payload.(*upstream.Message)
-		text := fmt.Sprint(j.Class, j.Plan, j.Volume, j.Extent, j.Units, j.Shard, j.Initiators, j.Patience, m.Method, m.URI, m.ID, string(m.Body))
-		j.Done(dispatcher.Answer{Payload: []byte(text)})
+		m := j.Payload.(*httpmsg.Request)
+		text := fmt.Sprint(j.Class, j.Plan, j.Volume, j.Extent, j.Units, j.Shard, j.Initiators, j.ClientTimeout, m.Method, m.URI, m.ID, string(m.Body))
+		j.Respond(dispatcher.Response{Payload: []byte(text)})
 	}()
 	want := fmt.Sprint("put", "std", "00000003b4d60021", "7f3a9c21e0b4d655", 2.0, 5, 3, 480*time.Millisecond, "PUT", "/put/x/7f3a9c21e0b4d655?q=1", "id1", "body")
 	if _, body, _ := ask(t, addr, good); body != want {
@@ -180,12 +180,12 @@
 // request, and the core refuses it.
 func TestNoTimeLeft(t *testing.T) {
 	_, b, addr := newFront(t, 64)
-	go func() { (<-b.jobs).Done(dispatcher.Answer{Ending: dispatcher.Refused}) }()
+	go func() { (<-b.jobs).Respond(dispatcher.Response{Status: dispatcher.Rejected}) }()
 	resp, _, c := ask(t, addr, strings.Replace(good, "480", "0", 1))
 	if resp.StatusCode != 503 || resp.Close {
 		t.Errorf("status %d, closes %v; want it refused on a connection that lives", resp.StatusCode, resp.Close)
 	}
-	go func() { (<-b.jobs).Done(dispatcher.Answer{Payload: []byte("x")}) }()
+	go func() { (<-b.jobs).Respond(dispatcher.Response{Payload: []byte("x")}) }()
 	if resp, _, _ := say(t, c, good); resp.StatusCode != 200 {
 		t.Errorf("the next request: status %d", resp.StatusCode)
 	}
@@ -267,7 +267,7 @@
 			if i%8 == 0 {
 				time.Sleep(2 * lookEvery)
 			}
-			j.Done(dispatcher.Answer{Payload: []byte("x")})
+			j.Respond(dispatcher.Response{Payload: []byte("x")})
 			resp, err := http.ReadResponse(in, nil)
 			if err != nil || resp.StatusCode != 200 {
 				t.Fatalf("request %d: %+v, %v", i, resp, err)
@@ -288,14 +288,14 @@
 	defer c.Close()
 	io.WriteString(c, strings.Repeat(good, 40))
 	j := <-b.jobs
-	j.Done = func(done func(dispatcher.Answer)) func(dispatcher.Answer) {
-		return func(a dispatcher.Answer) {
+	j.Respond = func(done func(dispatcher.Response)) func(dispatcher.Response) {
+		return func(a dispatcher.Response) {
 			c.(*net.TCPConn).CloseWrite()
 			time.Sleep(5 * time.Millisecond) // for its end to come, still within the first look
 			done(a)
 		}
-	}(j.Done)
-	j.Done(dispatcher.Answer{Payload: []byte("x")})
+	}(j.Respond)
+	j.Respond(dispatcher.Response{Payload: []byte("x")})
 	io.Copy(io.Discard, c)
 	if n := len(b.jobs); n > 0 {
 		t.Errorf("%d more were taken", n)
@@ -329,7 +329,7 @@
 			}
 		})
 	}
-	(<-b.jobs).Done(dispatcher.Answer{Payload: []byte("x")})
+	(<-b.jobs).Respond(dispatcher.Response{Payload: []byte("x")})
 	wait.Go(func() {
 		if resp, _, _ := ask(t, addr, strings.Replace(good, "480", "9999", 1)); resp.StatusCode != 200 {
 			t.Errorf("open for long: status %d", resp.StatusCode)
@@ -337,7 +337,7 @@
 	})
 	j := <-b.jobs
 	time.Sleep(requestWithin + 200*time.Millisecond)
-	j.Done(dispatcher.Answer{Payload: []byte("x")})
+	j.Respond(dispatcher.Response{Payload: []byte("x")})
 	wait.Wait()
 	if len(b.jobs)+len(b.gone) > 0 {
 		t.Errorf("%d more reached the core, %d departed", len(b.jobs), len(b.gone))
@@ -398,7 +398,7 @@
 		time.Sleep(5 * silentFor)
 		go func() {
 			for range 7 {
-				(<-b.jobs).Done(dispatcher.Answer{Payload: []byte("x")})
+				(<-b.jobs).Respond(dispatcher.Response{Payload: []byte("x")})
 			}
 		}()
 		for range 7 {
@@ -406,7 +406,7 @@
 				t.Errorf("%s: a usual client got status %d", name, resp.StatusCode)
 			}
 		}
-		j.Done(dispatcher.Answer{Payload: []byte("late")})
+		j.Respond(dispatcher.Response{Payload: []byte("late")})
 		open.SetDeadline(time.Now().Add(20 * time.Second))
 		if resp, err := http.ReadResponse(bufio.NewReader(open), nil); err != nil || resp.StatusCode != 200 {
 			t.Errorf("%s: the request that was open: %+v, %v", name, resp, err)
@@ -423,7 +423,7 @@
 	s.conns.mu.Unlock()
 	go func() {
 		for range 6 {
-			(<-b.jobs).Done(dispatcher.Answer{Payload: []byte("x")})
+			(<-b.jobs).Respond(dispatcher.Response{Payload: []byte("x")})
 		}
 	}()
 	for range 6 {
@@ -470,7 +470,7 @@
 	s, b, addr := newFront(t, 2)
 	go func() {
 		for j := range b.jobs {
-			j.Done(dispatcher.Answer{Payload: []byte("x")})
+			j.Respond(dispatcher.Response{Payload: []byte("x")})
 		}
 	}()
 	defer close(b.jobs)
@@ -504,7 +504,7 @@
 	if resp.StatusCode != 503 || !resp.Close || len(b.jobs) != 0 {
 		t.Errorf("status %d, closes %v, %d jobs; want a refusal that reaches no core", resp.StatusCode, resp.Close, len(b.jobs))
 	}
-	open.Done(dispatcher.Answer{Payload: []byte("x")})
+	open.Respond(dispatcher.Response{Payload: []byte("x")})
 }
 
 // TestLeaving checks the order of an end: not ready at once, new connections served meanwhile, and what was
@@ -525,7 +525,7 @@
 	}()
 	j := <-b.jobs
 	stopped := make(chan error, 1)
-	go func() { stopped <- s.Stop(context.Background()) }()
+	go func() { stopped <- s.Shutdown(context.Background()) }()
 	for s.left.Load() == nil {
 		time.Sleep(time.Millisecond)
 	}
@@ -533,7 +533,7 @@
 	if resp.StatusCode != 503 {
 		t.Errorf("ready while leaving: %d", resp.StatusCode)
 	}
-	time.Sleep(dispatcher.LingerFor + 100*time.Millisecond)
+	time.Sleep(dispatcher.AcceptGrace + 100*time.Millisecond)
 	if c, err := net.Dial("tcp", addr); err == nil {
 		c.Close()
 		t.Error("still accepting after the linger")
@@ -542,21 +542,21 @@
 	served := make(chan time.Duration, 1)
 	go func() {
 		j := <-b.jobs
-		served <- j.Patience
-		j.Done(dispatcher.Answer{Payload: []byte("kept")})
+		served <- j.ClientTimeout
+		j.Respond(dispatcher.Response{Payload: []byte("kept")})
 	}()
 	if resp, body, _ := say(t, kept, strings.Replace(good, "480", "9999", 1)); resp.StatusCode != 200 || body != "kept" {
 		t.Errorf("on a connection from before: %d, %q", resp.StatusCode, body)
 	}
-	if p := <-served; p > s.shutdown.AnswerBy-dispatcher.LingerFor {
+	if p := <-served; p > s.shutdown.AnswerBy-dispatcher.AcceptGrace {
 		t.Errorf("it may take %v, past the end", p)
 	}
 	select {
 	case <-stopped:
 		t.Error("ended with a request open")
-	case <-time.After(s.shutdown.ServeFor):
+	case <-time.After(s.shutdown.ServeConnsFor):
 	}
-	j.Done(dispatcher.Answer{Payload: []byte("late")})
+	j.Respond(dispatcher.Response{Payload: []byte("late")})
 	wait.Wait()
 	if err := <-stopped; err != nil {
 		t.Error(err)
@@ -569,7 +569,7 @@
 	s, b, addr := newFront(t, 64)
 	go func() {
 		for j := range b.jobs {
-			j.Done(dispatcher.Answer{Payload: []byte("x")})
+			j.Respond(dispatcher.Response{Payload: []byte("x")})
 		}
 	}()
 	defer close(b.jobs)
@@ -581,11 +581,11 @@
 	}
 	defer fresh.Close()
 	stopped := make(chan error, 1)
-	go func() { stopped <- s.Stop(context.Background()) }()
+	go func() { stopped <- s.Shutdown(context.Background()) }()
 	for s.left.Load() == nil {
 		time.Sleep(time.Millisecond)
 	}
-	dispatcher.Pause(context.Background(), s.left.Load().Add(s.shutdown.ServeFor-requestWithin/4))
+	dispatcher.WaitUntil(context.Background(), s.left.Load().Add(s.shutdown.ServeConnsFor-requestWithin/4))
 	for _, c := range []net.Conn{used, fresh} {
 		io.WriteString(c, good[:len(good)/2])
 	}
@@ -713,7 +713,7 @@
 func TestReadyNeedsAList(t *testing.T) {
 	s, _, _ := newFront(t, 64)
 	listed := false
-	s.opt.Ready = func() bool { return listed }
+	s.options.Ready = func() bool { return listed }
 	for _, want := range []int{503, 200} {
 		w := httptest.NewRecorder()
 		s.ServeHTTP(w, httptest.NewRequest("GET", "/-/ready", nil))
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -10,7 +10,7 @@
 
 	jsoniter "github.com/json-iterator/go"
 
-	"dapplegate/internal/discovery"
+	"dapplegate/internal/endpoints"
 	"dapplegate/scheduler"
 )
 
@@ -23,16 +23,16 @@
 
 // Config is everything the program is told.
 type Config struct {
-	Name      string
-	Listen    string
-	Discovery string
-	Seed      uint64
-	Limits    Limits
-	Known     *discovery.List // the list as last had; nil: none
-	Module    scheduler.Settings
-	MostHeld  int
-	ConnIdle  time.Duration
-	Dial      time.Duration
+	Name            string
+	Listen          string
+	Discovery       string
+	Seed            uint64
+	Limits          Limits
+	KnownEndpoints  *endpoints.List // the list as last had; nil: none
+	Scheduler       scheduler.Settings
+	MaxOpenCalls    int
+	ConnIdleTimeout time.Duration
+	DialTimeout     time.Duration
 }
 
 // file is the platform's JSON.
@@ -42,16 +42,16 @@
 	Discovery string          `json:"discovery"`
 	Seed      string          `json:"seed"`
 	Limits    Limits          `json:"limits"`
-	Known     *discovery.List `json:"known"`
-	Settings  *Options        `json:"settings"`
+	Known     *endpoints.List `json:"known"`
+	Settings  *WireSettings   `json:"settings"`
 }
 
 const (
 	defaultSockets  = 1024
 	defaultMemoryMB = 192
 	// mostHeld bounds open requests also where the settings name more: each may hold a body.
-	mostHeld = 4000
-	maxDial  = 250 * time.Millisecond
+	maxOpenCalls = 4000
+	maxDial      = 250 * time.Millisecond
 )
 
 // Load reads the environment and the JSON file that it names. The environment's words, where given, win.
@@ -92,7 +92,7 @@
 			*v.into = s
 		}
 	}
-	c := &Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Limits: f.Limits, Known: f.Known}
+	c := &Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Limits: f.Limits, KnownEndpoints: f.Known}
 	if c.Name == "" {
 		return nil, Missing("name")
 	}
@@ -108,8 +108,8 @@
 	if c.Seed, err = parseSeed(f.Seed); err != nil {
 		return nil, err
 	}
-	if c.Known != nil {
-		if err := c.Known.Check(); err != nil {
+	if c.KnownEndpoints != nil {
+		if err := c.KnownEndpoints.Check(); err != nil {
 			return nil, fmt.Errorf("known: %w", err)
 		}
 	}
@@ -119,16 +119,16 @@
 	if f.Settings == nil {
 		return nil, Missing("settings")
 	}
-	if c.Module, err = f.Settings.Module(); err != nil {
+	if c.Scheduler, err = f.Settings.SchedulerSettings(); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	if _, err = scheduler.New(c.Module, c.Seed); err != nil {
+	if _, err = scheduler.New(c.Scheduler, c.Seed); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	l := f.Settings.Limits
-	c.MostHeld = atMost(l.MostHeld, mostHeld)
-	c.Dial = min(orElse(Us(l.DialTimeoutUs), maxDial), maxDial)
-	c.ConnIdle = orElse(Us(l.ConnIdleUs), 30*time.Second)
+	c.MaxOpenCalls = atMost(l.MostHeld, maxOpenCalls)
+	c.DialTimeout = min(orElse(Microseconds(l.DialTimeoutUs), maxDial), maxDial)
+	c.ConnIdleTimeout = orElse(Microseconds(l.ConnIdleUs), 30*time.Second)
 	return c, nil
 }
 
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -32,12 +32,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Listen != "127.0.0.2:8081" || c.Seed != 0x8c1f30d27a5be964 || c.Dial != 250*time.Millisecond ||
-		c.MostHeld != mostHeld || len(c.Module.Classes) != 3 || *c.Known.Version != 41 {
+	if c.Listen != "127.0.0.2:8081" || c.Seed != 0x8c1f30d27a5be964 || c.DialTimeout != 250*time.Millisecond ||
+		c.MaxOpenCalls != maxOpenCalls || len(c.Scheduler.Classes) != 3 || *c.KnownEndpoints.Version != 41 {
 		t.Errorf("read as %+v", c)
 	}
 	// What the parts may hold together must fit, a few connections that are just being turned away included.
-	if total := c.ClientConns() + c.AllTargetConns() + spareFiles; total > c.Limits.Sockets {
+	if total := c.MaxClientConns() + c.MaxTargetConns() + spareFiles; total > c.Limits.Sockets {
 		t.Errorf("%d descriptors for all parts of %d", total, c.Limits.Sockets)
 	}
 }
@@ -109,10 +109,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if k := o.NVMe.Controller(c); len(k.Namespaces) != 1 || k.Patience["event-write"] != 1200*time.Millisecond {
+	if k := o.NVMe.Controller(c); len(k.Namespaces) != 1 || k.ClassDeadlines["event-write"] != 1200*time.Millisecond {
 		t.Errorf("controller %+v", k)
 	}
-	if h := o.NVMe.Host(); h.HostID[0] != 0x5f || h.KeepAlive != 5*time.Second {
+	if h := o.NVMe.Host(); h.HostID[0] != 0x5f || h.KeepAliveTimeout != 5*time.Second {
 		t.Errorf("host %+v", h)
 	}
 	for _, x := range []struct{ old, new, want string }{
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -141,7 +141,7 @@
 	case len(n.Namespaces) == 0:
 		return errors.New("namespace: at least one")
 	}
-	classes, plans := c.Classes(), c.Plans()
+	classes, plans := c.ClassNames(), c.PlanNames()
 	seen := map[uint32]bool{}
 	for i := range n.Namespaces {
 		s := &n.Namespaces[i]
@@ -159,7 +159,7 @@
 // Host is this initiator as a host of its targets.
 func (n *NVMe) Host() nvme.HostOptions {
 	h := nvme.HostOptions{Subsystem: n.TargetSubsystem, HostNQN: n.HostNQN, Digests: n.Digests,
-		KeepAlive: time.Duration(n.KeepAliveMs) * time.Millisecond}
+		KeepAliveTimeout: time.Duration(n.KeepAliveMs) * time.Millisecond}
 	id, _ := hex.DecodeString(n.HostID)
 	copy(h.HostID[:], id)
 	return h
@@ -169,35 +169,35 @@
 // process's limits.
 func (n *NVMe) Controller(c *Config) nvme.Options {
 	o := nvme.Options{Subsystem: n.Subsystem, Namespaces: n.Namespaces, QueueDepth: n.QueueDepth,
-		MostConn: c.ClientConns(), MostBytes: int64(c.Limits.MemoryMB) << 20 / 4, Patience: map[string]time.Duration{}}
-	for _, k := range c.Module.Classes {
-		o.Patience[k.Name] = k.Deadline
+		MaxConns: c.MaxClientConns(), MaxHeldBytes: int64(c.Limits.MemoryMB) << 20 / 4, ClassDeadlines: map[string]time.Duration{}}
+	for _, k := range c.Scheduler.Classes {
+		o.ClassDeadlines[k.Name] = k.Deadline
 	}
 	return o
 }
 
 // Classes are the names of the classes served.
-func (c *Config) Classes() map[string]bool {
+func (c *Config) ClassNames() map[string]bool {
 	m := map[string]bool{}
-	for _, k := range c.Module.Classes {
+	for _, k := range c.Scheduler.Classes {
 		m[k.Name] = true
 	}
 	return m
 }
 
 // Longest is the longest that any client waits.
-func (c *Config) Longest() time.Duration {
+func (c *Config) MaxDeadline() time.Duration {
 	var d time.Duration
-	for _, k := range c.Module.Classes {
+	for _, k := range c.Scheduler.Classes {
 		d = max(d, k.Deadline)
 	}
 	return d
 }
 
 // Plans are the names of the plans known.
-func (c *Config) Plans() map[string]bool {
+func (c *Config) PlanNames() map[string]bool {
 	m := map[string]bool{}
-	for _, p := range c.Module.Plans {
+	for _, p := range c.Scheduler.Plans {
 		m[p.Name] = true
 	}
 	return m
@@ -212,18 +212,18 @@
 
 // ClientConns is how many connections clients may hold, beside the targets' and the spare descriptors, and in a third of
 // the memory.
-func (c *Config) ClientConns() int {
-	n := min(c.Limits.Sockets-c.AllTargetConns()-spareFiles, c.Limits.MemoryMB<<20/3/clientBytes)
+func (c *Config) MaxClientConns() int {
+	n := min(c.Limits.Sockets-c.MaxTargetConns()-spareFiles, c.Limits.MemoryMB<<20/3/clientBytes)
 	return max(n, 8)
 }
 
 // EasyConns is how many connections of clients may be without a request: half of the third of all descriptors that
 // clients hold at most.
-func (c *Config) EasyConns() int { return c.Limits.Sockets / 6 }
+func (c *Config) MaxIdleClientConns() int { return c.Limits.Sockets / 6 }
 
 // TargetConns is how many connections one target's pool may hold: more than the module ever has out there,
 // overdue attempts included, where the descriptors allow it.
-func (c *Config) TargetConns() int { return min(40, c.AllTargetConns()) }
+func (c *Config) MaxConnsPerTarget() int { return min(40, c.MaxTargetConns()) }
 
 // AllTargetConns is how many connections all targets' pools may hold together.
-func (c *Config) AllTargetConns() int { return c.Limits.Sockets * 4 / 10 }
+func (c *Config) MaxTargetConns() int { return c.Limits.Sockets * 4 / 10 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -12,7 +12,7 @@
 
 // Options is the settings object as the platform writes it, in the simulator's first message and in the
 // configuration alike. Unknown fields are skipped.
-type Options struct {
+type WireSettings struct {
 	PeersTotal *int `json:"peersTotal"`
 	Classes    []struct {
 		Name       string  `json:"name"`
@@ -68,40 +68,40 @@
 func Missing(field string) error { return fmt.Errorf("%s: %w", field, ErrMissing) }
 
 // Us turns the platform's microseconds into a duration.
-func Us(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
+func Microseconds(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
 
 // Module turns the options into the module's settings.
-func (o *Options) Module() (scheduler.Settings, error) {
+func (o *WireSettings) SchedulerSettings() (scheduler.Settings, error) {
 	if o.PeersTotal == nil {
 		return scheduler.Settings{}, Missing("options.peersTotal")
 	}
 	s := scheduler.Settings{
 		Initiators:        *o.PeersTotal,
-		Tick:              Us(o.TickUs),
+		Tick:              Microseconds(o.TickUs),
 		MaxAttempts:       o.Limits.SendCap,
 		MeanUnits:         o.Extra.MeanUnits,
 		WithinShareFactor: o.Extra.FairWorth,
 		BeyondShareFactor: o.Extra.IdleWorth,
 		MaxUnits:          o.Extra.Largest,
 		SlowStartBudget:   o.Extra.ColdBears,
-		UsageReportPeriod: Us(o.Extra.MeteringUs),
+		UsageReportPeriod: Microseconds(o.Extra.MeteringUs),
 		PollEndpoints:     o.RegistryMode == "on_request",
 		Rules: scheduler.Rules{
 			SlowStartInitialCapacity: o.Rules.ColdShare,
-			SlowStartDuration:        Us(o.Rules.WarmWithinUs),
-			SlowStartWindow:          Us(o.Rules.FallUs),
+			SlowStartDuration:        Microseconds(o.Rules.WarmWithinUs),
+			SlowStartWindow:          Microseconds(o.Rules.FallUs),
 			SlowStartOverloadFactor:  o.Rules.TipMultiple,
-			SettleTime:               Us(o.Rules.SettleAfterDoubtUs),
+			SettleTime:               Microseconds(o.Rules.SettleAfterDoubtUs),
 			RetryBudgetMinimum:       o.Rules.ExtraFree,
-			RetryBudgetWindow:        Us(o.Rules.ResendSpanUs),
+			RetryBudgetWindow:        Microseconds(o.Rules.ResendSpanUs),
 		},
 	}
 	if o.Rules.ResendRatio != nil {
 		s.Rules.RetryBudget, s.Rules.RetryBudgetRatio = true, *o.Rules.ResendRatio
 	}
 	for i, c := range o.Classes {
-		k := scheduler.Class{Name: c.Name, LatencyObjective: Us(c.PromiseUs), Deadline: Us(c.DeadlineUs),
-			DedupWindow: Us(c.WindowUs), Serialized: c.Serial, PriorityWeight: c.Worth}
+		k := scheduler.Class{Name: c.Name, LatencyObjective: Microseconds(c.PromiseUs), Deadline: Microseconds(c.DeadlineUs),
+			DedupWindow: Microseconds(c.WindowUs), Serialized: c.Serial, PriorityWeight: c.Worth}
 		switch c.Effect {
 		case "pure":
 			k.Idempotency = scheduler.Idempotent
--- a/internal/configstore/server.go
+++ b/internal/configstore/server.go
@@ -34,29 +34,29 @@
 
 // Options set up one agent.
 type Options struct {
-	ID      string
-	Dir     string                                 // holds its log, votes and snapshots
-	Peers   []Peer                                 // all agents, this one included
-	Check   func(name string, config []byte) error // whether the instance could start from it
-	Log     *slog.Logger
-	Timeout time.Duration // of heartbeats and elections; 0: one second
+	ID              string
+	Dir             string                                 // holds its log, votes and snapshots
+	Peers           []Peer                                 // all agents, this one included
+	Validate        func(name string, config []byte) error // whether the instance could start from it
+	Logger          *slog.Logger
+	ElectionTimeout time.Duration // of heartbeats and elections; 0: one second
 }
 
 // Agent is one of the few that replicate the log.
-type Agent struct {
-	opt   Options
-	self  Peer
-	store *store
-	raft  *raft.Raft
-	bolt  *raftboltdb.BoltStore
-	trans *raft.NetworkTransport
-	http  http.Server
+type Server struct {
+	options Options
+	self    Peer
+	store   *store
+	raft    *raft.Raft
+	bolt    *raftboltdb.BoltStore
+	trans   *raft.NetworkTransport
+	http    http.Server
 }
 
 // Start opens the durable store and joins the others. An agent that has no state yet begins with the peers it
 // is told of; one that has goes on from its log.
-func Start(opt Options) (_ *Agent, err error) {
-	a := &Agent{opt: opt, store: newStore()}
+func Start(opt Options) (_ *Server, err error) {
+	a := &Server{options: opt, store: newStore()}
 	var servers []raft.Server
 	for _, p := range opt.Peers {
 		if p.ID == opt.ID {
@@ -78,7 +78,7 @@
 	if a.bolt, err = raftboltdb.NewBoltStore(filepath.Join(opt.Dir, "raft.db")); err != nil {
 		return nil, fmt.Errorf("agent.dir: %w", err)
 	}
-	log := hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Warn, Output: logWriter{opt.Log}})
+	log := hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Warn, Output: logWriter{opt.Logger}})
 	snaps, err := raft.NewFileSnapshotStoreWithLogger(opt.Dir, 2, log)
 	if err != nil {
 		return nil, fmt.Errorf("agent.dir: %w", err)
@@ -92,8 +92,8 @@
 	}
 	cfg := raft.DefaultConfig()
 	cfg.LocalID, cfg.Logger = raft.ServerID(opt.ID), log
-	if opt.Timeout > 0 {
-		cfg.HeartbeatTimeout, cfg.ElectionTimeout, cfg.LeaderLeaseTimeout = opt.Timeout, opt.Timeout, opt.Timeout/2
+	if opt.ElectionTimeout > 0 {
+		cfg.HeartbeatTimeout, cfg.ElectionTimeout, cfg.LeaderLeaseTimeout = opt.ElectionTimeout, opt.ElectionTimeout, opt.ElectionTimeout/2
 	}
 	known, err := raft.HasExistingState(a.bolt, a.bolt, snaps)
 	if err != nil {
@@ -126,7 +126,7 @@
 }
 
 // Serve answers commands and instances until Stop.
-func (a *Agent) Serve(l net.Listener) error {
+func (a *Server) Serve(l net.Listener) error {
 	if err := a.http.Serve(l); !errors.Is(err, http.ErrServerClosed) {
 		return err
 	}
@@ -134,7 +134,7 @@
 }
 
 // Stop leaves the others in an orderly way and closes the durable store.
-func (a *Agent) Stop() error {
+func (a *Server) Shutdown() error {
 	ctx, done := context.WithTimeout(context.Background(), time.Second)
 	defer done()
 	if a.http.Shutdown(ctx) != nil {
@@ -145,7 +145,7 @@
 	return err
 }
 
-func (a *Agent) release() {
+func (a *Server) release() {
 	if a.trans != nil {
 		a.trans.Close()
 	}
@@ -162,9 +162,9 @@
 	Applied uint64 `json:"applied"`
 }
 
-func (a *Agent) status(w http.ResponseWriter, _ *http.Request) {
+func (a *Server) status(w http.ResponseWriter, _ *http.Request) {
 	_, leader := a.raft.LeaderWithID()
-	reply(w, http.StatusOK, Status{ID: a.opt.ID, State: a.raft.State().String(), Leader: string(leader), Applied: a.raft.AppliedIndex()})
+	reply(w, http.StatusOK, Status{ID: a.options.ID, State: a.raft.State().String(), Leader: string(leader), Applied: a.raft.AppliedIndex()})
 }
 
 func reply(w http.ResponseWriter, status int, v any) {
@@ -174,13 +174,13 @@
 }
 
 // elsewhere sends a client to the leader; false where this agent leads, and has just made sure that it does.
-func (a *Agent) elsewhere(w http.ResponseWriter, r *http.Request) bool {
+func (a *Server) elsewhere(w http.ResponseWriter, r *http.Request) bool {
 	if a.raft.State() == raft.Leader && a.raft.VerifyLeader().Error() == nil {
 		return false
 	}
 	_, id := a.raft.LeaderWithID()
-	for _, p := range a.opt.Peers {
-		if p.ID == string(id) && p.ID != a.opt.ID {
+	for _, p := range a.options.Peers {
+		if p.ID == string(id) && p.ID != a.options.ID {
 			http.Redirect(w, r, "http://"+p.API+r.URL.RequestURI(), http.StatusTemporaryRedirect)
 			return true
 		}
@@ -192,7 +192,7 @@
 // stale tells whether the caller takes what this agent has, however old.
 func stale(r *http.Request) bool { return r.URL.Query().Has("stale") }
 
-func (a *Agent) list(w http.ResponseWriter, r *http.Request) {
+func (a *Server) list(w http.ResponseWriter, r *http.Request) {
 	if stale(r) || !a.elsewhere(w, r) {
 		reply(w, http.StatusOK, a.store.all())
 	}
@@ -200,7 +200,7 @@
 
 // get returns an entry: the latest, from the leader; or with stale what this agent has, waiting until it is
 // another version than after.
-func (a *Agent) get(w http.ResponseWriter, r *http.Request) {
+func (a *Server) get(w http.ResponseWriter, r *http.Request) {
 	if !stale(r) && a.elsewhere(w, r) {
 		return
 	}
@@ -233,7 +233,7 @@
 
 // put writes or takes away an entry through the log. A configuration that an instance could not start from is
 // refused before it gets there.
-func (a *Agent) put(w http.ResponseWriter, r *http.Request) {
+func (a *Server) put(w http.ResponseWriter, r *http.Request) {
 	if a.elsewhere(w, r) {
 		return
 	}
@@ -252,7 +252,7 @@
 			http.Error(w, "configuration: not whole or too large", http.StatusRequestEntityTooLarge)
 			return
 		}
-		if err := a.opt.Check(c.Name, body); err != nil {
+		if err := a.options.Validate(c.Name, body); err != nil {
 			http.Error(w, err.Error(), http.StatusUnprocessableEntity)
 			return
 		}
--- a/internal/configstore/server_test.go
+++ b/internal/configstore/server_test.go
@@ -45,13 +45,13 @@
 	t      *testing.T
 	peers  []Peer
 	dirs   []string
-	agents []*Agent
+	agents []*Server
 	Client
 }
 
 func newThree(t *testing.T) *three {
 	t.Helper()
-	g := &three{t: t, agents: make([]*Agent, 3)}
+	g := &three{t: t, agents: make([]*Server, 3)}
 	addrs := freeAddrs(t, 6)
 	for i := range 3 {
 		g.peers = append(g.peers, Peer{ID: fmt.Sprint("agent-", i), Raft: addrs[i], API: addrs[3+i]})
@@ -73,7 +73,7 @@
 
 func (g *three) start(i int) {
 	g.t.Helper()
-	a, err := Start(Options{ID: g.peers[i].ID, Dir: g.dirs[i], Peers: g.peers, Check: check, Log: quiet, Timeout: 500 * time.Millisecond})
+	a, err := Start(Options{ID: g.peers[i].ID, Dir: g.dirs[i], Peers: g.peers, Validate: check, Logger: quiet, ElectionTimeout: 500 * time.Millisecond})
 	if err != nil {
 		g.t.Fatal(err)
 	}
@@ -87,7 +87,7 @@
 
 func (g *three) stop(i int) {
 	g.t.Helper()
-	if err := g.agents[i].Stop(); err != nil {
+	if err := g.agents[i].Shutdown(); err != nil {
 		g.t.Error(err)
 	}
 	g.agents[i] = nil
--- a/internal/configstore/stored_test.go
+++ b/internal/configstore/stored_test.go
@@ -24,11 +24,11 @@
 		t.Fatal(err)
 	}
 	peer := storedPeer(t)
-	a, err := Start(Options{ID: peer.ID, Dir: dir, Peers: []Peer{peer}, Check: check, Log: quiet, Timeout: 500 * time.Millisecond})
+	a, err := Start(Options{ID: peer.ID, Dir: dir, Peers: []Peer{peer}, Validate: check, Logger: quiet, ElectionTimeout: 500 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer a.Stop()
+	defer a.Shutdown()
 	for end := time.Now().Add(time.Minute); a.raft.State() != raft.Leader || a.raft.VerifyLeader().Error() != nil; {
 		if time.Now().After(end) {
 			t.Fatal("no leader within a minute")
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -12,10 +12,8 @@
 	"net/http"
 	"time"
 
-	jsoniter "github.com/json-iterator/go"
-
+	"dapplegate/internal/endpoints"
 	"dapplegate/internal/mailbox"
-	"dapplegate/scheduler"
 )
 
 const (
@@ -32,88 +30,25 @@
 	// CallFor is about what one call takes of a discovery that serves all initiators in turn: 85 to 190 ms on
 	// recording r883, by the length of the list. Calls given up while they wait their turn take it all the same,
 	// so a fleet that asks at once, or again soon after a failure, is never served.
-	CallFor = 100 * time.Millisecond
+	ExpectedCallTime = 100 * time.Millisecond
 	// mostSpread bounds the pause before a first call and after one that failed, whatever the size of the fleet: a change
 	// counts as told 6 s after discovery could be reached, and the call itself may take turnFor.
 	mostSpread = 3 * time.Second
 	maxList    = 4 << 20
 )
 
-// Entry is a target as the list tells it.
-type Entry struct {
-	ID      string `json:"id"`
-	Addr    string `json:"addr"`
-	Zone    string `json:"zone"`
-	Cell    *int   `json:"cell"`
-	State   string `json:"state"`
-	Started int64  `json:"started_ms"`
-}
-
-// List is the whole list or a change of it.
-type List struct {
-	Version *int64  `json:"version"`
-	Full    bool    `json:"full"`
-	Servers []Entry `json:"servers"`
-}
-
-// Decode reads a list and checks it: a list that is not understood whole is not used at all.
-func Decode(b []byte) (*List, error) {
-	var l List
-	if err := jsoniter.ConfigCompatibleWithStandardLibrary.Unmarshal(b, &l); err != nil {
-		return nil, fmt.Errorf("list: %w", err)
-	}
-	return &l, l.Check()
-}
-
-// Check names the first field that cannot be used.
-func (l *List) Check() error {
-	if l.Version == nil {
-		return fmt.Errorf("list: version is missing")
-	}
-	for i, e := range l.Servers {
-		_, known := states[e.State]
-		switch {
-		case e.ID == "":
-			return fmt.Errorf("list: servers[%d].id is missing", i)
-		case !known:
-			return fmt.Errorf("list: servers[%d].state: unknown state %q", i, e.State)
-		case e.State == "DELETED":
-		case e.Cell == nil:
-			return fmt.Errorf("list: servers[%d].cell is missing", i)
-		}
-		if _, _, err := net.SplitHostPort(e.Addr); err != nil && e.State != "DELETED" {
-			return fmt.Errorf("list: servers[%d].addr: %w", i, err)
-		}
-	}
-	return nil
-}
-
 // errList marks a list that makes no sense: what is held may not be what a change would follow.
 var errList = errors.New("not usable")
 
-var states = map[string]scheduler.TargetState{
-	"SERVING": scheduler.Serving, "DRAINING": scheduler.Draining, "DELETED": scheduler.Removed,
-}
-
-// Node is the entry as the module knows it.
-func (e Entry) Node() scheduler.Target {
-	n := scheduler.Target{ID: e.ID, Zone: e.Zone, State: states[e.State],
-		Started: time.Duration(e.Started) * time.Millisecond}
-	if e.Cell != nil {
-		n.Shard = *e.Cell
-	}
-	return n
-}
-
 // Watcher is the list's actor: what its calls bring waits in its mailbox and is told in order, so that the
 // next call, which may not come later than 200 ms after the last answer, waits for nobody.
 type Watcher struct {
 	addr   string // where it starts
 	spread time.Duration
-	tell   func(*List)
+	tell   func(*endpoints.List)
 	log    *slog.Logger
 	call   http.Client
-	box    *mailbox.Box[*List]
+	box    *mailbox.Box[*endpoints.List]
 	moves  *mailbox.Box[string]
 	apart  bool  // the next call comes at a moment of its own, of the fleet's
 	has    int64 // the version that came last; -1: none that a change could follow
@@ -122,8 +57,8 @@
 // New returns a watcher of discovery at addr. It tells the list as last known first, if there is one, however
 // old; then what comes. Where one discovery serves all initiators, their first calls come within spread of their
 // starts and of a failure, each at a moment of its own; 0: it is this initiator's alone.
-func New(addr string, known *List, spread time.Duration, tell func(*List), log *slog.Logger) *Watcher {
-	w := &Watcher{addr: addr, spread: min(spread, mostSpread), tell: tell, log: log, box: mailbox.New[*List](),
+func New(addr string, known *endpoints.List, spread time.Duration, tell func(*endpoints.List), log *slog.Logger) *Watcher {
+	w := &Watcher{addr: addr, spread: min(spread, mostSpread), tell: tell, log: log, box: mailbox.New[*endpoints.List](),
 		moves: mailbox.New[string](), has: -1}
 	if known != nil {
 		whole := *known
@@ -138,7 +73,7 @@
 
 // Move has discovery asked at another address from now on, for the whole list first: what the old one had still
 // to tell is not waited for.
-func (w *Watcher) Move(addr string) { w.moves.Put(addr) }
+func (w *Watcher) SetAddress(addr string) { w.moves.Put(addr) }
 
 // Run tells until the context ends.
 func (w *Watcher) Run(ctx context.Context) {
@@ -247,7 +182,7 @@
 	}
 }
 
-func (w *Watcher) fetch(ctx context.Context, url string, within time.Duration) (*List, error) {
+func (w *Watcher) fetch(ctx context.Context, url string, within time.Duration) (*endpoints.List, error) {
 	ctx, stop := context.WithTimeout(ctx, within)
 	defer stop()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
@@ -266,7 +201,7 @@
 	case resp.StatusCode != http.StatusOK:
 		return nil, fmt.Errorf("status %d", resp.StatusCode)
 	}
-	l, err := Decode(body)
+	l, err := endpoints.Decode(body)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", errList, err)
 	}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -14,6 +14,7 @@
 
 	"pgregory.net/rapid"
 
+	"dapplegate/internal/endpoints"
 	"dapplegate/internal/seeded"
 	"dapplegate/scheduler"
 )
@@ -61,11 +62,11 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	told := make(chan int64, 64)
-	known, err := Decode([]byte(list(3, false, one)))
+	known, err := endpoints.Decode([]byte(list(3, false, one)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := New(strings.TrimPrefix(s.URL, "http://"), known, 0, func(l *List) { told <- *l.Version }, slog.New(slog.DiscardHandler))
+	w := New(strings.TrimPrefix(s.URL, "http://"), known, 0, func(l *endpoints.List) { told <- *l.Version }, slog.New(slog.DiscardHandler))
 	go w.Run(ctx)
 	for i, a := range answers {
 		if got := <-asked; got != a.ask {
@@ -108,14 +109,14 @@
 	for _, fail := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, stop := context.WithCancel(context.WithValue(context.Background(), beganKey{}, time.Now()))
-			known, err := Decode([]byte(list(0, true, one)))
+			known, err := endpoints.Decode([]byte(list(0, true, one)))
 			if err != nil {
 				t.Fatal(err)
 			}
 			all := make([]*calls, fleet)
 			for i := range all {
 				all[i] = &calls{fail: fail}
-				w := New("127.0.0.1:1", known, fleet*CallFor, func(*List) {}, slog.New(slog.DiscardHandler))
+				w := New("127.0.0.1:1", known, fleet*ExpectedCallTime, func(*endpoints.List) {}, slog.New(slog.DiscardHandler))
 				w.call.Transport = all[i]
 				go w.Run(ctx)
 			}
@@ -180,7 +181,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			ctx, stop := context.WithCancel(context.WithValue(context.Background(), beganKey{}, time.Now()))
 			s := &silent{}
-			w := New("127.0.0.1:1", nil, spread, func(*List) {}, slog.New(slog.DiscardHandler))
+			w := New("127.0.0.1:1", nil, spread, func(*endpoints.List) {}, slog.New(slog.DiscardHandler))
 			w.call.Transport = s
 			go w.Run(ctx)
 			time.Sleep(2 * time.Minute)
@@ -221,15 +222,15 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	told := make(chan int64, 64)
-	w := New(strings.TrimPrefix(first.URL, "http://"), nil, 0, func(l *List) { told <- *l.Version }, slog.New(slog.DiscardHandler))
+	w := New(strings.TrimPrefix(first.URL, "http://"), nil, 0, func(l *endpoints.List) { told <- *l.Version }, slog.New(slog.DiscardHandler))
 	go w.Run(ctx)
 	for _, want := range []string{"/api/targets", "/api/targets?after=9&wait_ms=20000"} {
 		if got := <-askedFirst; got != want {
 			t.Fatalf("at first %q was asked, want %q", got, want)
 		}
 	}
-	w.Move("127.0.0.1:1")
-	w.Move(strings.TrimPrefix(second.URL, "http://"))
+	w.SetAddress("127.0.0.1:1")
+	w.SetAddress(strings.TrimPrefix(second.URL, "http://"))
 	for _, want := range []string{"/api/targets", "/api/targets?after=4&wait_ms=20000"} {
 		if got := <-askedSecond; got != want {
 			t.Fatalf("after the move %q was asked, want %q", got, want)
@@ -259,8 +260,8 @@
 	for range 20 {
 		ctx, stop := context.WithCancel(context.Background())
 		told := make(chan int64, 64)
-		w := New("127.0.0.1:1", nil, 0, func(l *List) { told <- *l.Version }, slog.New(slog.DiscardHandler))
-		w.Move(strings.TrimPrefix(s.URL, "http://"))
+		w := New("127.0.0.1:1", nil, 0, func(l *endpoints.List) { told <- *l.Version }, slog.New(slog.DiscardHandler))
+		w.SetAddress(strings.TrimPrefix(s.URL, "http://"))
 		go w.Run(ctx)
 		if got := <-told; got != 4 {
 			t.Errorf("told of version %d, want 4", got)
@@ -278,19 +279,19 @@
 		{"odd state", list(1, true, strings.Replace(one, "SERVING", "ODD", 1)), `unknown state "ODD"`},
 		{"odd address", list(1, true, strings.Replace(one, "127.0.0.1:1", "here", 1)), "servers[0].addr"},
 	} {
-		if _, err := Decode([]byte(c.in)); err == nil || !strings.Contains(err.Error(), c.want) {
+		if _, err := endpoints.Decode([]byte(c.in)); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v, want %q", c.name, err, c.want)
 		}
 	}
-	l, err := Decode([]byte(list(1, false, one, `{"id":"b","state":"DELETED"}`)))
+	l, err := endpoints.Decode([]byte(list(1, false, one, `{"id":"b","state":"DELETED"}`)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	want := scheduler.Target{ID: "a", Zone: "z", Shard: 3, Started: 7 * time.Millisecond}
-	if got := l.Servers[0].Node(); got != want {
+	if got := l.Servers[0].Target(); got != want {
 		t.Errorf("entry %+v, want %+v", got, want)
 	}
-	if got := l.Servers[1].Node(); got.State != scheduler.Removed {
+	if got := l.Servers[1].Target(); got.State != scheduler.Removed {
 		t.Errorf("deleted entry %+v", got)
 	}
 }
@@ -299,13 +300,13 @@
 func TestListCuts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		whole := list(rapid.IntRange(0, 99).Draw(t, "version"), rapid.Bool().Draw(t, "full"), one, one)
-		if _, err := Decode([]byte(whole)); err != nil {
+		if _, err := endpoints.Decode([]byte(whole)); err != nil {
 			t.Fatal(err)
 		}
 		cut := whole[:rapid.IntRange(0, len(whole)-1).Draw(t, "cut")]
-		if l, err := Decode([]byte(cut)); err == nil {
+		if l, err := endpoints.Decode([]byte(cut)); err == nil {
 			t.Fatalf("%q passed as %+v", cut, l)
 		}
-		Decode(rapid.SliceOf(rapid.Byte()).Draw(t, "garbage"))
+		endpoints.Decode(rapid.SliceOf(rapid.Byte()).Draw(t, "garbage"))
 	})
 }
--- a/internal/discovery/starts.go
+++ b/internal/discovery/starts.go
@@ -1,13 +1,17 @@
 package discovery
 
-import "time"
+import (
+	"time"
+
+	"dapplegate/internal/endpoints"
+)
 
 // leastStep is by how much the wall clock must move against the other to have been stepped: adjustments are slower.
 const leastStep = 50 * time.Millisecond
 
 // Starts maps the starts of targets, which the list tells in wall-clock time, onto a clock that no step of the wall clock
 // moves. It is not safe for concurrent use.
-type Starts struct {
+type StartTimes struct {
 	wall     func() time.Time
 	now      func() time.Duration
 	offset   time.Duration // of the wall clock against the other
@@ -22,12 +26,12 @@
 }
 
 // NewStarts returns an empty map between the wall clock and another, which began with its time.
-func NewStarts(wall func() time.Time, now func() time.Duration) *Starts {
-	return &Starts{wall: wall, now: now, known: map[string]start{}}
+func NewStartTimes(wall func() time.Time, now func() time.Duration) *StartTimes {
+	return &StartTimes{wall: wall, now: now, known: map[string]start{}}
 }
 
 // Apply takes over what a list tells of starts. A start that is known already stays where it is.
-func (s *Starts) Apply(l *List) {
+func (s *StartTimes) Apply(l *endpoints.List) {
 	now := s.now()
 	s.watchOffset(now)
 	listed := make(map[string]bool, len(l.Servers))
@@ -51,10 +55,10 @@
 }
 
 // At is when the target of an entry started; 0: long ago.
-func (s *Starts) At(e Entry) time.Duration { return s.known[e.ID].at }
+func (s *StartTimes) At(e endpoints.Entry) time.Duration { return s.known[e.ID].at }
 
 // watchOffset notes a step of the wall clock.
-func (s *Starts) watchOffset(now time.Duration) {
+func (s *StartTimes) watchOffset(now time.Duration) {
 	offset := time.Duration(s.wall().UnixNano()) - now
 	if (offset - s.offset).Abs() >= leastStep {
 		s.previous, s.offset = s.offset, offset
@@ -63,7 +67,7 @@
 
 // place finds when a target started. The last step may have come before that or after it: what makes the target the
 // younger is believed, since one that has just started bears little.
-func (s *Starts) place(told int64, now time.Duration) time.Duration {
+func (s *StartTimes) place(told int64, now time.Duration) time.Duration {
 	if told == 0 {
 		return 0
 	}
--- a/internal/discovery/starts_test.go
+++ b/internal/discovery/starts_test.go
@@ -3,6 +3,8 @@
 import (
 	"testing"
 	"time"
+
+	"dapplegate/internal/endpoints"
 )
 
 // steppedClock is a wall clock that a test steps, beside one that runs on.
@@ -24,27 +26,27 @@
 	for _, step := range []time.Duration{0, -hour, hour, -3 * time.Second, 3 * time.Second} {
 		for _, before := range []bool{true, false} { // the target starts before the step, or after it
 			c := &steppedClock{now: begun}
-			s := NewStarts(c.wall, func() time.Duration { return c.now })
-			s.Apply(&List{Full: true, Servers: []Entry{{ID: "old"}}})
+			s := NewStartTimes(c.wall, func() time.Duration { return c.now })
+			s.Apply(&endpoints.List{Full: true, Servers: []endpoints.Entry{{ID: "old"}}})
 			c.now += time.Minute
 			if !before {
 				c.step = step
 			}
-			e := Entry{ID: "new", Started: c.wall().UnixMilli()}
+			e := endpoints.Entry{ID: "new", Started: c.wall().UnixMilli()}
 			c.now += age
 			c.step = step
-			s.Apply(&List{Servers: []Entry{e}})
+			s.Apply(&endpoints.List{Servers: []endpoints.Entry{e}})
 			at := s.At(e)
 			if got := c.now - at; got < 0 || got > age+time.Second {
 				t.Errorf("step %v, started before it %v: age %v, want %v", step, before, got, age)
 			}
 			c.now += time.Minute
 			c.step -= hour
-			s.Apply(&List{Servers: []Entry{e}})
+			s.Apply(&endpoints.List{Servers: []endpoints.Entry{e}})
 			if s.At(e) != at {
 				t.Errorf("step %v: the start of a target moved with a later step", step)
 			}
-			if s.At(Entry{ID: "old"}) != 0 {
+			if s.At(endpoints.Entry{ID: "old"}) != 0 {
 				t.Error("a start long ago is one no more")
 			}
 		}
--- a/internal/dispatcher/dispatcher_test.go
+++ b/internal/dispatcher/dispatcher_test.go
@@ -34,21 +34,21 @@
 
 // hand is a core stepped by hand.
 type hand struct {
-	*Core
+	*Dispatcher
 	up  *fake
 	now time.Time
 }
 
 func newHand(t *testing.T) *hand {
 	h := &hand{up: &fake{}, now: time.Now()}
-	h.Core = New(module(t), h.up, NewClock(), Options{MostHeld: 100, Margin: 10 * time.Millisecond})
+	h.Dispatcher = New(module(t), h.up, NewClock(), Options{MaxOpenCalls: 100, AnswerMargin: 10 * time.Millisecond})
 	h.step(h.now, []any{scheduler.EndpointList{Complete: true, Targets: []scheduler.Target{{ID: "n"}}}})
 	return h
 }
 
-func job(class string, arrived time.Time, answers *[]Answer) *Job {
-	return &Job{Request: scheduler.Request{Class: class, Plan: "std", Volume: "v", Units: 1, Initiators: 1},
-		Arrived: arrived, Patience: 2 * time.Second, Done: func(a Answer) { *answers = append(*answers, a) }}
+func job(class string, arrived time.Time, answers *[]Response) *Call {
+	return &Call{Request: scheduler.Request{Class: class, Plan: "std", Volume: "v", Units: 1, Initiators: 1},
+		ReceivedAt: arrived, ClientTimeout: 2 * time.Second, Respond: func(a Response) { *answers = append(*answers, a) }}
 }
 
 // later steps the core at timers until the time has passed.
@@ -62,21 +62,21 @@
 // TestOneFinalAnswer plays outcomes twice, late and of attempts that never were: one answer is given.
 func TestOneFinalAnswer(t *testing.T) {
 	h := newHand(t)
-	var answers []Answer
+	var answers []Response
 	h.step(h.now, []any{submitted{job("get", h.now, &answers)}})
 	if len(h.up.sent) != 1 {
 		t.Fatalf("%d attempts, want 1", len(h.up.sent))
 	}
-	r := Result{Request: h.up.sent[0].Request, Node: "n", Code: scheduler.Succeeded, Payload: "body"}
+	r := AttemptResult{RequestID: h.up.sent[0].RequestID, Target: "n", Status: scheduler.Succeeded, Payload: "body"}
 	wrong := r
 	wrong.Number = 3
 	h.step(h.now, []any{wrong, r, r})
 	h.step(h.now, []any{r})
-	if len(answers) != 1 || answers[0].Ending != Served || answers[0].Payload != "body" {
+	if len(answers) != 1 || answers[0].Status != Served || answers[0].Payload != "body" {
 		t.Fatalf("answers %+v, want one", answers)
 	}
-	if len(h.open) != 0 {
-		t.Errorf("%d requests kept", len(h.open))
+	if len(h.calls) != 0 {
+		t.Errorf("%d requests kept", len(h.calls))
 	}
 }
 
@@ -84,20 +84,20 @@
 // with an attempt out, or that has run. A name whose request was never sent may come again.
 func TestNameOnce(t *testing.T) {
 	h := newHand(t)
-	var answers []Answer
-	submit := func(name, class string) *Job {
+	var answers []Response
+	submit := func(name, class string) *Call {
 		j := job(class, h.now, &answers)
-		j.Name = name
+		j.ClientRequestID = name
 		if !h.Submit(j) {
 			t.Fatal("not taken")
 		}
-		h.step(h.now, h.box.Take(nil))
+		h.step(h.now, h.inbox.Take(nil))
 		return j
 	}
 	conflict := func(when string) {
 		t.Helper()
 		submit("a", "put")
-		if len(answers) == 0 || answers[len(answers)-1].Ending != Conflict {
+		if len(answers) == 0 || answers[len(answers)-1].Status != Duplicate {
 			t.Errorf("%s: answers %+v, want a conflict", when, answers)
 		}
 	}
@@ -105,27 +105,27 @@
 	conflict("open")
 	h.step(h.now, []any{first})
 	conflict("its client gone, its attempt out")
-	h.step(h.now, []any{Result{Request: h.up.sent[0].Request, Node: "n", Code: scheduler.Cancelled}})
+	h.step(h.now, []any{AttemptResult{RequestID: h.up.sent[0].RequestID, Target: "n", Status: scheduler.Cancelled}})
 	conflict("may have run")
-	if len(h.up.sent) != 1 || h.Open() != 0 {
-		t.Errorf("%d attempts, %d open; want one, none", len(h.up.sent), h.Open())
+	if len(h.up.sent) != 1 || h.OpenCalls() != 0 {
+		t.Errorf("%d attempts, %d open; want one, none", len(h.up.sent), h.OpenCalls())
 	}
 	for range 3 {
-		h.now = h.now.Add(namesFor + time.Second)
+		h.now = h.now.Add(executedIDLifetime + time.Second)
 		submit("b", "put")
 		last := h.up.sent[len(h.up.sent)-1]
-		h.step(h.now, []any{Result{Request: last.Request, Number: last.Number, Node: "n", Code: scheduler.NotSent}})
+		h.step(h.now, []any{AttemptResult{RequestID: last.RequestID, Number: last.Number, Target: "n", Status: scheduler.NotSent}})
 		h.step(h.now, []any{scheduler.EndpointList{Complete: true}})
 		h.later(2 * time.Second)
-		if got := answers[len(answers)-1]; got.Ending != Refused {
+		if got := answers[len(answers)-1]; got.Status != Rejected {
 			t.Errorf("never sent: %+v, want it refused", got)
 		}
 		h.step(h.now, []any{scheduler.EndpointList{Complete: true, Targets: []scheduler.Target{{ID: "n"}}}})
 	}
 	submit("c", "get")
 	last := h.up.sent[len(h.up.sent)-1]
-	h.step(h.now, []any{Result{Request: last.Request, Number: last.Number, Node: "n", Code: scheduler.Succeeded}})
-	if n := len(h.named) + len(h.ran[0]) + len(h.ran[1]); n != 1 {
+	h.step(h.now, []any{AttemptResult{RequestID: last.RequestID, Number: last.Number, Target: "n", Status: scheduler.Succeeded}})
+	if n := len(h.openIDs) + len(h.executedIDs[0]) + len(h.executedIDs[1]); n != 1 {
 		t.Errorf("%d names are kept, want the last alone", n)
 	}
 }
@@ -133,12 +133,12 @@
 // TestDeadlineRunsFromArrival guards against counting a request's time from when a busy process got to it.
 func TestDeadlineRunsFromArrival(t *testing.T) {
 	h := newHand(t)
-	var answers []Answer
+	var answers []Response
 	h.step(h.now, []any{submitted{job("get", h.now.Add(-1500*time.Millisecond), &answers)}})
 	if len(h.up.sent) != 1 {
 		t.Fatalf("%d attempts, want 1", len(h.up.sent))
 	}
-	if left := h.up.sent[0].Until.Sub(h.now); left > 490*time.Millisecond {
+	if left := h.up.sent[0].Deadline.Sub(h.now); left > 490*time.Millisecond {
 		t.Errorf("attempt may last %v, but its client leaves in 500ms", left)
 	}
 }
@@ -147,11 +147,11 @@
 func TestUnsafeIsNotRepeated(t *testing.T) {
 	for _, code := range []scheduler.AttemptStatus{scheduler.ConnectionReset, scheduler.DeadlineExceeded, scheduler.Errored, scheduler.Cancelled} {
 		h := newHand(t)
-		var answers []Answer
+		var answers []Response
 		h.step(h.now, []any{submitted{job("put", h.now, &answers)}})
-		h.step(h.now, []any{Result{Request: h.up.sent[0].Request, Node: "n", Code: code}})
+		h.step(h.now, []any{AttemptResult{RequestID: h.up.sent[0].RequestID, Target: "n", Status: code}})
 		h.later(3 * time.Second)
-		if len(h.up.sent) != 1 || len(answers) != 1 || answers[0].Ending != Failed || answers[0].Last != code {
+		if len(h.up.sent) != 1 || len(answers) != 1 || answers[0].Status != Failed || answers[0].LastAttempt != code {
 			t.Errorf("code %v: %d attempts, answers %+v", code, len(h.up.sent), answers)
 		}
 	}
@@ -161,9 +161,9 @@
 // reaches the module before them, and nothing is sent to the target that drains.
 func TestListComesFirst(t *testing.T) {
 	h := newHand(t)
-	var answers []Answer
+	var answers []Response
 	msgs := func() []any {
-		return []any{submitted{job("get", h.now, &answers)}, Result{Request: "none"},
+		return []any{submitted{job("get", h.now, &answers)}, AttemptResult{RequestID: "none"},
 			scheduler.EndpointList{Targets: []scheduler.Target{{ID: "n", State: scheduler.Draining}}}}
 	}
 	if _, first := h.gather(h.now, msgs())[0].(scheduler.EndpointList); !first {
@@ -178,17 +178,17 @@
 // TestDepartedIsCalledOff checks that an attempt nobody waits for is called off, and no answer is given.
 func TestDepartedIsCalledOff(t *testing.T) {
 	h := newHand(t)
-	var answers []Answer
+	var answers []Response
 	j := job("get", h.now, &answers)
 	h.step(h.now, []any{submitted{j}})
 	h.step(h.now, []any{j})
-	if len(h.up.cancelled) != 1 || len(h.open) != 1 {
-		t.Fatalf("cancelled %v, %d kept; want it called off and kept until its outcome", h.up.cancelled, len(h.open))
+	if len(h.up.cancelled) != 1 || len(h.calls) != 1 {
+		t.Fatalf("cancelled %v, %d kept; want it called off and kept until its outcome", h.up.cancelled, len(h.calls))
 	}
-	h.step(h.now, []any{Result{Request: h.up.sent[0].Request, Node: "n", Code: scheduler.Cancelled}})
+	h.step(h.now, []any{AttemptResult{RequestID: h.up.sent[0].RequestID, Target: "n", Status: scheduler.Cancelled}})
 	h.later(3 * time.Second)
-	if len(answers) != 0 || len(h.open) != 0 {
-		t.Errorf("answers %v, %d kept", answers, len(h.open))
+	if len(answers) != 0 || len(h.calls) != 0 {
+		t.Errorf("answers %v, %d kept", answers, len(h.calls))
 	}
 }
 
@@ -196,7 +196,7 @@
 func TestClockNeverGoesBack(t *testing.T) {
 	h := newHand(t)
 	before := h.lastStep
-	var answers []Answer
+	var answers []Response
 	h.step(h.now.Add(-time.Second), []any{submitted{job("get", h.now, &answers)}})
 	if h.lastStep < before {
 		t.Errorf("clock went from %v to %v", before, h.lastStep)
@@ -206,30 +206,30 @@
 // TestFurtherAttemptIsBound passes on by when an attempt must begin, where the module says so.
 func TestFurtherAttemptIsBound(t *testing.T) {
 	h := newHand(t)
-	var answers []Answer
+	var answers []Response
 	for i, class := range []string{"get", "keyed"} {
 		h.step(h.now, []any{submitted{job(class, h.now, &answers)}})
 		begun := h.now
-		if len(h.up.sent) != 2*i+1 || !h.up.sent[2*i].Begin.IsZero() {
+		if len(h.up.sent) != 2*i+1 || !h.up.sent[2*i].StartBy.IsZero() {
 			t.Fatalf("%s: attempts %+v, want one that may begin at any time", class, h.up.sent)
 		}
-		h.step(h.now, []any{Result{Request: h.up.sent[2*i].Request, Node: "n", Code: scheduler.ConnectionReset}})
+		h.step(h.now, []any{AttemptResult{RequestID: h.up.sent[2*i].RequestID, Target: "n", Status: scheduler.ConnectionReset}})
 		h.later(300 * time.Millisecond)
 		if len(h.up.sent) != 2*i+2 {
 			t.Fatalf("%s: %d attempts, want a further one", class, len(h.up.sent))
 		}
-		if at, bound := h.up.sent[2*i+1].Begin, begun.Add(time.Second); class == "get" && !at.IsZero() || class == "keyed" && !at.Equal(bound) {
+		if at, bound := h.up.sent[2*i+1].StartBy, begun.Add(time.Second); class == "get" && !at.IsZero() || class == "keyed" && !at.Equal(bound) {
 			t.Errorf("%s: must begin by %v, of %v", class, at, bound)
 		}
-		h.step(h.now, []any{Result{Request: h.up.sent[2*i+1].Request, Number: 1, Node: "n", Code: scheduler.Succeeded}})
+		h.step(h.now, []any{AttemptResult{RequestID: h.up.sent[2*i+1].RequestID, Number: 1, Target: "n", Status: scheduler.Succeeded}})
 	}
 }
 
 // echo answers each attempt from many goroutines at once.
-type echo struct{ core *Core }
+type echo struct{ core *Dispatcher }
 
 func (e *echo) Send(a Attempt) {
-	go e.core.Report(Result{Request: a.Request, Number: a.Number, Node: a.Node, Code: scheduler.Succeeded})
+	go e.core.ReportResult(AttemptResult{RequestID: a.RequestID, Number: a.Number, Target: a.Target, Status: scheduler.Succeeded})
 }
 func (e *echo) Cancel(string, string) {}
 
@@ -237,12 +237,12 @@
 // taken one has exactly one answer, and what is not taken is said so.
 func TestNothingIsLostUnderLoad(t *testing.T) {
 	up := &echo{}
-	c := New(module(t), up, NewClock(), Options{MostHeld: 500})
+	c := New(module(t), up, NewClock(), Options{MaxOpenCalls: 500})
 	up.core = c
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go c.Run(ctx)
-	c.List(scheduler.EndpointList{Complete: true, Targets: []scheduler.Target{{ID: "n"}}})
+	c.UpdateEndpoints(scheduler.EndpointList{Complete: true, Targets: []scheduler.Target{{ID: "n"}}})
 	var mu sync.Mutex
 	answers := map[string]int{}
 	var open, turned sync.WaitGroup
@@ -253,9 +253,9 @@
 			defer turned.Done()
 			for i := range 100 {
 				name := fmt.Sprint(g, "/", i)
-				j := &Job{Request: scheduler.Request{Class: "get", Plan: "std", Volume: name, Units: 1, Initiators: 1},
-					Arrived: time.Now(), Patience: 2 * time.Second}
-				j.Done = func(Answer) {
+				j := &Call{Request: scheduler.Request{Class: "get", Plan: "std", Volume: name, Units: 1, Initiators: 1},
+					ReceivedAt: time.Now(), ClientTimeout: 2 * time.Second}
+				j.Respond = func(Response) {
 					mu.Lock()
 					answers[name]++
 					mu.Unlock()
@@ -290,17 +290,17 @@
 	for ms := 300; ms < 10000; ms += 100 {
 		longest := time.Duration(ms) * time.Millisecond
 		kill := min(longest, 3*time.Second) + 700*time.Millisecond
-		l := ShutdownFor(longest)
-		if l.AnswerBy > kill-100*time.Millisecond || l.ServeFor < LingerFor || l.ServeFor > l.AnswerBy {
-			t.Errorf("clients wait for %v, killed after %v: serves for %v, answers by %v", longest, kill, l.ServeFor, l.AnswerBy)
+		l := NewShutdownSchedule(longest)
+		if l.AnswerBy > kill-100*time.Millisecond || l.ServeConnsFor < AcceptGrace || l.ServeConnsFor > l.AnswerBy {
+			t.Errorf("clients wait for %v, killed after %v: serves for %v, answers by %v", longest, kill, l.ServeConnsFor, l.AnswerBy)
 		}
 		left := time.Now()
-		for since := LingerFor + time.Millisecond; since < 4*time.Second; since += 50 * time.Millisecond {
-			if p := l.Cut(longest, left.Add(since), &left); p < 0 || p > 0 && since+p > l.AnswerBy {
+		for since := AcceptGrace + time.Millisecond; since < 4*time.Second; since += 50 * time.Millisecond {
+			if p := l.LimitTimeout(longest, left.Add(since), &left); p < 0 || p > 0 && since+p > l.AnswerBy {
 				t.Errorf("clients wait for %v: one that asks after %v may take %v", longest, since, p)
 			}
 		}
-		if p := l.Cut(longest, left.Add(LingerFor), &left); p != longest {
+		if p := l.LimitTimeout(longest, left.Add(AcceptGrace), &left); p != longest {
 			t.Errorf("clients wait for %v: one that came with the last new connections has %v", longest, p)
 		}
 	}
--- a/internal/dispatcher/shutdown.go
+++ b/internal/dispatcher/shutdown.go
@@ -7,17 +7,17 @@
 
 // LingerFor is how long after SIGTERM a front takes new connections: clients come for 0.4 s, and one that the
 // machine has accepted but nobody has read from would be lost with the listener.
-const LingerFor = 450 * time.Millisecond
+const AcceptGrace = 450 * time.Millisecond
 
 // Shutdown is a graceful one: how the program ends after SIGTERM, counted from there.
-type Shutdown struct {
+type ShutdownSchedule struct {
 	// ServeFor is how long a front goes on with what comes on connections that it has: their clients know no other way,
 	// and go without until the successor is up.
-	ServeFor time.Duration
+	ServeConnsFor time.Duration
 	// AnswerBy is when what was taken after LingerFor has its answer, so that the successor need not wait.
 	AnswerBy time.Duration
 	// LastAnswer is when every request has its answer: SIGKILL may come soon after.
-	LastAnswer time.Duration
+	FinalAnswerBy time.Duration
 }
 
 const (
@@ -32,14 +32,14 @@
 )
 
 // ShutdownFor is the end that fits clients who wait for so long at the longest.
-func ShutdownFor(longest time.Duration) Shutdown {
+func NewShutdownSchedule(longest time.Duration) ShutdownSchedule {
 	last := min(longest, killMost) + killAfter - killMargin
 	by := min(mostAnswerBy, last)
-	return Shutdown{ServeFor: max(by-answerWithin, LingerFor), AnswerBy: by, LastAnswer: last}
+	return ShutdownSchedule{ServeConnsFor: max(by-answerWithin, AcceptGrace), AnswerBy: by, FinalAnswerBy: last}
 }
 
 // Pause waits until then, or until the context ends.
-func Pause(ctx context.Context, until time.Time) {
+func WaitUntil(ctx context.Context, until time.Time) {
 	select {
 	case <-time.After(time.Until(until)):
 	case <-ctx.Done():
@@ -48,12 +48,12 @@
 
 // Cut shortens a patience so that the answer is there by AnswerBy, for a request taken after LingerFor; left is the
 // moment of SIGTERM, nil before it.
-func (s Shutdown) Cut(patience time.Duration, arrived time.Time, left *time.Time) time.Duration {
+func (s ShutdownSchedule) LimitTimeout(patience time.Duration, arrived time.Time, left *time.Time) time.Duration {
 	if left == nil {
 		return patience
 	}
 	since := arrived.Sub(*left)
-	if since <= LingerFor {
+	if since <= AcceptGrace {
 		return patience
 	}
 	return max(min(patience, s.AnswerBy-since), 0)
--- a/internal/nvme/command.go
+++ b/internal/nvme/command.go
@@ -85,17 +85,17 @@
 
 // statusOf maps the core's final answer. Retryable exactly where the module says that a repeat is harmless;
 // what may have run has DNR set, so that no host sends it again by itself.
-func statusOf(a dispatcher.Answer, delays bool) status {
-	switch a.Ending {
+func statusOf(a dispatcher.Response, delays bool) status {
+	switch a.Status {
 	case dispatcher.Served:
 		return stOK
-	case dispatcher.Refused:
+	case dispatcher.Rejected:
 		if delays {
 			return stNSNotReady.withDelay(delayIndex(a.RetryAfter))
 		}
 		return stNSNotReady
 	}
-	if a.Last == scheduler.DeadlineExceeded || a.Last == scheduler.ConnectionReset {
+	if a.LastAttempt == scheduler.DeadlineExceeded || a.LastAttempt == scheduler.ConnectionReset {
 		return stTransient | dnr
 	}
 	return stInternal | dnr
@@ -168,7 +168,7 @@
 }
 
 // IO is the payload of a job on this wire: one read or write.
-type IO struct {
+type IORequest struct {
 	Write  bool
 	NSID   uint32
 	SLBA   uint64
--- a/internal/nvme/controller.go
+++ b/internal/nvme/controller.go
@@ -19,19 +19,19 @@
 
 // Options set up the controller side.
 type Options struct {
-	Subsystem  string
-	Namespaces []Namespace
-	QueueDepth int
-	MostConn   int                      // hosts' connections at a time
-	MostBytes  int64                    // data of commands held at a time
-	Patience   map[string]time.Duration // of each class: NVMe commands carry no deadline of their own
-	Log        *slog.Logger
+	Subsystem      string
+	Namespaces     []Namespace
+	QueueDepth     int
+	MaxConns       int                      // hosts' connections at a time
+	MaxHeldBytes   int64                    // data of commands held at a time
+	ClassDeadlines map[string]time.Duration // of each class: NVMe commands carry no deadline of their own
+	Logger         *slog.Logger
 }
 
 // Core is what the front needs of the core.
-type Core interface {
-	Submit(*dispatcher.Job) bool
-	Depart(*dispatcher.Job)
+type Dispatcher interface {
+	Submit(*dispatcher.Call) bool
+	Cancel(*dispatcher.Call)
 }
 
 const (
@@ -43,13 +43,13 @@
 // Server is the NVMe over TCP front.
 type Server struct {
 	opt      Options
-	core     Core
+	core     Dispatcher
 	spaces   map[uint32]*Namespace
 	bytes    atomic.Int64
 	open     atomic.Int64              // commands in the core
 	left     atomic.Pointer[time.Time] // when Stop was called
 	leaving  atomic.Bool               // new commands are turned away
-	shutdown dispatcher.Shutdown
+	shutdown dispatcher.ShutdownSchedule
 
 	mu          sync.Mutex
 	controllers map[uint16]*controller
@@ -59,14 +59,14 @@
 }
 
 // New returns a front for the core.
-func New(c Core, opt Options) *Server {
+func New(c Dispatcher, opt Options) *Server {
 	s := &Server{opt: opt, core: c, spaces: map[uint32]*Namespace{}, controllers: map[uint16]*controller{},
 		queues: map[*queue]bool{}}
 	var longest time.Duration
-	for _, d := range opt.Patience {
+	for _, d := range opt.ClassDeadlines {
 		longest = max(longest, d)
 	}
-	s.shutdown = dispatcher.ShutdownFor(longest)
+	s.shutdown = dispatcher.NewShutdownSchedule(longest)
 	for i := range opt.Namespaces {
 		s.spaces[opt.Namespaces[i].ID] = &s.opt.Namespaces[i]
 	}
@@ -113,11 +113,11 @@
 // pending is a command without its completion.
 type pending struct {
 	cmd  command
-	io   *IO
+	io   *IORequest
 	got  int
 	tag  uint16
 	wait *time.Timer // for the host's data
-	job  *dispatcher.Job
+	job  *dispatcher.Call
 }
 
 // Serve accepts until Stop.
@@ -137,7 +137,7 @@
 		q := &queue{server: s, net: c, box: mailbox.New[[]byte](), ended: make(chan struct{}),
 			cmds: map[uint16]*pending{}, since: time.Now()}
 		s.mu.Lock()
-		full := len(s.queues) >= s.opt.MostConn && !s.makeRoom()
+		full := len(s.queues) >= s.opt.MaxConns && !s.makeRoom()
 		if !full {
 			s.queues[q] = true
 		}
@@ -171,23 +171,23 @@
 }
 
 func (s *Server) log(q *queue, reason string) {
-	s.opt.Log.Info("connection ended", slog.String("side", "host"), slog.String("peer", q.net.RemoteAddr().String()),
+	s.opt.Logger.Info("connection ended", slog.String("side", "host"), slog.String("peer", q.net.RemoteAddr().String()),
 		slog.String("reason", reason), slog.Int("requests", q.asked), slog.Int("queue", int(q.qid)))
 }
 
 // Stop keeps accepting while hosts may still come, goes on for a while with commands on the connections there are, then
 // turns new ones away, finishes those taken and ends all connections.
-func (s *Server) Stop(ctx context.Context) error {
+func (s *Server) Shutdown(ctx context.Context) error {
 	now := time.Now()
 	s.left.Store(&now)
-	dispatcher.Pause(ctx, now.Add(dispatcher.LingerFor))
+	dispatcher.WaitUntil(ctx, now.Add(dispatcher.AcceptGrace))
 	s.mu.Lock()
 	listener := s.listener
 	s.mu.Unlock()
 	if listener != nil {
-		socket.CloseListener(listener, now.Add(s.shutdown.AnswerBy))
+		socket.DrainListener(listener, now.Add(s.shutdown.AnswerBy))
 	}
-	dispatcher.Pause(ctx, now.Add(s.shutdown.ServeFor))
+	dispatcher.WaitUntil(ctx, now.Add(s.shutdown.ServeConnsFor))
 	s.leaving.Store(true)
 	for s.open.Load() > 0 && ctx.Err() == nil {
 		time.Sleep(2 * time.Millisecond)
@@ -261,7 +261,7 @@
 func (q *queue) drop(p *pending) {
 	q.release(p)
 	if p.job != nil {
-		q.server.core.Depart(p.job)
+		q.server.core.Cancel(p.job)
 	}
 }
 
@@ -288,7 +288,7 @@
 	case errors.As(err, &f):
 		q.box.Put(termPDU(typeC2HTerm, f))
 		reason = "PROTOCOL_ERROR"
-		q.server.opt.Log.Warn("host broke the protocol", slog.String("error", f.Error()))
+		q.server.opt.Logger.Warn("host broke the protocol", slog.String("error", f.Error()))
 	case errors.Is(err, errHostTerminated):
 		reason = "HOST_TERMINATED"
 	case errors.As(err, &timeout) && timeout.Timeout():
@@ -430,7 +430,7 @@
 		q.complete(p, stInvalidNS|dnr, 0, nil)
 		return nil
 	}
-	x := &IO{Write: op == opWrite, NSID: ns.ID, SLBA: c.slba(), Blocks: c.blocks()}
+	x := &IORequest{Write: op == opWrite, NSID: ns.ID, SLBA: c.slba(), Blocks: c.blocks()}
 	bytes := int(x.Blocks) * ns.BlockBytes
 	inside := c.sglType() == sglOffset
 	switch {
@@ -439,9 +439,9 @@
 	case bytes > maxTransfer, int(c.sglLen()) != bytes, c.sglType() != sglOffset && c.sglType() != sglTransport,
 		inside && (!x.Write || len(data) != bytes || bytes > inCapsule), !inside && len(data) > 0:
 		q.complete(p, stInvalidField|dnr, 0, nil)
-	case s.leaving.Load(), s.bytes.Load()+int64(bytes) > s.opt.MostBytes:
+	case s.leaving.Load(), s.bytes.Load()+int64(bytes) > s.opt.MaxHeldBytes:
 		// Nothing of it was begun; the host may come back, or go elsewhere.
-		q.complete(p, statusOf(dispatcher.TooMany, q.ctrl.wantsDelays()), 0, nil)
+		q.complete(p, statusOf(dispatcher.Overloaded, q.ctrl.wantsDelays()), 0, nil)
 	default:
 		x.Bytes = bytes
 		q.mu.Lock()
@@ -468,7 +468,7 @@
 	q.mu.Lock()
 	q.serial++
 	p.tag = q.serial
-	p.wait = time.AfterFunc(q.server.opt.Patience[ns.Write], func() { q.end("HOST_DATA_LATE") })
+	p.wait = time.AfterFunc(q.server.opt.ClassDeadlines[ns.Write], func() { q.end("HOST_DATA_LATE") })
 	q.put(typeR2T, 0, dataHead(p.cmd.cid(), p.tag, 0, uint32(p.io.Bytes)), nil)
 	q.mu.Unlock()
 }
@@ -511,15 +511,15 @@
 // submit hands the command to the core, which owns its end from here on.
 func (q *queue) submit(p *pending) {
 	ns := q.server.spaces[p.io.NSID]
-	j := &dispatcher.Job{Request: ns.request(p.io), Arrived: time.Now(), Payload: p.io}
-	j.Gone = func() bool { return socket.PeerGone(q.net) }
-	j.Patience = q.server.shutdown.Cut(q.server.opt.Patience[j.Class], j.Arrived, q.server.left.Load())
+	j := &dispatcher.Call{Request: ns.request(p.io), ReceivedAt: time.Now(), Payload: p.io}
+	j.ClientGone = func() bool { return socket.IsPeerClosed(q.net) }
+	j.ClientTimeout = q.server.shutdown.LimitTimeout(q.server.opt.ClassDeadlines[j.Class], j.ReceivedAt, q.server.left.Load())
 	delays := q.ctrl.wantsDelays()
-	j.Done = func(a dispatcher.Answer) {
+	j.Respond = func(a dispatcher.Response) {
 		st := statusOf(a, delays)
 		body, _ := a.Payload.([]byte)
 		switch {
-		case a.Ending != dispatcher.Served || p.io.Write:
+		case a.Status != dispatcher.Served || p.io.Write:
 			body = nil
 		case len(body) != p.io.Bytes:
 			st, body = stInternal|dnr, nil // no target's whole answer: never passed off as one
@@ -537,7 +537,7 @@
 	}
 	q.mu.Unlock()
 	if !gone && !taken {
-		q.complete(p, statusOf(dispatcher.TooMany, delays), 0, nil)
+		q.complete(p, statusOf(dispatcher.Overloaded, delays), 0, nil)
 	}
 }
 
@@ -550,7 +550,7 @@
 		return false
 	}
 	if p.job != nil {
-		q.server.core.Depart(p.job)
+		q.server.core.Cancel(p.job)
 	}
 	return true
 }
--- a/internal/nvme/host.go
+++ b/internal/nvme/host.go
@@ -20,11 +20,11 @@
 
 // HostOptions set up the host side.
 type HostOptions struct {
-	Subsystem string // of the targets
-	HostNQN   string
-	HostID    [16]byte
-	KeepAlive time.Duration
-	Digests   bool // ask for header and data digests
+	Subsystem        string // of the targets
+	HostNQN          string
+	HostID           [16]byte
+	KeepAliveTimeout time.Duration
+	Digests          bool // ask for header and data digests
 }
 
 // Host is the upstream wire: an association with each target, and under it one I/O queue for each command
@@ -64,7 +64,7 @@
 }
 
 // Dial opens an I/O queue at the target, and the association before it if there is none.
-func (h *Host) Dial(ctx context.Context, addr string) (upstream.Session, error) {
+func (h *Host) Dial(ctx context.Context, addr string) (upstream.Conn, error) {
 	h.mu.Lock()
 	a := h.all[addr]
 	if a == nil {
@@ -201,7 +201,7 @@
 	c.set16(42, qid)
 	c.set16(44, 31)
 	if qid == 0 {
-		c.set32(48, uint32(opt.KeepAlive.Milliseconds()))
+		c.set32(48, uint32(opt.KeepAliveTimeout.Milliseconds()))
 	} else {
 		c.set16(44, 1) // one command at a time
 	}
@@ -324,7 +324,7 @@
 
 // keep sends keep-alives until the admin queue fails or nothing needs it; the association has ended then.
 func (a *association) keep(w *wire) {
-	every := a.host.opt.KeepAlive / 2
+	every := a.host.opt.KeepAliveTimeout / 2
 	for {
 		time.Sleep(every)
 		a.mu.Lock()
@@ -394,12 +394,12 @@
 }
 
 // Alive implements upstream.Session.
-func (s *session) Alive() bool { return s.in.Buffered() == 0 && socket.Quiet(s.Conn) }
+func (s *session) Alive() bool { return s.in.Buffered() == 0 && socket.IsQuiet(s.Conn) }
 
 // Do carries one read or write. A write's data goes in the capsule where it fits, otherwise when the
 // controller asks; until the last byte of it is written, it cannot have begun.
-func (s *session) Do(a dispatcher.Attempt, first func() bool) (r dispatcher.Result, reuse bool, reason string) {
-	x := a.Payload.(*IO)
+func (s *session) RoundTrip(a dispatcher.Attempt, first func() bool) (r dispatcher.AttemptResult, reuse bool, reason string) {
+	x := a.Payload.(*IORequest)
 	op := byte(opRead)
 	if x.Write {
 		op = opWrite
@@ -414,37 +414,37 @@
 		data = x.Data
 	}
 	capsule := appendPDU(nil, s.framing, typeCmd, 0, c[:], data)
-	s.SetDeadline(a.Until)
+	s.SetDeadline(a.Deadline)
 	if !first() {
-		r.Code = scheduler.NotSent
+		r.Status = scheduler.NotSent
 		return r, false, "NOT_SENT"
 	}
 	if n, err := s.Write(capsule); n < len(capsule) {
-		r.Code = scheduler.ConnectFailed
-		return r, false, "WRITE_" + upstream.Cause(err)
+		r.Status = scheduler.ConnectFailed
+		return r, false, "WRITE_" + upstream.ErrorReason(err)
 	}
 	written := !x.Write || inside
 	st, body, err := s.finish(c, x, &written)
 	if err != nil {
 		switch {
 		case !written:
-			r.Code = scheduler.ConnectFailed
+			r.Status = scheduler.ConnectFailed
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			r.Code = scheduler.DeadlineExceeded
+			r.Status = scheduler.DeadlineExceeded
 		default:
-			r.Code = scheduler.ConnectionReset
+			r.Status = scheduler.ConnectionReset
 		}
 		if errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, net.ErrClosed) {
 			s.from.abort(s.qid, c.cid())
 		}
-		return r, false, "READ_" + upstream.Cause(err)
+		return r, false, "READ_" + upstream.ErrorReason(err)
 	}
-	r.Code, r.Payload = outcomeOf(st), body
+	r.Status, r.Payload = outcomeOf(st), body
 	return r, s.SetDeadline(time.Time{}) == nil, "CLOSED"
 }
 
 // finish plays the controller's side of the command until its completion.
-func (s *session) finish(c *command, x *IO, written *bool) (status, []byte, error) {
+func (s *session) finish(c *command, x *IORequest, written *bool) (status, []byte, error) {
 	var body []byte
 	for {
 		p, err := s.receive()
@@ -488,7 +488,7 @@
 }
 
 // whole takes no read for served whose data is not all there.
-func (s *session) whole(st status, x *IO, body []byte) (status, []byte, error) {
+func (s *session) whole(st status, x *IORequest, body []byte) (status, []byte, error) {
 	if st == stOK && !x.Write && len(body) != x.Bytes {
 		return 0, nil, errors.New("data is not whole")
 	}
@@ -511,4 +511,4 @@
 	return nil
 }
 
-var _ upstream.Wire = (*Host)(nil)
+var _ upstream.Dialer = (*Host)(nil)
--- a/internal/nvme/namespace.go
+++ b/internal/nvme/namespace.go
@@ -72,7 +72,7 @@
 }
 
 // request is what the module is told of a command. One that spans stripes belongs to the first.
-func (n *Namespace) request(io *IO) scheduler.Request {
+func (n *Namespace) request(io *IORequest) scheduler.Request {
 	stripe := io.SLBA / n.StripeBlocks
 	q := scheduler.Request{Class: n.Read, Plan: n.Plan, Volume: n.Volume, Initiators: n.Hosts,
 		Extent: fmt.Sprintf("%s/%x", n.Volume, stripe),
--- a/internal/nvme/nvme_test.go
+++ b/internal/nvme/nvme_test.go
@@ -39,14 +39,14 @@
 		StripeBlocks: 2048, Shards: []int{0}, UnitBlocks: 16, Read: "position-read", Write: "event-write"}
 }
 
-func newServer(t *testing.T, c Core, subsystem string) (*Server, string) {
+func newServer(t *testing.T, c Dispatcher, subsystem string) (*Server, string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := New(c, Options{Subsystem: subsystem, Namespaces: []Namespace{space()}, QueueDepth: 8, MostConn: 64,
-		MostBytes: 8 << 20, Patience: map[string]time.Duration{"position-read": patient, "event-write": patient}, Log: quiet})
+	s := New(c, Options{Subsystem: subsystem, Namespaces: []Namespace{space()}, QueueDepth: 8, MaxConns: 64,
+		MaxHeldBytes: 8 << 20, ClassDeadlines: map[string]time.Duration{"position-read": patient, "event-write": patient}, Logger: quiet})
 	go s.Serve(l)
 	t.Cleanup(func() { l.Close() })
 	return s, l.Addr().String()
@@ -59,18 +59,18 @@
 	writes map[string]int // how often each text was written
 	reads  int
 	still  chan struct{} // not nil: commands wait until it is closed
-	came   chan *IO
-	answer dispatcher.Answer // instead of serving, where its Ending is not Served
+	came   chan *IORequest
+	answer dispatcher.Response // instead of serving, where its Ending is not Served
 }
 
 func newStore() *store {
-	return &store{blocks: map[uint64][]byte{}, writes: map[string]int{}, came: make(chan *IO, 64)}
+	return &store{blocks: map[uint64][]byte{}, writes: map[string]int{}, came: make(chan *IORequest, 64)}
 }
 
-func (s *store) Depart(*dispatcher.Job) {}
+func (s *store) Cancel(*dispatcher.Call) {}
 
-func (s *store) Submit(j *dispatcher.Job) bool {
-	x := j.Payload.(*IO)
+func (s *store) Submit(j *dispatcher.Call) bool {
+	x := j.Payload.(*IORequest)
 	s.mu.Lock()
 	still, answer := s.still, s.answer
 	s.mu.Unlock()
@@ -79,8 +79,8 @@
 		if still != nil {
 			<-still
 		}
-		if answer.Ending != dispatcher.Served {
-			j.Done(answer)
+		if answer.Status != dispatcher.Served {
+			j.Respond(answer)
 			return
 		}
 		s.mu.Lock()
@@ -99,7 +99,7 @@
 			body = append(body, append(b, make([]byte, blockSize-len(b))...)...)
 		}
 		s.mu.Unlock()
-		j.Done(dispatcher.Answer{Payload: body})
+		j.Respond(dispatcher.Response{Payload: body})
 	}()
 	return true
 }
@@ -114,7 +114,7 @@
 type rig struct {
 	addr   string
 	up     *upstream.Registry
-	core   *dispatcher.Core
+	core   *dispatcher.Dispatcher
 	server *Server
 }
 
@@ -129,9 +129,9 @@
 		t.Fatal(err)
 	}
 	r := &rig{}
-	host := NewHost(HostOptions{Subsystem: targetNQN, HostNQN: "nqn.2026-12.example.test:initiator", KeepAlive: time.Minute, Digests: digests})
-	r.up = upstream.NewRegistry(upstream.Options{Wire: host, Dial: patient, Idle: time.Minute, MostConn: 16, MostAll: 64, Log: quiet},
-		func(x dispatcher.Result) { r.core.Report(x) })
+	host := NewHost(HostOptions{Subsystem: targetNQN, HostNQN: "nqn.2026-12.example.test:initiator", KeepAliveTimeout: time.Minute, Digests: digests})
+	r.up = upstream.NewRegistry(upstream.Options{Dialer: host, DialTimeout: patient, IdleTimeout: time.Minute, MaxConnsPerTarget: 16, MaxConns: 64, Logger: quiet},
+		func(x dispatcher.AttemptResult) { r.core.ReportResult(x) })
 	r.core = dispatcher.New(module, r.up, dispatcher.NewClock(), dispatcher.Options{})
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(stop)
@@ -145,8 +145,8 @@
 
 // list tells of one target, as the list's actor does: the registry first.
 func (r *rig) list(id, addr string, state scheduler.TargetState) {
-	r.up.Apply([]upstream.Target{{ID: id, Addr: addr, State: state}}, false)
-	r.core.List(scheduler.EndpointList{Targets: []scheduler.Target{{ID: id, State: state}}})
+	r.up.Apply([]upstream.Endpoint{{ID: id, Addr: addr, State: state}}, false)
+	r.core.UpdateEndpoints(scheduler.EndpointList{Targets: []scheduler.Target{{ID: id, State: state}}})
 }
 
 // client is the stand-in host: an admin queue and one I/O queue of some depth, spoken to by hand.
@@ -158,7 +158,7 @@
 
 func newClient(t *testing.T, addr string, digests bool) *client {
 	t.Helper()
-	h := NewHost(HostOptions{Subsystem: poolNQN, HostNQN: "nqn.2026-12.example.test:client", KeepAlive: time.Minute, Digests: digests})
+	h := NewHost(HostOptions{Subsystem: poolNQN, HostNQN: "nqn.2026-12.example.test:client", KeepAliveTimeout: time.Minute, Digests: digests})
 	ctx, stop := context.WithTimeout(context.Background(), patient)
 	t.Cleanup(stop)
 	c := &client{t: t}
@@ -299,13 +299,13 @@
 		queue := &session{wire: c.io, from: &association{talk: make(chan struct{}, 1)}, inside: inCapsule}
 		always := func() bool { return true }
 		until := time.Now().Add(patient)
-		got, _, reason := queue.Do(dispatcher.Attempt{Until: until, Payload: &IO{Write: true, NSID: 1, SLBA: 100, Blocks: 200, Bytes: len(large), Data: large}}, always)
-		if got.Code != scheduler.Succeeded {
+		got, _, reason := queue.RoundTrip(dispatcher.Attempt{Deadline: until, Payload: &IORequest{Write: true, NSID: 1, SLBA: 100, Blocks: 200, Bytes: len(large), Data: large}}, always)
+		if got.Status != scheduler.Succeeded {
 			t.Fatalf("large write: %+v, %s", got, reason)
 		}
-		got, _, reason = queue.Do(dispatcher.Attempt{Until: until, Payload: &IO{NSID: 1, SLBA: 100, Blocks: 200, Bytes: len(large)}}, always)
-		if body, _ := got.Payload.([]byte); got.Code != scheduler.Succeeded || !bytes.Equal(body, large) {
-			t.Fatalf("large read: %v, %d bytes, %s", got.Code, len(body), reason)
+		got, _, reason = queue.RoundTrip(dispatcher.Attempt{Deadline: until, Payload: &IORequest{NSID: 1, SLBA: 100, Blocks: 200, Bytes: len(large)}}, always)
+		if body, _ := got.Payload.([]byte); got.Status != scheduler.Succeeded || !bytes.Equal(body, large) {
+			t.Fatalf("large read: %v, %d bytes, %s", got.Status, len(body), reason)
 		}
 	}
 }
@@ -394,11 +394,11 @@
 		bytesSent <- len(b)
 	}()
 	queue := &session{wire: &wire{Conn: near}, from: &association{talk: make(chan struct{}, 1), inUse: map[uint16]bool{}}}
-	r, reuse, _ := queue.Do(dispatcher.Attempt{Until: time.Now().Add(patient), Payload: &IO{NSID: 1, Blocks: 1, Bytes: blockSize}},
+	r, reuse, _ := queue.RoundTrip(dispatcher.Attempt{Deadline: time.Now().Add(patient), Payload: &IORequest{NSID: 1, Blocks: 1, Bytes: blockSize}},
 		func() bool { return false })
 	queue.Close()
-	if n := <-bytesSent; r.Code != scheduler.NotSent || reuse || n != 0 {
-		t.Errorf("code %v, kept %v, %d bytes sent; want it not sent", r.Code, reuse, n)
+	if n := <-bytesSent; r.Status != scheduler.NotSent || reuse || n != 0 {
+		t.Errorf("code %v, kept %v, %d bytes sent; want it not sent", r.Status, reuse, n)
 	}
 }
 
@@ -410,8 +410,8 @@
 		t.Fatal(err)
 	}
 	start := func(l net.Listener) *Server {
-		s := New(newStore(), Options{Subsystem: targetNQN, Namespaces: []Namespace{space()}, QueueDepth: 8, MostConn: 64,
-			MostBytes: 8 << 20, Patience: map[string]time.Duration{"event-write": patient, "position-read": patient}, Log: quiet})
+		s := New(newStore(), Options{Subsystem: targetNQN, Namespaces: []Namespace{space()}, QueueDepth: 8, MaxConns: 64,
+			MaxHeldBytes: 8 << 20, ClassDeadlines: map[string]time.Duration{"event-write": patient, "position-read": patient}, Logger: quiet})
 		go s.Serve(l)
 		return s
 	}
@@ -422,7 +422,7 @@
 	if done, _ := c.next(); done.status != stOK {
 		t.Fatalf("before: %+v", done)
 	}
-	if err := first.Stop(context.Background()); err != nil {
+	if err := first.Shutdown(context.Background()); err != nil {
 		t.Fatal(err)
 	}
 	again, err := net.Listen("tcp", l.Addr().String())
@@ -441,23 +441,23 @@
 func TestStatuses(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		answer dispatcher.Answer
+		answer dispatcher.Response
 		delays bool
 		want   status
 	}{
-		{"served", dispatcher.Answer{}, true, stOK},
-		{"refused", dispatcher.Answer{Ending: dispatcher.Refused, RetryAfter: 200 * time.Millisecond}, false, stNSNotReady},
-		{"refused, told how long", dispatcher.Answer{Ending: dispatcher.Refused, RetryAfter: 200 * time.Millisecond}, true, stNSNotReady.withDelay(2)},
-		{"refused for longer than can be told", dispatcher.Answer{Ending: dispatcher.Refused, RetryAfter: time.Minute}, true, stNSNotReady.withDelay(3)},
-		{"timed out", dispatcher.Answer{Ending: dispatcher.Failed, Last: scheduler.DeadlineExceeded}, true, stTransient | dnr},
-		{"error", dispatcher.Answer{Ending: dispatcher.Failed, Last: scheduler.Errored}, true, stInternal | dnr},
+		{"served", dispatcher.Response{}, true, stOK},
+		{"refused", dispatcher.Response{Status: dispatcher.Rejected, RetryAfter: 200 * time.Millisecond}, false, stNSNotReady},
+		{"refused, told how long", dispatcher.Response{Status: dispatcher.Rejected, RetryAfter: 200 * time.Millisecond}, true, stNSNotReady.withDelay(2)},
+		{"refused for longer than can be told", dispatcher.Response{Status: dispatcher.Rejected, RetryAfter: time.Minute}, true, stNSNotReady.withDelay(3)},
+		{"timed out", dispatcher.Response{Status: dispatcher.Failed, LastAttempt: scheduler.DeadlineExceeded}, true, stTransient | dnr},
+		{"error", dispatcher.Response{Status: dispatcher.Failed, LastAttempt: scheduler.Errored}, true, stInternal | dnr},
 	} {
 		if got := statusOf(c.answer, c.delays); got != c.want {
 			t.Errorf("%s: %#x, want %#x", c.name, uint16(got), uint16(c.want))
 		}
 	}
 	back := newStore()
-	back.answer = dispatcher.Answer{Ending: dispatcher.Refused, RetryAfter: 100 * time.Millisecond}
+	back.answer = dispatcher.Response{Status: dispatcher.Rejected, RetryAfter: 100 * time.Millisecond}
 	_, addr := newServer(t, back, poolNQN)
 	c := newClient(t, addr, false)
 	c.read(0, 1)
@@ -616,7 +616,7 @@
 // TestBadConnect refuses hosts that ask for what is not there.
 func TestBadConnect(t *testing.T) {
 	_, addr := newServer(t, newStore(), poolNQN)
-	h := NewHost(HostOptions{Subsystem: "nqn.other", HostNQN: "nqn.host", KeepAlive: time.Minute})
+	h := NewHost(HostOptions{Subsystem: "nqn.other", HostNQN: "nqn.host", KeepAliveTimeout: time.Minute})
 	ctx, stop := context.WithTimeout(context.Background(), patient)
 	defer stop()
 	w, err := h.open(ctx, addr)
@@ -637,7 +637,7 @@
 func TestSilentHostsMakeRoom(t *testing.T) {
 	s, addr := newServer(t, newStore(), poolNQN)
 	s.mu.Lock()
-	s.opt.MostConn = 4
+	s.opt.MaxConns = 4
 	s.mu.Unlock()
 	first := newClient(t, addr, false)
 	for range 50 {
@@ -675,8 +675,8 @@
 	taken := c.read(1, 1)
 	<-back.came
 	stopped := make(chan error)
-	go func() { stopped <- s.Stop(context.Background()) }()
-	time.Sleep(dispatcher.LingerFor + 100*time.Millisecond)
+	go func() { stopped <- s.Shutdown(context.Background()) }()
+	time.Sleep(dispatcher.AcceptGrace + 100*time.Millisecond)
 	meanwhile := c.read(3, 1)
 	if x := <-back.came; x.SLBA != 3 {
 		t.Errorf("block %d was read while the program leaves, want 3", x.SLBA)
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -11,7 +11,7 @@
 )
 
 // Quiet tells whether a connection is open and nothing has come on it that was not read.
-func Quiet(c net.Conn) bool {
+func IsQuiet(c net.Conn) bool {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
 		return true
@@ -34,7 +34,7 @@
 // in between and may say no. Last words, if any, are sent as far as there is room at once. The system calls follow one
 // another with no other goroutine between them: a busy process may take long to come back to this one, and what came
 // meanwhile would be lost with the connection. What comes later is answered with a reset. The connection is still to be closed.
-func EndQuiet(c net.Conn, lastWords string, claim func() bool) bool {
+func ShutdownIfQuiet(c net.Conn, lastWords string, claim func() bool) bool {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
 		return claim()
@@ -64,7 +64,7 @@
 
 // PeerGone tells whether the other side has closed or reset a connection, also where bytes that came before are still
 // unread. A connection that was closed on this side counts as well.
-func PeerGone(c net.Conn) bool {
+func IsPeerClosed(c net.Conn) bool {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
 		return false
@@ -88,7 +88,7 @@
 
 // CloseListener closes a listener once the connections that the machine has accepted on it have been taken, or at the latest
 // then. Somebody must be accepting: those left are reset.
-func CloseListener(l net.Listener, latest time.Time) error {
+func DrainListener(l net.Listener, latest time.Time) error {
 	sc, ok := l.(syscall.Conn)
 	if !ok {
 		return l.Close()
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -19,7 +19,7 @@
 	ctx    context.Context
 	stop   context.CancelFunc
 	mu     sync.Mutex
-	conn   Session
+	conn   Conn
 	called bool // called off
 	slow   bool // its dial goes on without it
 }
@@ -27,7 +27,7 @@
 // attempt carries one attempt through connect and exchange and reports its outcome. Where it ends early, the
 // connection is closed first: one attempt out at a time.
 func (t *target) attempt(y *try, c *conn) {
-	r := dispatcher.Result{Code: scheduler.ConnectFailed}
+	r := dispatcher.AttemptResult{Status: scheduler.ConnectFailed}
 	var again *conn
 	reason, used := "CONNECT_FAILED", 0
 	if c != nil {
@@ -43,12 +43,12 @@
 		}
 	}
 	if again == nil {
-		t.logEnd(used, reason, y.Name)
+		t.logEnd(used, reason, y.ClientRequestID)
 	}
-	if r.Code == scheduler.ConnectFailed && y.calledOff() {
-		r.Code = scheduler.NotSent // its client left: that tells nothing of the target
+	if r.Status == scheduler.ConnectFailed && y.calledOff() {
+		r.Status = scheduler.NotSent // its client left: that tells nothing of the target
 	}
-	r.Request, r.Number, r.Node = y.Request, y.Number, t.id
+	r.RequestID, r.Number, r.Target = y.RequestID, y.Number, t.id
 	// The pool hears first, so that a send decided on this outcome finds the connection.
 	t.box.Put(done{y, again})
 	t.report(r)
@@ -78,18 +78,18 @@
 // dial opens a connection for the attempt. One that takes longer than the attempt waits goes on, and the next attempt
 // finds it in the pool: its handshake is paid for, and a new one may take as long.
 func (t *target) dial(y *try) *conn {
-	ctx, stop := context.WithTimeout(context.Background(), lateDials*t.opt.Dial)
+	ctx, stop := context.WithTimeout(context.Background(), lateDials*t.opt.DialTimeout)
 	came := make(chan *conn, 1)
 	go func() {
 		addr := t.address()
-		s, err := t.opt.Wire.Dial(ctx, addr)
+		s, err := t.opt.Dialer.Dial(ctx, addr)
 		if err != nil {
 			came <- nil
 			return
 		}
-		came <- &conn{Session: s, addr: addr}
+		came <- &conn{Conn: s, addr: addr}
 	}()
-	wait := time.NewTimer(t.opt.Dial)
+	wait := time.NewTimer(t.opt.DialTimeout)
 	defer wait.Stop()
 	select {
 	case c := <-came:
@@ -113,22 +113,22 @@
 }
 
 // exchange has the attempt carried out on c, and returns c if it can be used again.
-func (t *target) exchange(y *try, c *conn, r *dispatcher.Result) (*conn, string) {
-	if !y.hold(c.Session) || y.clientGone() {
-		r.Code = scheduler.NotSent
+func (t *target) exchange(y *try, c *conn, r *dispatcher.AttemptResult) (*conn, string) {
+	if !y.hold(c.Conn) || y.clientGone() {
+		r.Status = scheduler.NotSent
 		return c, ""
 	}
 	c.used++
-	t.opt.Log.LogAttrs(y.ctx, slog.LevelDebug, "attempt begins", slog.String("request", y.Name), slog.Int("attempt", y.Number),
+	t.opt.Logger.LogAttrs(y.ctx, slog.LevelDebug, "attempt begins", slog.String("request", y.ClientRequestID), slog.Int("attempt", y.Number),
 		slog.String("peer", t.id), slog.Int("requests", c.used), slog.Duration("rested", c.rested()))
 	var reuse bool
 	var reason string
-	*r, reuse, reason = c.Do(y.Attempt, func() bool { return t.mayBegin(y, c) })
+	*r, reuse, reason = c.RoundTrip(y.Attempt, func() bool { return t.mayBegin(y, c) })
 	if y.calledOff() {
-		switch r.Code {
+		switch r.Status {
 		case scheduler.Succeeded, scheduler.NotSent, scheduler.ConnectFailed:
 		default:
-			r.Code, reason = scheduler.Cancelled, "CANCELLED"
+			r.Status, reason = scheduler.Cancelled, "CANCELLED"
 		}
 		return nil, reason
 	}
@@ -140,14 +140,14 @@
 
 // mayBegin is the last look before the first byte of an attempt. What has come on its connection by then is not its answer.
 func (t *target) mayBegin(y *try, c *conn) bool {
-	if !c.Alive() || !open(&t.state) || !y.Begin.IsZero() && !time.Now().Before(y.Begin) {
+	if !c.Alive() || !open(&t.state) || !y.StartBy.IsZero() && !time.Now().Before(y.StartBy) {
 		return false
 	}
 	return !y.clientGone()
 }
 
 // clientGone asks the client's socket: the news of its departure may still be on its way to callOff.
-func (y *try) clientGone() bool { return y.Gone != nil && y.Gone() }
+func (y *try) clientGone() bool { return y.ClientGone != nil && y.ClientGone() }
 
 // callOff ends an attempt from outside: whatever it waits for fails at once.
 func (y *try) callOff() {
@@ -161,7 +161,7 @@
 }
 
 // hold notes the connection for callOff; false when it came too late.
-func (y *try) hold(c Session) bool {
+func (y *try) hold(c Conn) bool {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	y.conn = c
--- a/internal/upstream/calledoff_test.go
+++ b/internal/upstream/calledoff_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"dapplegate/internal/dispatcher"
+	"dapplegate/internal/httpmsg"
 	"dapplegate/scheduler"
 )
 
@@ -18,19 +19,19 @@
 // Settled by the log: "attempt ended" reason=NO_CONNECTION took=0.4ms, right behind "request ended" reason=CLIENT_LEFT.
 func TestCalledOffBeforeItBegan(t *testing.T) {
 	w := &lateWire{up: make(chan bool)}
-	results := make(chan dispatcher.Result, 1)
-	g := NewRegistry(Options{Wire: w, Dial: 20 * time.Second, Idle: time.Minute, MostConn: 4, MostAll: 6,
-		Log: slog.New(slog.DiscardHandler)}, func(r dispatcher.Result) { results <- r })
-	g.Apply([]Target{{ID: "n", Addr: "a:1"}}, true)
-	g.Send(dispatcher.Attempt{Request: "r", Node: "n", Until: time.Now().Add(time.Minute), Payload: &Message{}})
+	results := make(chan dispatcher.AttemptResult, 1)
+	g := NewRegistry(Options{Dialer: w, DialTimeout: 20 * time.Second, IdleTimeout: time.Minute, MaxConnsPerTarget: 4, MaxConns: 6,
+		Logger: slog.New(slog.DiscardHandler)}, func(r dispatcher.AttemptResult) { results <- r })
+	g.Apply([]Endpoint{{ID: "n", Addr: "a:1"}}, true)
+	g.Send(dispatcher.Attempt{RequestID: "r", Target: "n", Deadline: time.Now().Add(time.Minute), Payload: &httpmsg.Request{}})
 	for w.asked.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	g.Cancel("n", "r")
 	select {
 	case r := <-results:
-		if r.Code != scheduler.NotSent {
-			t.Errorf("code %v, want it not sent", r.Code)
+		if r.Status != scheduler.NotSent {
+			t.Errorf("code %v, want it not sent", r.Status)
 		}
 	case <-time.After(20 * time.Second):
 		t.Fatal("no result")
--- a/internal/upstream/http.go
+++ b/internal/upstream/http.go
@@ -16,13 +16,12 @@
 	"time"
 
 	"dapplegate/internal/dispatcher"
+	"dapplegate/internal/httpmsg"
 	"dapplegate/internal/socket"
 	"dapplegate/scheduler"
 )
 
 const (
-	// MaxBody is the largest body of a request.
-	MaxBody = 64 << 10
 	// maxAnswer is the largest body of an answer. Targets send some of several hundred KB, past what a request may have.
 	maxAnswer = 1 << 20
 	maxHead   = 16 << 10
@@ -33,28 +32,20 @@
 	mostInformed = 8
 )
 
-// Message is the payload of a job on this wire: what passes on unchanged.
-type Message struct {
-	Method string
-	URI    string
-	ID     string
-	Body   []byte
-}
-
 // HTTP is the platform's wire.
-type HTTP struct {
+type HTTPDialer struct {
 	room *atomic.Int64 // bytes that answers being read may still take together
 }
 
 // NewHTTP returns a wire whose answers together take no more than so many bytes while they are read.
-func NewHTTP(room int64) HTTP {
-	h := HTTP{&atomic.Int64{}}
+func NewHTTPDialer(room int64) HTTPDialer {
+	h := HTTPDialer{&atomic.Int64{}}
 	h.room.Store(max(room, 2*maxAnswer))
 	return h
 }
 
 // Dial opens a connection.
-func (h HTTP) Dial(ctx context.Context, addr string) (Session, error) {
+func (h HTTPDialer) Dial(ctx context.Context, addr string) (Conn, error) {
 	n, err := (&net.Dialer{KeepAlive: -1}).DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return nil, err
@@ -91,21 +82,21 @@
 // Do writes the request and reads the answer. The outcome is judged by the bytes written: short of the last
 // one the target cannot have begun, after it the attempt may have run. Write, head and body are all bounded
 // by the attempt's time.
-func (c *httpSession) Do(a dispatcher.Attempt, first func() bool) (r dispatcher.Result, reuse bool, reason string) {
-	c.SetDeadline(a.Until)
-	m := a.Payload.(*Message)
-	wait := max(time.Until(a.Until).Milliseconds(), 1)
+func (c *httpSession) RoundTrip(a dispatcher.Attempt, first func() bool) (r dispatcher.AttemptResult, reuse bool, reason string) {
+	c.SetDeadline(a.Deadline)
+	m := a.Payload.(*httpmsg.Request)
+	wait := max(time.Until(a.Deadline).Milliseconds(), 1)
 	whole := append(appendHead(make([]byte, 0, 256+len(m.Body)), m, c.host, wait), m.Body...)
 	// The last look before the first byte: news may have come while the connection was being made.
 	if !first() {
-		r.Code = scheduler.NotSent
+		r.Status = scheduler.NotSent
 		return r, false, "NOT_SENT"
 	}
 	if n, err := c.Write(whole); n < len(whole) {
-		r.Code = scheduler.ConnectFailed
-		return r, false, "WRITE_" + Cause(err)
+		r.Status = scheduler.ConnectFailed
+		return r, false, "WRITE_" + ErrorReason(err)
 	}
-	parts := &stallReader{Conn: c.Conn, until: a.Until}
+	parts := &stallReader{Conn: c.Conn, until: a.Deadline}
 	limit := &io.LimitedReader{R: parts}
 	in := bufio.NewReaderSize(limit, 4096)
 	ans, err := readAnswer(in, m.Method, c.room, func(head bool) error {
@@ -115,7 +106,7 @@
 		}
 		// A head without end must cost no more than a head.
 		limit.N, parts.begun = maxHead, false
-		if err := c.SetReadDeadline(a.Until); err != nil {
+		if err := c.SetReadDeadline(a.Deadline); err != nil {
 			return err
 		}
 		_, err := in.Peek(1)
@@ -123,18 +114,18 @@
 		return err
 	})
 	if err != nil {
-		r.Code = scheduler.ConnectionReset
+		r.Status = scheduler.ConnectionReset
 		switch late := errors.Is(err, os.ErrDeadlineExceeded); {
-		case late && parts.begun && time.Now().Before(a.Until):
+		case late && parts.begun && time.Now().Before(a.Deadline):
 			return r, false, "READ_STALLED"
 		case late:
-			r.Code = scheduler.DeadlineExceeded
+			r.Status = scheduler.DeadlineExceeded
 		case limit.N <= 0:
 			return r, false, "ANSWER_TOO_LARGE"
 		}
-		return r, false, "READ_" + Cause(err)
+		return r, false, "READ_" + ErrorReason(err)
 	}
-	r.Code, r.Load, r.Used, r.Payload = ans.code(), ans.load, ans.used, ans.body
+	r.Status, r.LoadReport, r.VolumeUsage, r.Payload = ans.code(), ans.load, ans.used, ans.body
 	if ans.close || in.Buffered() > 0 {
 		return r, false, "TARGET_CLOSES"
 	}
@@ -144,10 +135,10 @@
 }
 
 // Alive implements Session.
-func (c *httpSession) Alive() bool { return socket.Quiet(c.Conn) }
+func (c *httpSession) Alive() bool { return socket.IsQuiet(c.Conn) }
 
 // appendHead writes the request's head. What is not listed in the protocol is not sent.
-func appendHead(b []byte, m *Message, host string, waitMs int64) []byte {
+func appendHead(b []byte, m *httpmsg.Request, host string, waitMs int64) []byte {
 	b = append(b, m.Method...)
 	b = append(b, ' ')
 	b = append(b, m.URI...)
@@ -271,7 +262,7 @@
 }
 
 // Cause is the reason code of a failed read or write.
-func Cause(err error) string {
+func ErrorReason(err error) string {
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return "TIMEOUT"
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -15,7 +15,7 @@
 
 // conn is one connection of the pool.
 type conn struct {
-	Session
+	Conn
 	addr   string
 	used   int
 	idleAt time.Time
@@ -54,7 +54,7 @@
 
 // mayOpen counts a new connection, unless there are too many. Both bounds keep the process within its descriptors,
 // whatever the number of targets.
-func (t *target) mayOpen() bool { return t.conns < t.opt.MostConn && t.count(1) }
+func (t *target) mayOpen() bool { return t.conns < t.opt.MaxConnsPerTarget && t.count(1) }
 
 // takeRested returns the connection used last of those that have rested and are still whole; nil: none.
 func (t *target) takeRested() *conn {
@@ -107,7 +107,7 @@
 	now, addr := time.Now(), t.address()
 	t.closeIdle("TARGET_LEAVES", func(*conn) bool { return !open(&t.state) })
 	t.closeIdle("TARGET_MOVED", func(c *conn) bool { return c.addr != addr })
-	t.closeIdle("IDLE", func(c *conn) bool { return now.Sub(c.idleAt) >= t.opt.Idle })
+	t.closeIdle("IDLE", func(c *conn) bool { return now.Sub(c.idleAt) >= t.opt.IdleTimeout })
 }
 
 func (t *target) closeIdle(reason string, which func(*conn) bool) {
@@ -125,7 +125,7 @@
 
 // count notes a connection more, unless all targets' connections are too many, or one less.
 func (t *target) count(n int) bool {
-	if t.all.Add(int64(n)) > int64(t.opt.MostAll) && n > 0 {
+	if t.all.Add(int64(n)) > int64(t.opt.MaxConns) && n > 0 {
 		t.all.Add(int64(-n))
 		return false
 	}
--- a/internal/upstream/registry.go
+++ b/internal/upstream/registry.go
@@ -12,7 +12,7 @@
 )
 
 // Target is what discovery says of one target.
-type Target struct {
+type Endpoint struct {
 	ID    string
 	Addr  string
 	State scheduler.TargetState
@@ -20,19 +20,19 @@
 
 // Options are the bounds of every connection.
 type Options struct {
-	Wire     Wire
-	Dial     time.Duration // for a connection to come up
-	Idle     time.Duration // an unused connection is closed after that
-	MostConn int           // connections to one target
-	MostAll  int           // connections to all targets together
-	Log      *slog.Logger
+	Dialer            Dialer
+	DialTimeout       time.Duration // for a connection to come up
+	IdleTimeout       time.Duration // an unused connection is closed after that
+	MaxConnsPerTarget int           // connections to one target
+	MaxConns          int           // connections to all targets together
+	Logger            *slog.Logger
 }
 
 // Registry holds the targets' actors. The list actor applies news to it before the module hears of them, so
 // that a send decided on an older list still meets the newer state at its first byte.
 type Registry struct {
 	opt     Options
-	report  func(dispatcher.Result)
+	report  func(dispatcher.AttemptResult)
 	mu      sync.Mutex
 	targets map[string]*target
 	gone    map[*target]bool // off the list, with something out still
@@ -40,12 +40,12 @@
 }
 
 // NewRegistry returns an empty registry; results go to report.
-func NewRegistry(opt Options, report func(dispatcher.Result)) *Registry {
+func NewRegistry(opt Options, report func(dispatcher.AttemptResult)) *Registry {
 	return &Registry{opt: opt, report: report, targets: map[string]*target{}, gone: map[*target]bool{}}
 }
 
 // Apply takes over entries of the list; with whole, a target that is absent is gone.
-func (g *Registry) Apply(list []Target, whole bool) {
+func (g *Registry) Apply(list []Endpoint, whole bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	named := make(map[string]bool, len(list))
@@ -83,14 +83,14 @@
 // Send starts an attempt; one result follows.
 func (g *Registry) Send(a dispatcher.Attempt) {
 	g.mu.Lock()
-	t := g.targets[a.Node]
+	t := g.targets[a.Target]
 	if t != nil {
 		t.box.Put(a)
 	}
 	g.mu.Unlock()
 	if t == nil {
 		// Not sent: the target left the list between the decision and now.
-		g.report(dispatcher.Result{Request: a.Request, Number: a.Number, Node: a.Node, Code: scheduler.NotSent})
+		g.report(dispatcher.AttemptResult{RequestID: a.RequestID, Number: a.Number, Target: a.Target, Status: scheduler.NotSent})
 	}
 }
 
@@ -110,3 +110,5 @@
 
 // open tells whether something new may still go to the target.
 func open(state *atomic.Int32) bool { return state.Load() == int32(scheduler.Serving) }
+
+var _ dispatcher.Upstream = (*Registry)(nil)
--- a/internal/upstream/samples_test.go
+++ b/internal/upstream/samples_test.go
@@ -7,18 +7,19 @@
 	"sync/atomic"
 	"testing"
 
+	"dapplegate/internal/httpmsg"
 	"dapplegate/scheduler"
 )
 
 // TestAttemptSamples writes an attempt in the form of the PROTOCOL page: what passes on does so unchanged.
 func TestAttemptSamples(t *testing.T) {
-	put := &Message{Method: "PUT", URI: "/checkout/7f3a9c21e0b4d655?q=1", ID: "9b1f03aa5c7e2d41", Body: []byte("body")}
+	put := &httpmsg.Request{Method: "PUT", URI: "/checkout/7f3a9c21e0b4d655?q=1", ID: "9b1f03aa5c7e2d41", Body: []byte("body")}
 	want := "PUT /checkout/7f3a9c21e0b4d655?q=1 HTTP/1.1\r\nHost: 10.1.0.18:8080\r\nRequest-Id: 9b1f03aa5c7e2d41\r\n" +
 		"Request-Timeout-Ms: 480\r\nContent-Length: 4\r\n\r\n"
 	if got := string(appendHead(nil, put, "10.1.0.18:8080", 480)); got != want {
 		t.Errorf("a write has the head %q, want %q", got, want)
 	}
-	get := &Message{Method: "GET", URI: "/checkout/7f3a9c21e0b4d655", ID: "9b1f03aa5c7e2d41"}
+	get := &httpmsg.Request{Method: "GET", URI: "/checkout/7f3a9c21e0b4d655", ID: "9b1f03aa5c7e2d41"}
 	want = "GET /checkout/7f3a9c21e0b4d655 HTTP/1.1\r\nHost: 10.1.0.18:8080\r\nRequest-Id: 9b1f03aa5c7e2d41\r\nRequest-Timeout-Ms: 1\r\n\r\n"
 	if got := string(appendHead(nil, get, "10.1.0.18:8080", 1)); got != want {
 		t.Errorf("a read has the head %q, want %q", got, want)
--- a/internal/upstream/target.go
+++ b/internal/upstream/target.go
@@ -31,7 +31,7 @@
 type target struct {
 	id     string
 	opt    Options
-	report func(dispatcher.Result)
+	report func(dispatcher.AttemptResult)
 	box    *mailbox.Box[any]
 	state  atomic.Int32
 	addr   atomic.Pointer[string]
@@ -43,7 +43,7 @@
 	slow  atomic.Bool   // a dial goes on that its attempt did not wait for; one at a time
 }
 
-func newTarget(id string, opt Options, all *atomic.Int64, report func(dispatcher.Result)) *target {
+func newTarget(id string, opt Options, all *atomic.Int64, report func(dispatcher.AttemptResult)) *target {
 	return &target{id: id, opt: opt, all: all, report: report, box: mailbox.New[any](), busy: map[string]*try{}}
 }
 
@@ -53,7 +53,7 @@
 		t.addr.Store(&addr)
 	}
 	if before := scheduler.TargetState(t.state.Swap(int32(state))); before != state {
-		t.opt.Log.LogAttrs(context.Background(), slog.LevelDebug, "target changed", slog.String("peer", t.id),
+		t.opt.Logger.LogAttrs(context.Background(), slog.LevelDebug, "target changed", slog.String("peer", t.id),
 			slog.String("from", before.String()), slog.String("to", state.String()))
 	}
 	t.box.Put(moved{})
@@ -61,7 +61,7 @@
 
 func (t *target) run() {
 	var spare []any
-	tick := time.NewTicker(max(t.opt.Idle/8, 50*time.Millisecond))
+	tick := time.NewTicker(max(t.opt.IdleTimeout/8, 50*time.Millisecond))
 	defer tick.Stop()
 	retired := false
 	for !retired || len(t.busy) > 0 || t.slow.Load() {
@@ -98,29 +98,29 @@
 
 // start gives the attempt a connection, an idle one that is still whole or a new one.
 func (t *target) start(a dispatcher.Attempt) {
-	r := dispatcher.Result{Request: a.Request, Number: a.Number, Node: t.id}
+	r := dispatcher.AttemptResult{RequestID: a.RequestID, Number: a.Number, Target: t.id}
 	if !open(&t.state) {
-		r.Code = scheduler.NotSent
+		r.Status = scheduler.NotSent
 		t.report(r)
 		return
 	}
 	c, found := t.choose()
 	if !found {
-		r.Code = scheduler.ConnectFailed
+		r.Status = scheduler.ConnectFailed
 		t.report(r)
 		return
 	}
-	ctx, stop := context.WithDeadline(context.Background(), a.Until)
+	ctx, stop := context.WithDeadline(context.Background(), a.Deadline)
 	y := &try{Attempt: a, ctx: ctx, stop: stop}
-	t.busy[a.Request] = y
+	t.busy[a.RequestID] = y
 	go t.attempt(y, c)
 }
 
 func (t *target) finish(m done) {
 	m.try.stop()
 	// A later attempt of the same request may have begun here since; its entry is not this one's.
-	if t.busy[m.try.Request] == m.try {
-		delete(t.busy, m.try.Request)
+	if t.busy[m.try.RequestID] == m.try {
+		delete(t.busy, m.try.RequestID)
 	}
 	if !m.try.slow {
 		t.pool(m.conn)
@@ -136,6 +136,6 @@
 
 // logEnd logs why a connection ended, and the request that was on it; empty: none was.
 func (t *target) logEnd(used int, reason, request string) {
-	t.opt.Log.Info("connection ended", slog.String("side", "target"), slog.String("peer", t.id),
+	t.opt.Logger.Info("connection ended", slog.String("side", "target"), slog.String("peer", t.id),
 		slog.String("reason", reason), slog.Int("requests", used), slog.String("request", request))
 }
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -17,6 +17,7 @@
 	"pgregory.net/rapid"
 
 	"dapplegate/internal/dispatcher"
+	"dapplegate/internal/httpmsg"
 	"dapplegate/internal/seeded"
 	"dapplegate/scheduler"
 )
@@ -67,33 +68,33 @@
 // bench is a registry with one target "n" and its results.
 type bench struct {
 	*Registry
-	results chan dispatcher.Result
+	results chan dispatcher.AttemptResult
 	tries   int
 }
 
 func newBench(addr string) *bench {
-	b := &bench{results: make(chan dispatcher.Result, 64)}
-	b.Registry = NewRegistry(Options{Wire: NewHTTP(0), Dial: 20 * time.Second, Idle: time.Minute, MostConn: 4, MostAll: 6,
-		Log: slog.New(slog.DiscardHandler)}, func(r dispatcher.Result) { b.results <- r })
-	b.Apply([]Target{{ID: "n", Addr: addr}}, true)
+	b := &bench{results: make(chan dispatcher.AttemptResult, 64)}
+	b.Registry = NewRegistry(Options{Dialer: NewHTTPDialer(0), DialTimeout: 20 * time.Second, IdleTimeout: time.Minute, MaxConnsPerTarget: 4, MaxConns: 6,
+		Logger: slog.New(slog.DiscardHandler)}, func(r dispatcher.AttemptResult) { b.results <- r })
+	b.Apply([]Endpoint{{ID: "n", Addr: addr}}, true)
 	return b
 }
 
 func (b *bench) send(wait time.Duration) {
 	b.tries++
 	now := time.Now()
-	b.Send(dispatcher.Attempt{Request: fmt.Sprint(b.tries), Node: "n", Until: now.Add(wait),
-		Payload: &Message{Method: "PUT", URI: "/w/1", ID: "id", Body: []byte("body")}})
+	b.Send(dispatcher.Attempt{RequestID: fmt.Sprint(b.tries), Target: "n", Deadline: now.Add(wait),
+		Payload: &httpmsg.Request{Method: "PUT", URI: "/w/1", ID: "id", Body: []byte("body")}})
 }
 
-func (b *bench) result(t *testing.T) dispatcher.Result {
+func (b *bench) result(t *testing.T) dispatcher.AttemptResult {
 	t.Helper()
 	select {
 	case r := <-b.results:
 		return r
 	case <-time.After(20 * time.Second):
 		t.Fatal("no result")
-		return dispatcher.Result{}
+		return dispatcher.AttemptResult{}
 	}
 }
 
@@ -116,7 +117,7 @@
 // TestConnectionOutlivesAttempt guards the pool against an attempt's deadline: left on the connection, it made
 // the look at the idle connection fail, and nearly every request paid for a handshake.
 func TestConnectionOutlivesAttempt(t *testing.T) {
-	tg := newTarget("n", Options{Log: slog.New(slog.DiscardHandler)}, nil, func(dispatcher.Result) {})
+	tg := newTarget("n", Options{Logger: slog.New(slog.DiscardHandler)}, nil, func(dispatcher.AttemptResult) {})
 	tg.set("a:1", scheduler.Serving)
 	near, far := net.Pipe()
 	go func() {
@@ -124,9 +125,9 @@
 		say(far, "200 OK", "x")
 	}()
 	c := &deadlineConn{Conn: near}
-	var r dispatcher.Result
-	y := &try{ctx: t.Context(), Attempt: dispatcher.Attempt{Until: time.Now().Add(time.Minute), Payload: &Message{Method: "GET", URI: "/"}}}
-	if again, reason := tg.exchange(y, &conn{Session: &httpSession{c, "", NewHTTP(0).room}}, &r); again == nil || !c.at.IsZero() {
+	var r dispatcher.AttemptResult
+	y := &try{ctx: t.Context(), Attempt: dispatcher.Attempt{Deadline: time.Now().Add(time.Minute), Payload: &httpmsg.Request{Method: "GET", URI: "/"}}}
+	if again, reason := tg.exchange(y, &conn{Conn: &httpSession{c, "", NewHTTPDialer(0).room}}, &r); again == nil || !c.at.IsZero() {
 		t.Errorf("kept %v (%s), deadline left %v; want it kept with none", again, reason, c.at)
 	}
 }
@@ -151,8 +152,8 @@
 		})
 		b := newBench(s.Addr().String())
 		b.send(10 * time.Second)
-		if r := b.result(t); r.Code != c.want {
-			t.Errorf("%s: code %v, want %v", c.name, r.Code, c.want)
+		if r := b.result(t); r.Status != c.want {
+			t.Errorf("%s: code %v, want %v", c.name, r.Status, c.want)
 		}
 	}
 }
@@ -195,7 +196,7 @@
 			begun := time.Now()
 			b.send(10 * time.Second)
 			r := b.result(t)
-			if r.Code != c.want || r.Code == ok && string(r.Payload.([]byte)) != "x" || r.Load != nil || r.Used != 0 {
+			if r.Status != c.want || r.Status == ok && string(r.Payload.([]byte)) != "x" || r.LoadReport != nil || r.VolumeUsage != 0 {
 				t.Errorf("%s: %+v, want code %v", c.name, r, c.want)
 			}
 			if took := time.Since(begun); took > 5*time.Second {
@@ -235,8 +236,8 @@
 		for range 2 {
 			b.send(10 * time.Second)
 			r := b.result(t)
-			if body, _ := r.Payload.([]byte); r.Code != c.want || r.Code == scheduler.Succeeded && string(body) != "whole" {
-				t.Errorf("%s: code %v, body %q, want code %v", c.name, r.Code, body, c.want)
+			if body, _ := r.Payload.([]byte); r.Status != c.want || r.Status == scheduler.Succeeded && string(body) != "whole" {
+				t.Errorf("%s: code %v, body %q, want code %v", c.name, r.Status, body, c.want)
 			}
 		}
 		if n := s.accepted.Load(); n != 2 {
@@ -258,23 +259,23 @@
 		return true
 	})
 	b := newBench(s.Addr().String())
-	wire := NewHTTP(0)
+	wire := NewHTTPDialer(0)
 	wire.room.Store(500 << 10)
-	b.opt.Wire = wire
-	b.Apply([]Target{{ID: "n"}}, false)
-	b.Apply([]Target{{ID: "m", Addr: s.Addr().String()}}, true)
+	b.opt.Dialer = wire
+	b.Apply([]Endpoint{{ID: "n"}}, false)
+	b.Apply([]Endpoint{{ID: "m", Addr: s.Addr().String()}}, true)
 	send := func(request string) {
-		b.Send(dispatcher.Attempt{Request: request, Node: "m", Until: time.Now().Add(20 * time.Second),
-			Payload: &Message{Method: "GET", URI: "/r/1", ID: "id"}})
+		b.Send(dispatcher.Attempt{RequestID: request, Target: "m", Deadline: time.Now().Add(20 * time.Second),
+			Payload: &httpmsg.Request{Method: "GET", URI: "/r/1", ID: "id"}})
 	}
 	send("1")
-	if r := b.result(t); r.Code != scheduler.Succeeded || string(r.Payload.([]byte)) != body {
-		t.Errorf("a large answer in pieces: code %v", r.Code)
+	if r := b.result(t); r.Status != scheduler.Succeeded || string(r.Payload.([]byte)) != body {
+		t.Errorf("a large answer in pieces: code %v", r.Status)
 	}
 	send("2")
 	send("3")
-	if one, two := b.result(t), b.result(t); one.Code != scheduler.ConnectionReset || two.Code != scheduler.Succeeded {
-		t.Errorf("two at a time, with room for one: codes %v and %v", one.Code, two.Code)
+	if one, two := b.result(t), b.result(t); one.Status != scheduler.ConnectionReset || two.Status != scheduler.Succeeded {
+		t.Errorf("two at a time, with room for one: codes %v and %v", one.Status, two.Status)
 	}
 	if left := wire.room.Load(); left != 500<<10 {
 		t.Errorf("%d bytes of room are left afterwards", left)
@@ -297,8 +298,8 @@
 	<-closed
 	time.Sleep(20 * time.Millisecond)
 	b.send(10 * time.Second)
-	if r := b.result(t); r.Code != scheduler.Succeeded || s.asked.Load() != 2 {
-		t.Errorf("code %v after %d requests, want it served by the second", r.Code, s.asked.Load())
+	if r := b.result(t); r.Status != scheduler.Succeeded || s.asked.Load() != 2 {
+		t.Errorf("code %v after %d requests, want it served by the second", r.Status, s.asked.Load())
 	}
 }
 
@@ -322,15 +323,15 @@
 				b.Apply(nil, true)
 			}
 			if way == "cancel at a namesake" {
-				b.Apply([]Target{{ID: "n", Addr: s.Addr().String()}}, true)
+				b.Apply([]Endpoint{{ID: "n", Addr: s.Addr().String()}}, true)
 			}
 			b.Cancel("n", "1")
 		} else {
 			b.send(2 * time.Second)
 		}
 		r := b.result(t)
-		if r.Code != want {
-			t.Errorf("%s: code %v, want %v", way, r.Code, want)
+		if r.Status != want {
+			t.Errorf("%s: code %v, want %v", way, r.Status, want)
 		}
 		select {
 		case <-ended:
@@ -353,20 +354,20 @@
 	b := newBench(s.Addr().String())
 	b.send(10 * time.Second)
 	b.result(t)
-	b.Apply([]Target{{ID: "n", Addr: s.Addr().String(), State: scheduler.Draining}}, false)
+	b.Apply([]Endpoint{{ID: "n", Addr: s.Addr().String(), State: scheduler.Draining}}, false)
 	b.send(10 * time.Second)
-	if r := b.result(t); r.Code != scheduler.NotSent || s.asked.Load() != 1 {
-		t.Errorf("draining: code %v, %d requests reached the target; want none after the first", r.Code, s.asked.Load())
+	if r := b.result(t); r.Status != scheduler.NotSent || s.asked.Load() != 1 {
+		t.Errorf("draining: code %v, %d requests reached the target; want none after the first", r.Status, s.asked.Load())
 	}
 	// The same at the last look, with the connection in hand.
 	tg := newTarget("n", b.opt, &b.conns, b.report)
 	tg.set(s.Addr().String(), scheduler.Draining)
 	near, far := net.Pipe()
 	defer far.Close()
-	var r dispatcher.Result
-	y := &try{ctx: t.Context(), Attempt: dispatcher.Attempt{Until: time.Now().Add(time.Minute), Payload: &Message{Method: "GET", URI: "/"}}}
-	if again, _ := tg.exchange(y, &conn{Session: &httpSession{near, "", NewHTTP(0).room}}, &r); again != nil || r.Code != scheduler.NotSent {
-		t.Errorf("first byte: code %v, want it not sent", r.Code)
+	var r dispatcher.AttemptResult
+	y := &try{ctx: t.Context(), Attempt: dispatcher.Attempt{Deadline: time.Now().Add(time.Minute), Payload: &httpmsg.Request{Method: "GET", URI: "/"}}}
+	if again, _ := tg.exchange(y, &conn{Conn: &httpSession{near, "", NewHTTPDialer(0).room}}, &r); again != nil || r.Status != scheduler.NotSent {
+		t.Errorf("first byte: code %v, want it not sent", r.Status)
 	}
 }
 
@@ -390,8 +391,8 @@
 	b := newBench(s.Addr().String())
 	for _, want := range []string{"first", "second"} {
 		b.send(10 * time.Second)
-		if r := b.result(t); r.Code != scheduler.Succeeded || string(r.Payload.([]byte)) != want {
-			t.Errorf("code %v, answer %q, want %q", r.Code, r.Payload, want)
+		if r := b.result(t); r.Status != scheduler.Succeeded || string(r.Payload.([]byte)) != want {
+			t.Errorf("code %v, answer %q, want %q", r.Status, r.Payload, want)
 		}
 	}
 	plain := newStandIn(t, func(_ int32, _ *http.Request, c net.Conn) bool { return say(c, "200 OK", "") })
@@ -409,16 +410,16 @@
 func TestRepeatTooLate(t *testing.T) {
 	s := newStandIn(t, func(_ int32, _ *http.Request, c net.Conn) bool { return say(c, "200 OK", "") })
 	b := newBench(s.Addr().String())
-	send := func(begin time.Time) dispatcher.Result {
-		b.Send(dispatcher.Attempt{Request: "r", Node: "n", Begin: begin, Until: time.Now().Add(time.Minute),
-			Payload: &Message{Method: "GET", URI: "/r/1", ID: "id"}})
+	send := func(begin time.Time) dispatcher.AttemptResult {
+		b.Send(dispatcher.Attempt{RequestID: "r", Target: "n", StartBy: begin, Deadline: time.Now().Add(time.Minute),
+			Payload: &httpmsg.Request{Method: "GET", URI: "/r/1", ID: "id"}})
 		return b.result(t)
 	}
-	if r := send(time.Now()); r.Code != scheduler.NotSent || s.asked.Load() != 0 {
-		t.Errorf("too late: code %v, %d requests reached the target", r.Code, s.asked.Load())
+	if r := send(time.Now()); r.Status != scheduler.NotSent || s.asked.Load() != 0 {
+		t.Errorf("too late: code %v, %d requests reached the target", r.Status, s.asked.Load())
 	}
-	if r := send(time.Now().Add(time.Minute)); r.Code != scheduler.Succeeded {
-		t.Errorf("in time: code %v", r.Code)
+	if r := send(time.Now().Add(time.Minute)); r.Status != scheduler.Succeeded {
+		t.Errorf("in time: code %v", r.Status)
 	}
 }
 
@@ -428,7 +429,7 @@
 	up          chan bool
 }
 
-func (w *lateWire) Dial(ctx context.Context, _ string) (Session, error) {
+func (w *lateWire) Dial(ctx context.Context, _ string) (Conn, error) {
 	w.asked.Add(1)
 	select {
 	case <-w.up:
@@ -442,8 +443,8 @@
 // served is a connection on which every attempt is.
 type served struct{}
 
-func (served) Do(dispatcher.Attempt, func() bool) (dispatcher.Result, bool, string) {
-	return dispatcher.Result{Code: scheduler.Succeeded}, true, ""
+func (served) RoundTrip(dispatcher.Attempt, func() bool) (dispatcher.AttemptResult, bool, string) {
+	return dispatcher.AttemptResult{Status: scheduler.Succeeded}, true, ""
 }
 func (served) Alive() bool  { return true }
 func (served) Close() error { return nil }
@@ -452,14 +453,14 @@
 // carries the next attempt; a target that is gone ends with it, and nothing stays counted.
 func TestLateConnectionIsKept(t *testing.T) {
 	w := &lateWire{up: make(chan bool)}
-	b := &bench{results: make(chan dispatcher.Result, 64)}
-	b.Registry = NewRegistry(Options{Wire: w, Dial: 250 * time.Millisecond, Idle: time.Minute, MostConn: 4, MostAll: 6,
-		Log: slog.New(slog.DiscardHandler)}, func(r dispatcher.Result) { b.results <- r })
-	b.Apply([]Target{{ID: "n", Addr: "a:1"}}, true)
+	b := &bench{results: make(chan dispatcher.AttemptResult, 64)}
+	b.Registry = NewRegistry(Options{Dialer: w, DialTimeout: 250 * time.Millisecond, IdleTimeout: time.Minute, MaxConnsPerTarget: 4, MaxConns: 6,
+		Logger: slog.New(slog.DiscardHandler)}, func(r dispatcher.AttemptResult) { b.results <- r })
+	b.Apply([]Endpoint{{ID: "n", Addr: "a:1"}}, true)
 	for i := range 2 {
 		b.send(10 * time.Second)
-		if r := b.result(t); r.Code != scheduler.ConnectFailed {
-			t.Fatalf("attempt %d: code %v, want no connection", i, r.Code)
+		if r := b.result(t); r.Status != scheduler.ConnectFailed {
+			t.Fatalf("attempt %d: code %v, want no connection", i, r.Status)
 		}
 	}
 	if asked, gone := w.asked.Load(), w.gone.Load(); asked != 2 || gone != 1 {
@@ -473,11 +474,11 @@
 		time.Sleep(time.Millisecond)
 	}
 	b.send(10 * time.Second)
-	if r := b.result(t); r.Code != scheduler.Succeeded || w.asked.Load() != 2 {
-		t.Errorf("on the connection that came late: code %v, %d dials", r.Code, w.asked.Load())
+	if r := b.result(t); r.Status != scheduler.Succeeded || w.asked.Load() != 2 {
+		t.Errorf("on the connection that came late: code %v, %d dials", r.Status, w.asked.Load())
 	}
-	b.Apply([]Target{{ID: "m", Addr: "a:2"}}, true)
-	b.Send(dispatcher.Attempt{Request: "x", Node: "m", Until: time.Now().Add(time.Minute)})
+	b.Apply([]Endpoint{{ID: "m", Addr: "a:2"}}, true)
+	b.Send(dispatcher.Attempt{RequestID: "x", Target: "m", Deadline: time.Now().Add(time.Minute)})
 	b.result(t)
 	b.Apply(nil, true) // with a dial of its under way
 	for b.conns.Load() > 0 {
@@ -489,16 +490,16 @@
 // connection or on another, and the next attempt has the connection.
 func TestGoneWhileConnecting(t *testing.T) {
 	s := newStandIn(t, func(_ int32, _ *http.Request, c net.Conn) bool { return say(c, "200 OK", "") })
-	w := &heldWire{HTTP: NewHTTP(0), came: make(chan bool), held: make(chan bool)}
-	b := &bench{results: make(chan dispatcher.Result, 64)}
-	b.Registry = NewRegistry(Options{Wire: w, Dial: 20 * time.Second, Idle: time.Minute, MostConn: 4, MostAll: 6,
-		Log: slog.New(slog.DiscardHandler)}, func(r dispatcher.Result) { b.results <- r })
-	b.Apply([]Target{{ID: "n", Addr: s.Addr().String()}}, true)
+	w := &heldWire{HTTPDialer: NewHTTPDialer(0), came: make(chan bool), held: make(chan bool)}
+	b := &bench{results: make(chan dispatcher.AttemptResult, 64)}
+	b.Registry = NewRegistry(Options{Dialer: w, DialTimeout: 20 * time.Second, IdleTimeout: time.Minute, MaxConnsPerTarget: 4, MaxConns: 6,
+		Logger: slog.New(slog.DiscardHandler)}, func(r dispatcher.AttemptResult) { b.results <- r })
+	b.Apply([]Endpoint{{ID: "n", Addr: s.Addr().String()}}, true)
 	b.send(time.Minute)
 	<-w.came
 	b.Cancel("n", "1")
-	if r := b.result(t); r.Code != scheduler.NotSent || r.Request != "1" {
-		t.Errorf("code %v of request %s, want it not sent", r.Code, r.Request)
+	if r := b.result(t); r.Status != scheduler.NotSent || r.RequestID != "1" {
+		t.Errorf("code %v of request %s, want it not sent", r.Status, r.RequestID)
 	}
 	close(w.held)
 	b.mu.Lock()
@@ -508,19 +509,19 @@
 		time.Sleep(time.Millisecond)
 	}
 	b.send(time.Minute)
-	if r := b.result(t); r.Code != scheduler.Succeeded || s.asked.Load() != 1 || s.accepted.Load() != 1 {
-		t.Errorf("afterwards: code %v, %d requests on %d connections, want one on one", r.Code, s.asked.Load(), s.accepted.Load())
+	if r := b.result(t); r.Status != scheduler.Succeeded || s.asked.Load() != 1 || s.accepted.Load() != 1 {
+		t.Errorf("afterwards: code %v, %d requests on %d connections, want one on one", r.Status, s.asked.Load(), s.accepted.Load())
 	}
 }
 
 // heldWire connects at once, and hands the connection over when the test says so.
 type heldWire struct {
-	HTTP
+	HTTPDialer
 	came, held chan bool
 }
 
-func (w *heldWire) Dial(ctx context.Context, addr string) (Session, error) {
-	s, err := w.HTTP.Dial(ctx, addr)
+func (w *heldWire) Dial(ctx context.Context, addr string) (Conn, error) {
+	s, err := w.HTTPDialer.Dial(ctx, addr)
 	w.came <- true
 	<-w.held
 	return s, err
@@ -531,36 +532,36 @@
 	wait := make(chan bool)
 	s := newStandIn(t, func(_ int32, _ *http.Request, c net.Conn) bool { <-wait; return say(c, "200 OK", "") })
 	b := newBench(s.Addr().String())
-	b.Apply([]Target{{ID: "m", Addr: s.Addr().String()}}, false)
+	b.Apply([]Endpoint{{ID: "m", Addr: s.Addr().String()}}, false)
 	for i := range 10 {
 		now := time.Now()
-		b.Send(dispatcher.Attempt{Request: fmt.Sprint("r", i), Node: []string{"n", "m"}[i/5], Until: now.Add(time.Minute),
-			Payload: &Message{Method: "GET", URI: "/r/1", ID: "id"}})
+		b.Send(dispatcher.Attempt{RequestID: fmt.Sprint("r", i), Target: []string{"n", "m"}[i/5], Deadline: now.Add(time.Minute),
+			Payload: &httpmsg.Request{Method: "GET", URI: "/r/1", ID: "id"}})
 	}
 	for range 4 { // the fifth at n, and all past two at m
-		if r := b.result(t); r.Code != scheduler.ConnectFailed {
-			t.Errorf("past the bounds: code %v, want no connection", r.Code)
+		if r := b.result(t); r.Status != scheduler.ConnectFailed {
+			t.Errorf("past the bounds: code %v, want no connection", r.Status)
 		}
 	}
 	close(wait)
 	for range 6 {
-		if r := b.result(t); r.Code != scheduler.Succeeded {
-			t.Errorf("within the bounds: code %v, want it served", r.Code)
+		if r := b.result(t); r.Status != scheduler.Succeeded {
+			t.Errorf("within the bounds: code %v, want it served", r.Status)
 		}
 	}
 }
 
 // TestPartWritten checks that an attempt which ends short of its last byte cannot have run.
 func TestPartWritten(t *testing.T) {
-	tg := newTarget("n", Options{Log: slog.New(slog.DiscardHandler)}, nil, func(dispatcher.Result) {})
+	tg := newTarget("n", Options{Logger: slog.New(slog.DiscardHandler)}, nil, func(dispatcher.AttemptResult) {})
 	tg.set("a:1", scheduler.Serving)
 	near, far := net.Pipe()
 	go func() { io.ReadFull(far, make([]byte, 20)); far.Close() }()
-	var r dispatcher.Result
-	y := &try{Attempt: dispatcher.Attempt{Until: time.Now().Add(time.Minute), Payload: &Message{Method: "PUT", URI: "/",
+	var r dispatcher.AttemptResult
+	y := &try{Attempt: dispatcher.Attempt{Deadline: time.Now().Add(time.Minute), Payload: &httpmsg.Request{Method: "PUT", URI: "/",
 		Body: make([]byte, 1000)}}}
-	if again, _ := tg.exchange(y, &conn{Session: &httpSession{near, "", NewHTTP(0).room}}, &r); again != nil || r.Code != scheduler.ConnectFailed {
-		t.Errorf("code %v, want no connection", r.Code)
+	if again, _ := tg.exchange(y, &conn{Conn: &httpSession{near, "", NewHTTPDialer(0).room}}, &r); again != nil || r.Status != scheduler.ConnectFailed {
+		t.Errorf("code %v, want no connection", r.Status)
 	}
 }
 
@@ -571,16 +572,16 @@
 		body := rapid.StringN(0, 200, 300).Draw(t, "body")
 		whole := fmt.Sprintf("HTTP/1.1 200 OK\r\nServer-Load: inflight=3\r\nVolume-Load: 85\r\nContent-Length: %d\r\n\r\n%s",
 			len(body), body)
-		a, err := readAnswer(bufio.NewReader(strings.NewReader(whole)), "GET", NewHTTP(0).room, func(bool) error { return nil })
+		a, err := readAnswer(bufio.NewReader(strings.NewReader(whole)), "GET", NewHTTPDialer(0).room, func(bool) error { return nil })
 		if err != nil || string(a.body) != body || a.used != 86 || a.load.InFlight != 3 {
 			t.Fatalf("whole answer: %+v, %v", a, err)
 		}
 		cut := rapid.IntRange(0, len(whole)-1).Draw(t, "cut")
-		if a, err := readAnswer(bufio.NewReader(strings.NewReader(whole[:cut])), "GET", NewHTTP(0).room, func(bool) error { return nil }); err == nil {
+		if a, err := readAnswer(bufio.NewReader(strings.NewReader(whole[:cut])), "GET", NewHTTPDialer(0).room, func(bool) error { return nil }); err == nil {
 			t.Fatalf("cut at %d passed for whole: %+v", cut, a)
 		}
 		garbage := rapid.SliceOf(rapid.Byte()).Draw(t, "garbage")
-		readAnswer(bufio.NewReader(strings.NewReader(string(garbage))), "GET", NewHTTP(0).room, func(bool) error { return nil })
+		readAnswer(bufio.NewReader(strings.NewReader(string(garbage))), "GET", NewHTTPDialer(0).room, func(bool) error { return nil })
 		parseLoad(string(garbage))
 	})
 }
