--- a/scheduler/attempts.go
+++ b/scheduler/attempts.go
@@ -20,7 +20,8 @@
 	e.Timeout = min(e.Timeout, c.Deadline, s.shutdownDeadline-s.now) // nobody's patience is longer
 	v := s.volumes[e.Volume]
 	if v == nil {
-		v = &volume{plan: p, initiators: float64(max(1, e.Initiators)), refilledAt: s.now, limitRefilledAt: s.now}
+		v = &volume{plan: p, initiators: float64(max(1, e.Initiators)),
+			refilledAt: s.now, limitRefilledAt: s.now}
 		v.tokens = s.sigma(v)
 		s.volumes[e.Volume] = v
 	}
@@ -29,12 +30,14 @@
 	r := &request{Request: e, class: c, volume: v, firstAskedAt: s.now, deadline: s.now + e.Timeout}
 	r.answerBy = s.now + max(e.Timeout/2-4*s.settings.Tick, s.settings.Tick)
 	r.objectiveAt = s.now + c.LatencyObjective
-	if waited := c.Deadline - e.Timeout; s.stall > 0 && waited < s.stall+s.shortestObjective/timersPerObjective {
+	waited := c.Deadline - e.Timeout
+	if s.stall > 0 && waited < s.stall+s.shortestObjective/timersPerObjective {
 		r.objectiveAt -= waited
 	}
 	// A later try of a client that this initiator turned away has spent part of its aim. It is known by
 	// asking for the same, within the whole patience; a short budget alone may be an impatient client's.
-	if first := s.rejected[r.retryKey()]; first != nil && s.now+e.Timeout <= first.firstAskedAt+c.Deadline+2*s.settings.Tick {
+	first := s.rejected[r.retryKey()]
+	if first != nil && s.now+e.Timeout <= first.firstAskedAt+c.Deadline+2*s.settings.Tick {
 		r.firstAskedAt, r.objectiveAt = first.firstAskedAt, first.firstAskedAt+c.LatencyObjective
 		delete(s.rejected, r.retryKey())
 	}
@@ -78,7 +81,8 @@
 		k.settleUntil = max(k.settleUntil, s.now+s.settings.Rules.SettleTime)
 	}
 	if e.Status != ConnectFailed && e.Status != NotSent {
-		r.answerBy = r.deadline - 2*s.settings.Tick // an attempt was written: its client is not held back for nothing
+		// An attempt was written: its client is not held back for nothing.
+		r.answerBy = r.deadline - 2*s.settings.Tick
 	}
 	if e.Status.MayHaveExecuted() && !r.mayHaveExecuted {
 		r.mayHaveExecuted, r.executedZone, r.executedShard, r.executedSince = true, n.Zone, n.Shard, r.sentAt
@@ -126,7 +130,8 @@
 	} else if r.startTag > s.now {
 		wait = r.startTag - s.now // the volume is ahead of its rate until then
 	}
-	if r.mayHaveExecuted && r.class.Idempotency != Idempotent && !(r.class.Idempotency == IdempotencyKey && r.class.DedupScope == DedupEverywhere) {
+	if r.mayHaveExecuted && r.class.Idempotency != Idempotent &&
+		!(r.class.Idempotency == IdempotencyKey && r.class.DedupScope == DedupEverywhere) {
 		kind, wait = Fail, 0
 	}
 	s.emit(Action{Kind: kind, RequestID: r.ID, Wait: wait})
--- a/scheduler/guards.go
+++ b/scheduler/guards.go
@@ -8,12 +8,14 @@
 // node, or a later one at which to look again.
 func (s *Scheduler) admitAt(r *request, l *shardQueue) time.Duration {
 	n := l.target
-	at := max(r.notBefore, n.ejectedUntil, s.orderAdmitAt(r), s.slowStartAdmitAt(n, r.Units), s.rateLimitAdmitAt(r))
+	at := max(r.notBefore, n.ejectedUntil, s.orderAdmitAt(r),
+		s.slowStartAdmitAt(n, r.Units), s.rateLimitAdmitAt(r))
 	if r.attempts > 0 {
 		at = max(at, s.retryBudgetAdmitAt())
 		c := r.class
 		there := n.Zone == r.executedZone && (c.DedupScope == DedupZone || n.Shard == r.executedShard)
-		if r.mayHaveExecuted && c.Idempotency == IdempotencyKey && c.DedupScope != DedupEverywhere && !there || !s.mayRetry(r) {
+		if r.mayHaveExecuted && c.Idempotency == IdempotencyKey && c.DedupScope != DedupEverywhere && !there ||
+			!s.mayRetry(r) {
 			return never
 		}
 	}
@@ -39,7 +41,8 @@
 	if v.plan.Limit <= 0 || r.charged {
 		return 0
 	}
-	v.limitTokens = min(v.plan.BurstCapacity/v.initiators, v.limitTokens+(s.now-v.limitRefilledAt).Seconds()*v.plan.Limit/v.initiators)
+	v.limitTokens = min(v.plan.BurstCapacity/v.initiators,
+		v.limitTokens+(s.now-v.limitRefilledAt).Seconds()*v.plan.Limit/v.initiators)
 	v.limitRefilledAt = s.now
 	if v.limitTokens >= r.Units {
 		return 0
--- a/scheduler/health.go
+++ b/scheduler/health.go
@@ -52,7 +52,8 @@
 			// Each of a crowd starts at a moment of its own, so that what was held does not come at once. The
 			// cold guard bounds it to a request each: half a span is enough, half the warm-up idled the node.
 			if s.sharedSlowStart {
-				n.ejectedUntil = s.now + time.Duration(s.rng.Float64()*float64(s.settings.Rules.SlowStartWindow/2))
+				half := float64(s.settings.Rules.SlowStartWindow / 2)
+				n.ejectedUntil = s.now + time.Duration(s.rng.Float64()*half)
 			}
 		}
 		n.Target = x
@@ -87,7 +88,8 @@
 func (s *Scheduler) expectedLatency(n *target) float64 {
 	spell := latencyMemoryObjectives * s.shortestObjective.Seconds()
 	seen := (n.smoothedLatency - n.baseLatency) * math.Exp(-(s.now-n.lastHeard).Seconds()/spell)
-	told := n.baseLatency * s.queueingFactor * n.reportedLoad * math.Exp(-(s.now-n.loadReportedAt).Seconds()/spell)
+	told := n.baseLatency * s.queueingFactor * n.reportedLoad *
+		math.Exp(-(s.now-n.loadReportedAt).Seconds()/spell)
 	return n.baseLatency + max(seen, told)
 }
 
@@ -150,7 +152,8 @@
 		if r.loadAtSend > 0 && n.baseLatency > 0 {
 			s.queueingFactor += (max(0, took/n.baseLatency-1)/r.loadAtSend - s.queueingFactor) * smoothingGain
 		}
-		gain := max(smoothingGain, 1-math.Exp(-(s.now-n.lastHeard).Seconds()/(latencyMemoryObjectives*s.shortestObjective.Seconds())))
+		memory := latencyMemoryObjectives * s.shortestObjective.Seconds()
+		gain := max(smoothingGain, 1-math.Exp(-(s.now-n.lastHeard).Seconds()/memory))
 		if took < n.baseLatency {
 			n.baseLatency += (took - n.baseLatency) * gain
 		} else {
@@ -186,6 +189,7 @@
 			return
 		}
 		n.lastHeard = s.now
-		n.ejectedUntil = s.now + s.silenceTimeout(n)*time.Duration(max(0, min(n.consecutiveFailures, 4)-1)*16)/64
+		sixteenths := time.Duration(max(0, min(n.consecutiveFailures, 4)-1) * 16)
+		n.ejectedUntil = s.now + s.silenceTimeout(n)*sixteenths/64
 	}
 }
--- a/scheduler/release.go
+++ b/scheduler/release.go
@@ -44,7 +44,8 @@
 				aside = r
 			}
 		case r.startTag > s.now:
-			if ahead == nil || r.startTag < ahead.startTag || r.startTag == ahead.startTag && r.finishTag < ahead.finishTag {
+			if ahead == nil || r.startTag < ahead.startTag ||
+				r.startTag == ahead.startTag && r.finishTag < ahead.finishTag {
 				ahead = r
 			}
 		default:
@@ -100,7 +101,8 @@
 		}
 		// The less it earns, the emptier its node must be: what waits there is mostly others', which no tag
 		// here orders. It guards all hosts' dear requests; a latency judged too high holds cheap ones back.
-		bar := (s.shortestObjective.Seconds() - n.baseLatency) * math.Sqrt(s.priority(r)/max(s.highestWeight, 1e-9))
+		bar := (s.shortestObjective.Seconds() - n.baseLatency) *
+			math.Sqrt(s.priority(r)/max(s.highestWeight, 1e-9))
 		if usual-n.baseLatency > max(bar, (idleLatencyFactor-1)*n.baseLatency) {
 			s.eligible = s.eligible[:len(s.eligible)-1]
 			l.wakeAt = min(l.wakeAt, s.now+s.shortestObjective/4)
@@ -133,13 +135,15 @@
 	case r.startTag <= s.now:
 		return v * s.settings.WithinShareFactor
 	}
-	return v * (s.settings.BeyondShareFactor + (s.settings.WithinShareFactor-s.settings.BeyondShareFactor)/(1+(r.startTag-s.now).Seconds()))
+	beyond, within := s.settings.BeyondShareFactor, s.settings.WithinShareFactor
+	return v * (beyond + (within-beyond)/(1+(r.startTag-s.now).Seconds()))
 }
 
 // owed refills and returns what of its reserve the volume may still have served at full worth here.
 func (s *Scheduler) reservationCredit(v *volume) float64 {
 	rate := v.plan.Reservation * s.rho(v) / max(v.plan.ProvisionedRate, 1e-3)
-	v.reservationCredit = min(rate+s.settings.MaxUnits, v.reservationCredit+(s.now-v.reservationCreditAt).Seconds()*rate)
+	v.reservationCredit = min(rate+s.settings.MaxUnits,
+		v.reservationCredit+(s.now-v.reservationCreditAt).Seconds()*rate)
 	v.reservationCreditAt = s.now
 	return v.reservationCredit
 }
@@ -169,7 +173,8 @@
 		n.lastExtent, n.sequentialRun = r.Extent, 1
 	}
 	if r.attempts > 0 {
-		s.retries = append(trimBefore(s.retries, s.now-s.settings.Rules.RetryBudgetWindow-2*s.settings.Tick), s.now)
+		since := s.now - s.settings.Rules.RetryBudgetWindow - 2*s.settings.Tick
+		s.retries = append(trimBefore(s.retries, since), s.now)
 	} else {
 		r.volume.reservationCredit = max(0, s.reservationCredit(r.volume)-r.Units)
 	}
@@ -186,7 +191,8 @@
 	}
 	n.inFlight = append(n.inFlight, r)
 	wait := s.attemptTimeout(n, r)
-	a := Action{Kind: Send, RequestID: r.ID, Target: n.ID, Wait: min(wait, max(r.deadline-s.now, s.settings.Tick))}
+	a := Action{Kind: Send, RequestID: r.ID, Target: n.ID,
+		Wait: min(wait, max(r.deadline-s.now, s.settings.Tick))}
 	if r.mayHaveExecuted && r.class.Idempotency == IdempotencyKey {
 		// Its connection may take longer to come up than the repeat may wait.
 		a.StartWithin = r.executedSince + r.class.DedupWindow - s.now
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -14,12 +14,13 @@
 )
 
 const (
-	// windowLeast is what all initiators together lean on a node with at least, one each in any case: sizes
-	// differ, so answers exceed the base with nothing waiting, and the depth falls as far as it may. At one
-	// each, two initiators left cores idle between answers (recording r7646); 6 gained no more there.
+	// sharedMinConcurrency is the least concurrency limit of a target, of all initiators together; each has one attempt in
+	// any case. Requests differ in size, so that responses exceed the base latency with nothing queued at the target.
 	sharedMinConcurrency = 4
-	timersPerObjective   = 8  // how many timers fit in a least aim, so that own pauses show. Half misses some.
-	idleStateObjectives  = 60 // how many least aims what is idle stays known. Half forgets more, double holds more.
+	// timersPerObjective is how many timers fit in the shortest objective, so that a pause of this process shows.
+	timersPerObjective = 8
+	// idleStateObjectives is for how many shortest objectives idle state is kept.
+	idleStateObjectives = 60
 )
 
 // Scheduler decides for one initiator. It is not safe for concurrent use.
@@ -44,9 +45,15 @@
 	deadlines         deadlineHeap
 	// For the attempt budget; the next timer and what it is for, the last sweep, how long this initiator
 	// stood still before this step (0: not), when to ask for the list and how long to wait after that.
-	firstAttempts, retries                                       []time.Duration
-	timerAt, nextWorkAt, lastSweep, stall, nextPoll, pollBackoff time.Duration
-	shutdownDeadline                                             time.Duration // no request may be open after that
+	firstAttempts    []time.Duration
+	retries          []time.Duration
+	timerAt          time.Duration
+	nextWorkAt       time.Duration
+	lastSweep        time.Duration
+	stall            time.Duration
+	nextPoll         time.Duration
+	pollBackoff      time.Duration
+	shutdownDeadline time.Duration // no request may be open after that
 
 	queueingFactor float64    // part of the base latency that a request waiting at a node adds
 	eligible       []*request // what the gate lets through at the lane in hand
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -11,12 +11,14 @@
 	ru := s.settings.Rules
 	age := s.now - n.Started
 	var sum, shown float64
-	n.recentlySent, sum = sumSince(n.recentlySent, s.now-ru.SlowStartWindow-s.settings.Tick) // also while warm: a start is told late
+	// Also while warm: a start is told late.
+	n.recentlySent, sum = sumSince(n.recentlySent, s.now-ru.SlowStartWindow-s.settings.Tick)
 	n.recentlyServed, shown = sumSince(n.recentlyServed, s.now-ru.SlowStartWindow+s.settings.Tick)
 	if n.Started <= 0 || age >= ru.SlowStartDuration || ru.SlowStartWindow <= 0 {
 		return 0
 	}
-	grown := 1 + (1/max(ru.SlowStartInitialCapacity, 0.01)-1)*max(0, age.Seconds())/ru.SlowStartDuration.Seconds()
+	growth := 1/max(ru.SlowStartInitialCapacity, 0.01) - 1
+	grown := 1 + growth*max(0, age.Seconds())/ru.SlowStartDuration.Seconds()
 	part := s.settings.SlowStartBudget / float64(s.settings.Initiators) * grown
 	if s.sharedSlowStart {
 		part = ru.SlowStartOverloadFactor / 2 * shown
--- a/scheduler/tagging.go
+++ b/scheduler/tagging.go
@@ -19,7 +19,8 @@
 // the volume's recent service, evenly while nothing fresh is known.
 func (s *Scheduler) rho(v *volume) float64 {
 	share := 1 / v.initiators
-	if s.settings.UsageReportPeriod > 0 && v.globalRateAt > 0 && s.now-v.globalRateAt < usageReportLifetime*s.settings.UsageReportPeriod && v.globalRate > 0 {
+	if s.settings.UsageReportPeriod > 0 && v.globalRateAt > 0 &&
+		s.now-v.globalRateAt < usageReportLifetime*s.settings.UsageReportPeriod && v.globalRate > 0 {
 		share = min(1, max(minShareFraction/v.initiators, s.localServiceRate(v)/v.globalRate))
 	}
 	return max(v.plan.ProvisionedRate*share, 1e-3)
@@ -27,7 +28,8 @@
 
 // sigma is the bucket's depth: a second of the reserve and one largest request, as worth is counted.
 func (s *Scheduler) sigma(v *volume) float64 {
-	return max(v.plan.Reservation, v.plan.ProvisionedRate)/v.initiators + max(s.settings.MaxUnits, s.settings.MeanUnits)
+	return max(v.plan.Reservation, v.plan.ProvisionedRate)/v.initiators +
+		max(s.settings.MaxUnits, s.settings.MeanUnits)
 }
 
 func (s *Scheduler) localServiceRate(v *volume) float64 {
