--- a/scheduler/guards.go
+++ b/scheduler/guards.go
@@ -14,8 +14,8 @@
 		at = max(at, s.retryBudgetAdmitAt())
 		c := r.class
 		there := n.Zone == r.executedZone && (c.DedupScope == DedupZone || n.Shard == r.executedShard)
-		if r.mayHaveExecuted && c.Idempotency == IdempotencyKey && c.DedupScope != DedupEverywhere && !there ||
-			!s.mayRetry(r) {
+		if r.mayHaveExecuted && c.Idempotency == IdempotencyKey &&
+			c.DedupScope != DedupEverywhere && !there || !s.mayRetry(r) {
 			return never
 		}
 	}
