--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -14,10 +14,10 @@
 )
 
 const (
-	// sharedMinConcurrency is the least concurrency limit of a target, of all initiators together; each has one
-	// attempt in any case. Requests differ in size, so responses exceed the base latency with nothing queued.
+	// sharedMinConcurrency is the least concurrency limit of a target, for all initiators together. Each has
+	// one attempt. Requests differ in size, so a latency may exceed the base with nothing queued.
 	sharedMinConcurrency = 4
-	// timersPerObjective is how many timers fit in the shortest objective, so that a pause of the process shows.
+	// timersPerObjective is how many timers fit in the shortest objective, so that a process's pause shows.
 	timersPerObjective = 8
 	// idleStateObjectives is for how many shortest objectives idle state is kept.
 	idleStateObjectives = 60
