--- /dev/null
+++ b/internal/faulttest/config_test.go
@@ -0,0 +1,68 @@
+package faulttest
+
+import (
+	"encoding/json"
+	"time"
+)
+
+const (
+	// maxCountedDeadline is the longest deadline that counts for the time of SIGKILL.
+	maxCountedDeadline = 3 * time.Second
+	// killDelay is how long after the longest deadline SIGKILL may come.
+	killDelay = 700 * time.Millisecond
+)
+
+// Class is a request class as the settings tell it.
+type Class struct {
+	Name          string
+	Deadline      time.Duration
+	NonIdempotent bool
+}
+
+// Config is what an initiator is told at its start.
+type Config struct {
+	Listen    string
+	Discovery string
+	Classes   []Class
+	Cores     float64
+	Sockets   int // file descriptors
+}
+
+// MaxDeadline returns the longest deadline of the classes.
+func (c Config) MaxDeadline() time.Duration {
+	longest := time.Duration(0)
+	for _, class := range c.Classes {
+		longest = max(longest, class.Deadline)
+	}
+	return longest
+}
+
+// KillAfter returns how soon SIGKILL may follow SIGTERM.
+func (c Config) KillAfter() time.Duration {
+	return min(c.MaxDeadline(), maxCountedDeadline) + killDelay
+}
+
+// JSON returns the configuration file.
+func (c Config) JSON() []byte {
+	classes := make([]map[string]any, 0, len(c.Classes))
+	for _, class := range c.Classes {
+		effect := "pure"
+		if class.NonIdempotent {
+			effect = "side_effect"
+		}
+		classes = append(classes, map[string]any{"name": class.Name, "promiseUs": class.Deadline.Microseconds() / 2,
+			"deadlineUs": class.Deadline.Microseconds(), "effect": effect, "worth": 2})
+	}
+	raw, err := json.Marshal(map[string]any{
+		"name": "n1", "listen": c.Listen, "discovery": c.Discovery, "seed": "1",
+		"limits": map[string]any{"cores": c.Cores, "memory_mb": 128, "sockets": c.Sockets},
+		"settings": map[string]any{"peersTotal": 1, "tickUs": 2000, "classes": classes,
+			"contracts": []map[string]any{{"name": "std", "usualRate": 1000, "reservation": 1000, "parts": 1, "pays": 1}},
+			"extra":     map[string]any{"meanUnits": 1, "largest": 6, "coldBears": 100},
+			"limits":    map[string]any{"sendCap": 3, "dialTimeoutUs": 250000, "connIdleUs": 30000000}},
+	})
+	if err != nil {
+		panic(err) // only values that can be encoded
+	}
+	return raw
+}
--- a/internal/faulttest/discovery.go
+++ b/internal/faulttest/discovery_test.go
@@ -19,6 +19,13 @@
 	Started int64  `json:"started_ms"`
 }
 
+// endpointList is the whole list in discovery's form.
+type endpointList struct {
+	Version int     `json:"version"`
+	Full    bool    `json:"full"`
+	Servers []Entry `json:"servers"`
+}
+
 // The states of an entry.
 const (
 	Serving  = "SERVING"
@@ -26,15 +33,15 @@
 	Deleted  = "DELETED"
 )
 
-// Discovery is a stand-in for the service that lists targets. It can be asked at several addresses, and falls silent.
+// Discovery is a stand-in for the service that lists targets. It answers at several addresses, and can be suspended.
 type Discovery struct {
-	ledger  *Ledger
-	mu      sync.Mutex
-	version int
-	list    []Entry // in order of the versions that changed them
-	changed chan struct{}
-	silent  chan struct{} // closed when a silence ends; nil: it speaks
-	servers map[string]*http.Server
+	ledger    *Ledger
+	mu        sync.Mutex
+	version   int
+	entries   []Entry // in order of the versions that changed them
+	changed   chan struct{}
+	suspended chan struct{} // closed when a suspension ends; nil: it answers
+	servers   map[string]*http.Server
 }
 
 // NewDiscovery returns a discovery with no target and no address.
@@ -52,30 +59,30 @@
 	d.mu.Lock()
 	d.servers[l.Addr().String()] = s
 	d.mu.Unlock()
-	go s.Serve(l)
+	go func() { _ = s.Serve(l) }() // it ends with the address
 	return l.Addr().String(), nil
 }
 
-// Leave closes an address and its open connections.
-func (d *Discovery) Leave(addr string) {
+// CloseAddress closes an address and its open connections.
+func (d *Discovery) CloseAddress(addr string) {
 	d.mu.Lock()
 	s := d.servers[addr]
 	delete(d.servers, addr)
 	d.mu.Unlock()
 	if s != nil {
-		s.Close()
+		_ = s.Close() // the listener may be closed already
 	}
 }
 
 // Stop closes all addresses.
 func (d *Discovery) Stop() {
-	d.Speak()
+	d.Resume()
 	d.mu.Lock()
 	servers := d.servers
 	d.servers = map[string]*http.Server{}
 	d.mu.Unlock()
 	for _, s := range servers {
-		s.Close()
+		_ = s.Close() // the listener may be closed already
 	}
 }
 
@@ -83,54 +90,54 @@
 func (d *Discovery) Set(e Entry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	kept := d.list[:0:0]
-	for _, x := range d.list {
+	entries := d.entries[:0:0]
+	for _, x := range d.entries {
 		if x.ID != e.ID {
-			kept = append(kept, x)
+			entries = append(entries, x)
 		}
 	}
 	if e.State != Deleted {
-		kept = append(kept, e)
+		entries = append(entries, e)
 	}
-	d.list = kept
+	d.entries = entries
 	d.version++
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// FallSilent leaves all calls without an answer until Speak.
-func (d *Discovery) FallSilent() {
+// Suspend leaves all calls without a response until Resume.
+func (d *Discovery) Suspend() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.silent == nil {
-		d.silent = make(chan struct{})
+	if d.suspended == nil {
+		d.suspended = make(chan struct{})
 	}
 }
 
-// Speak ends a silence.
-func (d *Discovery) Speak() {
+// Resume ends a suspension.
+func (d *Discovery) Resume() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.silent != nil {
-		close(d.silent)
-		d.silent = nil
+	if d.suspended != nil {
+		close(d.suspended)
+		d.suspended = nil
 	}
 }
 
-// ServeHTTP answers with the whole list, for a watch once it is newer than what the caller has.
+// ServeHTTP responds with the whole list, for a watch once it is newer than what the caller has.
 func (d *Discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	after, _ := strconv.Atoi(r.URL.Query().Get("after"))
-	wait, _ := strconv.Atoi(r.URL.Query().Get("wait_ms"))
-	over := time.After(time.Duration(wait) * time.Millisecond)
-	waiting := true
-	for waiting {
+	query := r.URL.Query()
+	after, _ := strconv.Atoi(query.Get("after"))    // absent: 0, older than any list
+	waitMs, _ := strconv.Atoi(query.Get("wait_ms")) // absent: no wait
+	timeout := time.After(time.Duration(waitMs) * time.Millisecond)
+	for waiting := true; waiting; {
 		d.mu.Lock()
-		version, changed, silent := d.version, d.changed, d.silent
+		version, changed, suspended := d.version, d.changed, d.suspended
 		d.mu.Unlock()
 		switch {
-		case silent != nil:
+		case suspended != nil:
 			select {
-			case <-silent:
+			case <-suspended:
 			case <-r.Context().Done():
 				return
 			}
@@ -139,7 +146,7 @@
 		default:
 			select {
 			case <-changed:
-			case <-over:
+			case <-timeout:
 				waiting = false
 			case <-r.Context().Done():
 				return
@@ -151,13 +158,13 @@
 
 func (d *Discovery) write(w http.ResponseWriter) {
 	d.mu.Lock()
-	version, list := d.version, d.list
+	list := endpointList{Version: d.version, Full: true, Servers: d.entries}
 	d.mu.Unlock()
-	json.NewEncoder(w).Encode(map[string]any{"version": version, "full": true, "servers": list})
+	_ = json.NewEncoder(w).Encode(list) // an initiator that has ended reads nothing
 	now := time.Now()
-	for _, e := range list {
+	for _, e := range list.Servers {
 		if e.State == Draining {
-			d.ledger.Drained(e.ID, now)
+			d.ledger.RecordDrain(e.ID, now)
 		}
 	}
 }
--- a/internal/faulttest/process.go
+++ b/internal/faulttest/process_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"encoding/json"
 	"fmt"
 	"net/http"
 	"os"
@@ -27,65 +26,21 @@
 	return path, nil
 }
 
-// Class is a request class as the settings tell it.
-type Class struct {
-	Name     string
-	Deadline time.Duration
-	Unsafe   bool
-}
-
-// Setup is what an initiator is told at its start.
-type Setup struct {
-	Listen    string
-	Discovery string
-	Classes   []Class
-	Cores     float64
-	Sockets   int
-}
-
-// Longest is the longest deadline of the setup.
-func (s Setup) Longest() time.Duration {
-	longest := time.Duration(0)
-	for _, c := range s.Classes {
-		longest = max(longest, c.Deadline)
-	}
-	return longest
-}
-
-// KillAfter is how soon SIGKILL may follow SIGTERM.
-func (s Setup) KillAfter() time.Duration {
-	return min(s.Longest(), 3*time.Second) + 700*time.Millisecond
-}
-
-// JSON is the configuration file of the setup.
-func (s Setup) JSON() []byte {
-	classes := make([]map[string]any, 0, len(s.Classes))
-	for _, c := range s.Classes {
-		effect := "pure"
-		if c.Unsafe {
-			effect = "side_effect"
-		}
-		classes = append(classes, map[string]any{"name": c.Name, "promiseUs": c.Deadline.Microseconds() / 2,
-			"deadlineUs": c.Deadline.Microseconds(), "effect": effect, "worth": 2})
-	}
-	raw, err := json.Marshal(map[string]any{
-		"name": "n1", "listen": s.Listen, "discovery": s.Discovery, "seed": "1",
-		"limits": map[string]any{"cores": s.Cores, "memory_mb": 128, "sockets": s.Sockets},
-		"settings": map[string]any{"peersTotal": 1, "tickUs": 2000, "classes": classes,
-			"contracts": []map[string]any{{"name": "std", "usualRate": 1000, "reservation": 1000, "parts": 1, "pays": 1}},
-			"extra":     map[string]any{"meanUnits": 1, "largest": 6, "coldBears": 100},
-			"limits":    map[string]any{"sendCap": 3, "dialTimeoutUs": 250000, "connIdleUs": 30000000}},
-	})
-	if err != nil {
-		panic(err) // only values that can be encoded
-	}
-	return raw
-}
+const (
+	// readyTimeout is how long an initiator may take to be ready.
+	readyTimeout = 30 * time.Second
+	// readyPollInterval is the time between two looks whether it is.
+	readyPollInterval = 5 * time.Millisecond
+	// stopTimeout bounds the wait until a process stands still after SIGSTOP.
+	stopTimeout = time.Second
+	// exhaustedDescriptors is a limit below the number of descriptors that any initiator has open.
+	exhaustedDescriptors = 4
+)
 
 // Process is one run of an initiator.
 type Process struct {
-	Setup  Setup
-	config string
+	Config Config
+	path   string // of the configuration file
 	cmd    *exec.Cmd
 	log    lockedBuffer
 	ended  chan struct{}
@@ -105,13 +60,13 @@
 }
 
 // Start runs the program and waits until it is ready.
-func Start(program, dir string, setup Setup) (*Process, error) {
-	p := &Process{Setup: setup, config: filepath.Join(dir, "config.json"), ended: make(chan struct{})}
-	if err := p.Configure(setup); err != nil {
+func Start(program, dir string, config Config) (*Process, error) {
+	p := &Process{Config: config, path: filepath.Join(dir, "config.json"), ended: make(chan struct{})}
+	if err := p.Configure(config); err != nil {
 		return nil, err
 	}
 	p.cmd = exec.Command(program, "serve", "--log-level", "debug")
-	p.cmd.Env = append(os.Environ(), "PROXY_CONFIG="+p.config, "PROXY_NAME=", "PROXY_LISTEN=", "PROXY_DISCOVERY=")
+	p.cmd.Env = append(os.Environ(), "PROXY_CONFIG="+p.path, "PROXY_NAME=", "PROXY_LISTEN=", "PROXY_DISCOVERY=")
 	p.cmd.Stderr = &p.log
 	if err := p.cmd.Start(); err != nil {
 		return nil, err
@@ -124,44 +79,50 @@
 }
 
 // Configure replaces the configuration file, in one step.
-func (p *Process) Configure(setup Setup) error {
-	next := p.config + ".next"
-	if err := os.WriteFile(next, setup.JSON(), 0o600); err != nil {
+func (p *Process) Configure(config Config) error {
+	next := p.path + ".next"
+	if err := os.WriteFile(next, config.JSON(), 0o600); err != nil {
 		return err
 	}
-	p.Setup = setup
-	return os.Rename(next, p.config)
+	p.Config = config
+	return os.Rename(next, p.path)
 }
 
 func (p *Process) awaitReady() error {
-	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(readyTimeout); time.Now().Before(end); time.Sleep(readyPollInterval) {
 		select {
 		case <-p.ended:
-			return fmt.Errorf("the initiator ended before it was ready: %v: %s", p.err, p.Log(""))
+			return fmt.Errorf("the initiator ended before it was ready: %w: %s", p.err, p.Log(""))
 		default:
 		}
-		resp, err := http.Get("http://" + p.Setup.Listen + "/-/ready")
-		if err != nil {
-			continue
-		}
-		resp.Body.Close()
-		if resp.StatusCode == http.StatusOK {
+		if p.ready() {
 			http.DefaultClient.CloseIdleConnections()
 			return nil
 		}
 	}
 	p.Kill()
-	return fmt.Errorf("the initiator was not ready within 30 s: %s", p.Log(""))
+	return fmt.Errorf("the initiator was not ready within %v: %s", readyTimeout, p.Log(""))
 }
 
-// Signal sends the process a signal.
-func (p *Process) Signal(s syscall.Signal) { p.cmd.Process.Signal(s) }
+// ready asks the initiator once whether it is ready.
+func (p *Process) ready() bool {
+	resp, err := http.Get("http://" + p.Config.Listen + "/-/ready")
+	if err != nil {
+		return false
+	}
+	_ = resp.Body.Close() // only the status is wanted
+	return resp.StatusCode == http.StatusOK
+}
 
-// HoldUp stops the process for a while, as a busy machine would; meanwhile is called once it stands still.
-func (p *Process) HoldUp(d time.Duration, meanwhile func()) {
+// Signal sends the process a signal. One that has ended gets none.
+func (p *Process) Signal(s syscall.Signal) { _ = p.cmd.Process.Signal(s) }
+
+// Pause stops the process for a while, as a busy machine would. If meanwhile is not nil, it is called once the process stands
+// still.
+func (p *Process) Pause(d time.Duration, meanwhile func()) {
 	p.Signal(syscall.SIGSTOP)
 	begun := time.Now()
-	for !p.stopped() && time.Since(begun) < time.Second {
+	for !p.stopped() && time.Since(begun) < stopTimeout {
 		time.Sleep(100 * time.Microsecond)
 	}
 	if meanwhile != nil {
@@ -171,24 +132,22 @@
 	p.Signal(syscall.SIGCONT)
 }
 
-// Starve leaves the process no descriptor to open for a while, so that accept, socket and open fail. What is open stays.
-func (p *Process) Starve(d time.Duration) error {
-	var had unix.Rlimit
+// ExhaustDescriptors leaves the process no descriptor to open for a while, so that accept, socket and open fail. What is open
+// stays.
+func (p *Process) ExhaustDescriptors(d time.Duration) error {
+	var before unix.Rlimit
 	pid := p.cmd.Process.Pid
-	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, nil, &had); err != nil {
+	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, nil, &before); err != nil {
 		return err
 	}
-	none := unix.Rlimit{Cur: leastDescriptors, Max: had.Max}
-	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, &none, nil); err != nil {
+	exhausted := unix.Rlimit{Cur: exhaustedDescriptors, Max: before.Max}
+	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, &exhausted, nil); err != nil {
 		return err
 	}
 	time.Sleep(d)
-	return unix.Prlimit(pid, unix.RLIMIT_NOFILE, &had, nil)
+	return unix.Prlimit(pid, unix.RLIMIT_NOFILE, &before, nil)
 }
 
-// leastDescriptors is fewer than any initiator has open.
-const leastDescriptors = 4
-
 // stopped tells whether the process stands still after SIGSTOP.
 func (p *Process) stopped() bool {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
--- a/internal/faulttest/regression_test.go
+++ b/internal/faulttest/regression_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"math/rand/v2"
 	"net"
+	"net/http"
 	"os"
 	"sync"
 	"syscall"
@@ -24,7 +25,11 @@
 		fmt.Fprintln(os.Stderr, err)
 		return 1
 	}
-	defer os.RemoveAll(dir)
+	defer func() {
+		if err := os.RemoveAll(dir); err != nil {
+			fmt.Fprintln(os.Stderr, err)
+		}
+	}()
 	if program, err = Build(dir); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return 1
@@ -32,10 +37,10 @@
 	return m.Run()
 }
 
-var read = Class{Name: "read", Deadline: 1700 * time.Millisecond}
+var readClass = Class{Name: "read", Deadline: 1700 * time.Millisecond}
 
-// world is one initiator with a target and a discovery that lists it.
-type world struct {
+// fixture is one initiator with a target and a discovery that lists it.
+type fixture struct {
 	ledger    *Ledger
 	delays    *DelayMonitor
 	process   *Process
@@ -43,163 +48,163 @@
 	client    *Client
 }
 
-// newWorld starts an initiator whose only target treats each request as draw says.
-func newWorld(t *testing.T, draw func(*rand.Rand) Behaviour) *world {
+// newFixture starts an initiator with one target, whose behaviour is drawn anew for each request.
+func newFixture(t *testing.T, drawBehaviour func(*rand.Rand) Behaviour) *fixture {
 	t.Helper()
-	return newWorldOf(t, read, draw)
+	return newFixtureWithClass(t, readClass, drawBehaviour)
 }
 
-// newWorldOf is newWorld with a class of requests of the test's own.
-func newWorldOf(t *testing.T, class Class, draw func(*rand.Rand) Behaviour) *world {
+// newFixtureWithClass is newFixture with another class of requests.
+func newFixtureWithClass(t *testing.T, class Class, drawBehaviour func(*rand.Rand) Behaviour) *fixture {
 	t.Helper()
-	w := &world{delays: NewDelayMonitor()}
-	t.Cleanup(w.delays.Stop)
-	w.ledger = NewLedger(w.delays)
-	target, err := NewTarget("s-1", 1, w.ledger, draw)
+	f := &fixture{delays: NewDelayMonitor()}
+	t.Cleanup(f.delays.Stop)
+	f.ledger = NewLedger(f.delays)
+	target, err := NewTarget("s-1", 1, f.ledger, drawBehaviour)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(target.Stop)
-	w.discovery = NewDiscovery(w.ledger)
-	t.Cleanup(w.discovery.Stop)
-	w.discovery.Set(Entry{ID: "s-1", Addr: target.Addr().String(), State: Serving})
-	asked, err := w.discovery.Listen()
+	f.discovery = NewDiscovery(f.ledger)
+	t.Cleanup(f.discovery.Stop)
+	f.discovery.Set(Entry{ID: "s-1", Addr: target.Addr().String(), State: Serving})
+	asked, err := f.discovery.Listen()
 	if err != nil {
 		t.Fatal(err)
 	}
 	listen := Address()
-	w.process, err = Start(program, t.TempDir(), Setup{Listen: listen, Discovery: asked, Classes: []Class{class}, Cores: 1, Sockets: 512})
+	f.process, err = Start(program, t.TempDir(), Config{Listen: listen, Discovery: asked, Classes: []Class{class}, Cores: 1, Sockets: 512})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(w.process.Kill)
-	w.client = NewClient(listen, w.ledger)
-	t.Cleanup(w.client.Close)
-	return w
+	t.Cleanup(f.process.Kill)
+	f.client = NewClient(listen, f.ledger)
+	t.Cleanup(f.client.Close)
+	return f
 }
 
-// judge fails the test for each breach, with what the initiator logged of the request.
-func (w *world) judge(t *testing.T) {
+// judge fails the test for each violation, with what the initiator logged of the request.
+func (f *fixture) judge(t *testing.T) {
 	t.Helper()
-	for _, b := range w.ledger.Breaches() {
-		t.Errorf("%v\n%s", b, w.process.Log("request="+b.Request+"\n"))
+	for _, v := range f.ledger.Violations() {
+		t.Errorf("%v\n%s", v, f.process.Log("request="+v.Request+"\n"))
 	}
-	if ended, err := w.process.Ended(); ended {
+	if ended, err := f.process.Ended(); ended {
 		t.Errorf("the initiator ended: %v", err)
 	}
 }
 
-func serveAtOnce(*rand.Rand) Behaviour { return Behaviour{} }
+func respondAtOnce(*rand.Rand) Behaviour { return Behaviour{} }
 
-// TestNoAttemptOnceTheClientHasLeft
+// TestNoAttemptAfterClientDisconnected guards against an attempt that begins after its client has gone.
 //
 // Symptom: a request was forwarded after it had ended.
-// Sequence: while the initiator is held up for 0.14 s, a client sends a request and closes or resets its connection at once.
+// Sequence: while the initiator is paused for 0.14 s, a client sends a request and closes or resets its connection at once.
 // The initiator goes on, reads the request, and its attempt reaches the target 0.14 s after the client left, where 0.1 s
 // are allowed.
 // Cause: the departure is noticed by one goroutine and the attempt is written by another; nothing looked at the client's
 // connection before the first byte, so that the order in which the two came to run decided.
 // Settled by the log of such a request: "attempt begins", and then "request ended" with reason=CLIENT_LEFT.
-func TestNoAttemptOnceTheClientHasLeft(t *testing.T) {
-	w := newWorld(t, serveAtOnce)
+func TestNoAttemptAfterClientDisconnected(t *testing.T) {
+	f := newFixture(t, respondAtOnce)
 	for i := range 12 {
-		w.client.Do(Request{ID: fmt.Sprintf("warm%d", i), Class: read, Patience: read.Deadline})
-		w.process.HoldUp(140*time.Millisecond, func() {
+		f.client.Do(Request{ID: fmt.Sprintf("warm%d", i), Class: readClass, Timeout: readClass.Deadline})
+		f.process.Pause(140*time.Millisecond, func() {
 			var clients sync.WaitGroup
 			for j := range 6 {
 				clients.Go(func() {
-					w.client.Do(Request{ID: fmt.Sprintf("r%d-%d", i, j), Class: read, Patience: read.Deadline, Leaves: true, ByReset: j%3 == 2})
+					f.client.Do(Request{ID: fmt.Sprintf("r%d-%d", i, j), Class: readClass, Timeout: readClass.Deadline, Disconnects: true, ByReset: j%3 == 2})
 				})
 			}
 			clients.Wait()
 		})
 		time.Sleep(20 * time.Millisecond)
 	}
-	w.judge(t)
+	f.judge(t)
 }
 
-// TestSecondAnswerServesNoOtherRequest
+// TestRepeatedResponseServesNoOtherRequest guards against a response that passes for that of another request.
 //
 // Symptom: a client got an answer that was made for another request.
-// Sequence: a target sends each of its answers a second time, up to 9 ms later, where nothing else waits on the connection.
+// Sequence: a target sends each of its responses a second time, up to 9 ms later, where nothing else waits on the connection.
 // Under a burst four connections to it are open; from then on one that has just brought an answer carries the next request
 // at once. The copy comes between the look at the connection and the first byte of that request, and is read as its answer.
 // Cause: the rest of 10 ms that a connection has after an answer was not kept once there were four connections, and the look
 // at the connection was taken before the attempt was handed to the goroutine that writes it.
 // Settled by the log of such a request: "attempt begins" with rested below 10 ms.
-func TestSecondAnswerServesNoOtherRequest(t *testing.T) {
-	w := newWorld(t, func(rng *rand.Rand) Behaviour {
+func TestRepeatedResponseServesNoOtherRequest(t *testing.T) {
+	f := newFixture(t, func(rng *rand.Rand) Behaviour {
 		return Behaviour{Delay: time.Duration(rng.IntN(3000)) * time.Microsecond,
-			SecondAfter: time.Duration(1+rng.IntN(8000)) * time.Microsecond}
+			RepeatAfter: time.Duration(1+rng.IntN(8000)) * time.Microsecond}
 	})
 	var clients sync.WaitGroup
 	for i := range 24 {
 		clients.Go(func() {
 			for j := range 300 {
-				w.client.Do(Request{ID: fmt.Sprintf("r%d-%d", i, j), Class: read, Patience: read.Deadline})
+				f.client.Do(Request{ID: fmt.Sprintf("r%d-%d", i, j), Class: readClass, Timeout: readClass.Deadline})
 			}
 		})
 	}
 	clients.Wait()
-	w.judge(t)
-	if requests, served := w.ledger.Counts(); served < requests*9/10 {
+	f.judge(t)
+	if requests, served := f.ledger.Counts(); served < requests*9/10 {
 		t.Errorf("%d of %d requests were served", served, requests)
 	}
 }
 
-// TestOpenRequestIsAnsweredBeforeTheKill
+// TestOpenRequestIsAnsweredBeforeTheKill guards against requests without a response in a restart.
 //
 // Symptom: requests that were taken got no answer at all in a restart.
-// Sequence: a target hangs; a client that waits 5 s asks, and the initiator is told to end at once. SIGKILL comes as early as it
+// Sequence: a target hangs; a client that waits 5 s asks, and the initiator is terminatedAt to end at once. SIGKILL comes as early as it
 // may, 3.7 s later, and finds the request open.
 // Cause: only requests taken well after SIGTERM had their time cut to what is left before SIGKILL. Earlier ones kept all of
 // theirs, which may be longer than that.
 // Settled by the log: "attempt begins" is the last line on the request.
 func TestOpenRequestIsAnsweredBeforeTheKill(t *testing.T) {
-	w := newWorldOf(t, Class{Name: "read", Deadline: 5 * time.Second}, func(*rand.Rand) Behaviour { return Behaviour{Reply: Hang} })
+	f := newFixtureWithClass(t, Class{Name: "read", Deadline: 5 * time.Second}, func(*rand.Rand) Behaviour { return Behaviour{Reply: Hang} })
 	var clients sync.WaitGroup
 	for i := range 4 {
 		clients.Go(func() {
-			w.client.Do(Request{ID: fmt.Sprintf("r%d", i), Class: w.process.Setup.Classes[0], Patience: 5 * time.Second})
+			f.client.Do(Request{ID: fmt.Sprintf("r%d", i), Class: f.process.Config.Classes[0], Timeout: 5 * time.Second})
 		})
 	}
 	time.Sleep(50 * time.Millisecond)
-	told := time.Now()
-	w.process.Signal(syscall.SIGTERM)
-	w.process.Await(time.Until(told.Add(w.process.Setup.KillAfter())))
-	w.process.Kill()
+	terminatedAt := time.Now()
+	f.process.Signal(syscall.SIGTERM)
+	f.process.Await(time.Until(terminatedAt.Add(f.process.Config.KillAfter())))
+	f.process.Kill()
 	clients.Wait()
-	for _, b := range w.ledger.Breaches() {
-		t.Errorf("%v\n%s", b, w.process.Log("request="+b.Request))
+	for _, v := range f.ledger.Violations() {
+		t.Errorf("%v\n%s", v, f.process.Log("request="+v.Request))
 	}
 }
 
-// TestConnectionBeforeTheListenerClosesIsServed
+// TestConnectionBeforeTheListenerClosesIsServed guards against connections that the listener resets when it closes.
 //
 // Symptom: requests on new connections got no answer in a restart.
-// Sequence: clients open connections and ask 0.37 s after SIGTERM, while the initiator is held up for 0.14 s. It goes on 0.5 s
+// Sequence: clients open connections and ask 0.37 s after SIGTERM, while the initiator is paused for 0.14 s. It goes on 0.5 s
 // after SIGTERM, when the time to take connections, 0.45 s, is over.
 // Cause: the timer that closes the listener ran before the goroutine that accepts; what the machine had accepted by then was
 // reset with the listener.
 // Settled by this test: the clients' connections are reset, and the log has no word of them.
 func TestConnectionBeforeTheListenerClosesIsServed(t *testing.T) {
 	for range 3 {
-		w := newWorld(t, serveAtOnce)
-		told := time.Now()
-		w.process.Signal(syscall.SIGTERM)
-		time.Sleep(time.Until(told.Add(365 * time.Millisecond)))
+		f := newFixture(t, respondAtOnce)
+		terminatedAt := time.Now()
+		f.process.Signal(syscall.SIGTERM)
+		time.Sleep(time.Until(terminatedAt.Add(365 * time.Millisecond)))
 		var clients sync.WaitGroup
-		w.process.HoldUp(140*time.Millisecond, func() {
+		f.process.Pause(140*time.Millisecond, func() {
 			for i := range 4 {
-				n, err := net.Dial("tcp", w.client.Addr)
+				conn, err := net.Dial("tcp", f.client.Addr)
 				if err != nil {
 					t.Fatal(err)
 				}
 				clients.Go(func() {
-					defer n.Close()
-					q := Request{ID: fmt.Sprintf("r%d", i), Class: read, Patience: read.Deadline}
-					if o, _ := w.client.exchange(n, false, q); o.Status != 200 {
-						t.Errorf("status %d, %s, %v after its last byte", o.Status, o.Text, o.After)
+					defer func() { _ = conn.Close() }() // its outcome is known
+					q := Request{ID: fmt.Sprintf("r%d", i), Class: readClass, Timeout: readClass.Deadline}
+					if o, _ := f.client.exchange(conn, false, q); o.Status != http.StatusOK {
+						t.Errorf("status %d, %s, %v after its last byte", o.Status, o.Text, o.Elapsed)
 					}
 				})
 			}
@@ -208,39 +213,39 @@
 	}
 }
 
-// frontReadTimeout is how long the initiator waits for the first request of a connection.
-const frontReadTimeout = 2 * time.Second
+// firstRequestTimeout is how long the initiator waits for the first request of a connection.
+const firstRequestTimeout = 2 * time.Second
 
-// TestRequestAtTheReadTimeoutIsAnswered
+// TestRequestAtTheReadTimeoutIsAnswered guards against a close over a request that is there but unread.
 //
 // Symptom: a request had its connection closed with no answer.
 // Sequence: a client opens a connection and sends its first request just before the 2 s that it has for that are over, while the
-// initiator is held up. It goes on after the 2 s.
+// initiator is paused. It goes on after the 2 s.
 // Cause: the time-out ended the connection by the clock, with no look at what had come by then.
 // Settled by this test: the clients' connections are reset, and the log has them as SILENT.
 func TestRequestAtTheReadTimeoutIsAnswered(t *testing.T) {
-	w := newWorld(t, serveAtOnce)
+	f := newFixture(t, respondAtOnce)
 	begun := time.Now()
 	var conns []net.Conn
 	for range 8 {
-		n, err := net.Dial("tcp", w.client.Addr)
+		conn, err := net.Dial("tcp", f.client.Addr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer n.Close()
-		conns = append(conns, n)
+		defer func() { _ = conn.Close() }() // its outcome is known
+		conns = append(conns, conn)
 	}
-	time.Sleep(time.Until(begun.Add(frontReadTimeout - 70*time.Millisecond)))
+	time.Sleep(time.Until(begun.Add(firstRequestTimeout - 70*time.Millisecond)))
 	var clients sync.WaitGroup
-	w.process.HoldUp(140*time.Millisecond, func() {
-		for i, n := range conns {
+	f.process.Pause(140*time.Millisecond, func() {
+		for i, conn := range conns {
 			clients.Go(func() {
-				q := Request{ID: fmt.Sprintf("r%d", i), Class: read, Patience: read.Deadline}
-				o, _ := w.client.exchange(n, false, q)
-				w.ledger.edit(q.ID, func(r *record) { r.outcomes = append(r.outcomes, o) })
+				q := Request{ID: fmt.Sprintf("r%d", i), Class: readClass, Timeout: readClass.Deadline}
+				o, _ := f.client.exchange(conn, false, q)
+				f.ledger.addOutcome(q.ID, o)
 			})
 		}
 	})
 	clients.Wait()
-	w.judge(t)
+	f.judge(t)
 }
