--- a/cmd/initiator/agent.go
+++ b/cmd/initiator/agent.go
@@ -44,7 +44,7 @@
 	if err != nil {
 		return fmt.Errorf("agent.peer.api: %w", err)
 	}
-	a, err := configstore.Start(configstore.Options{ID: set.ID, Dir: set.Dir, Peers: set.Peers, Logger: log, Validate: checkConfig})
+	a, err := configstore.Start(configstore.Options{ID: set.ID, Dir: set.Dir, Peers: storePeers(set.Peers), Logger: log, Validate: checkConfig})
 	if err != nil {
 		l.Close()
 		return err
@@ -61,6 +61,15 @@
 	}
 }
 
+// storePeers converts the peers of the operator's file to those of the configuration store.
+func storePeers(peers []config.Peer) []configstore.Peer {
+	out := make([]configstore.Peer, 0, len(peers))
+	for _, peer := range peers {
+		out = append(out, configstore.Peer(peer))
+	}
+	return out
+}
+
 // checkConfig tells whether an instance could start from the configuration.
 func checkConfig(name string, b []byte) error {
 	cfg, err := config.Parse(b, func(string) string { return "" })
--- a/cmd/initiator/serve.go
+++ b/cmd/initiator/serve.go
@@ -97,7 +97,7 @@
 	defer end()
 	var wire upstream.Dialer = upstream.NewHTTPDialer(int64(cfg.Limits.MemoryMB) << 20 / 4)
 	if op.NVMe != nil {
-		wire = nvme.NewHost(op.NVMe.Host())
+		wire = nvme.NewHost(nvmeHostOptions(op.NVMe))
 	}
 	var c *dispatcher.Dispatcher
 	up := upstream.NewRegistry(upstream.Options{Dialer: wire, DialTimeout: cfg.DialTimeout, IdleTimeout: cfg.ConnIdleTimeout * 4 / 5,
@@ -135,9 +135,7 @@
 	doors := map[string]door{cfg.Listen: clienthttp.New(c, clienthttp.Options{Classes: cfg.ClassNames(), Plans: cfg.PlanNames(),
 		MaxConns: cfg.MaxClientConns(), MaxIdleConns: cfg.MaxIdleClientConns(), MaxDeadline: cfg.MaxDeadline(), Ready: listed.Load, HealthOnly: op.NVMe != nil, Logger: log})}
 	if op.NVMe != nil {
-		o := op.NVMe.Controller(cfg)
-		o.Logger = log
-		doors[op.NVMe.Listen] = nvme.New(c, o)
+		doors[op.NVMe.Listen] = nvme.New(c, nvmeServerOptions(cfg, op.NVMe, log))
 	}
 	failed := make(chan error, len(doors))
 	var lc net.ListenConfig
--- a/cmd/initiator/serve_test.go
+++ b/cmd/initiator/serve_test.go
@@ -210,7 +210,7 @@
 // successor when a good one does, without a request lost.
 func TestFollow(t *testing.T) {
 	w := newWorld(t)
-	set := &config.Agent{ID: "a", Dir: t.TempDir(), Peers: []configstore.Peer{{ID: "a", Raft: freeAddr(t), API: freeAddr(t)}}}
+	set := &config.Agent{ID: "a", Dir: t.TempDir(), Peers: []config.Peer{{ID: "a", Raft: freeAddr(t), API: freeAddr(t)}}}
 	stop, leave := context.WithCancel(context.Background())
 	ended := make(chan error, 2)
 	go func() { ended <- runAgent(stop, set, quiet) }()
--- /dev/null
+++ b/internal/config/agent.go
@@ -0,0 +1,66 @@
+package config
+
+import "fmt"
+
+// Agent sets up one server of the configuration store.
+type Agent struct {
+	// ID names this server; it must be the id of one of the peers.
+	ID string `toml:"id"`
+	// Dir is the folder of the durable data; required.
+	Dir string `toml:"dir"`
+	// Peers are all servers of the store, this one included; at least one.
+	Peers []Peer `toml:"peer"`
+}
+
+// Peer is a server of the configuration store as all of them know it.
+type Peer struct {
+	// ID names the server; unique among the peers.
+	ID string `toml:"id"`
+	// Raft is the host:port of the Raft transport.
+	Raft string `toml:"raft"`
+	// API is the host:port of the HTTP API for commands and initiators.
+	API string `toml:"api"`
+}
+
+// API returns the host:port of this server's HTTP API.
+func (a *Agent) API() string {
+	for _, peer := range a.Peers {
+		if peer.ID == a.ID {
+			return peer.API
+		}
+	}
+	return ""
+}
+
+func (a *Agent) validate() *FieldError {
+	switch {
+	case a.Dir == "":
+		return absent("dir")
+	case len(a.Peers) == 0:
+		return absent("peer")
+	}
+	ids := map[string]bool{}
+	for i, peer := range a.Peers {
+		if peer.ID == "" || ids[peer.ID] {
+			return fieldError(fmt.Sprintf("peer[%d].id", i), "missing or there twice")
+		}
+		ids[peer.ID] = true
+		if err := peer.validateAddresses(); err != nil {
+			return under(fmt.Sprintf("peer[%d]", i), err)
+		}
+	}
+	if !ids[a.ID] {
+		return fieldError("id", "%q is none of the peers", a.ID)
+	}
+	return nil
+}
+
+func (p *Peer) validateAddresses() *FieldError {
+	if err := checkHostPort(p.Raft); err != nil {
+		return &FieldError{Field: "raft", Err: err}
+	}
+	if err := checkHostPort(p.API); err != nil {
+		return &FieldError{Field: "api", Err: err}
+	}
+	return nil
+}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"math"
 	"net"
 	"os"
 	"strconv"
@@ -14,178 +13,232 @@
 	"dapplegate/scheduler"
 )
 
-// Limits are what the machine grants the process.
-type Limits struct {
-	Cores    float64 `json:"cores"`
-	MemoryMB int     `json:"memory_mb"`
-	Sockets  int     `json:"sockets"`
-}
+// Environment variables that are read. Those other than envConfigFile replace the field of the file.
+const (
+	envConfigFile = "PROXY_CONFIG"
+	envName       = "PROXY_NAME"
+	envListen     = "PROXY_LISTEN"
+	envDiscovery  = "PROXY_DISCOVERY"
+)
 
-// Config is everything the program is told.
+const (
+	// openCallsLimit bounds MaxOpenCalls also where the settings allow more: each open call may hold a body.
+	openCallsLimit         = 4000
+	dialTimeoutLimit       = 250 * time.Millisecond
+	defaultConnIdleTimeout = 30 * time.Second
+)
+
+// Config is the validated configuration of one initiator.
 type Config struct {
-	Name            string
-	Listen          string
-	Discovery       string
-	Seed            uint64
-	Limits          Limits
-	KnownEndpoints  *endpoints.List // the list as last had; nil: none
-	Scheduler       scheduler.Settings
-	MaxOpenCalls    int
+	// Name identifies this initiator; required.
+	Name string
+	// Listen is the host:port where clients connect; required.
+	Listen string
+	// Discovery is the host:port of the discovery service; required.
+	Discovery string
+	// Seed makes the scheduler's random choices reproducible; default: taken from the clock.
+	Seed uint64
+	// Limits are the resources that the machine grants the process. The bounds on connections and memory derive from them.
+	Limits Limits
+	// KnownEndpoints is the endpoint list of an earlier run, used until discovery answers; nil: none.
+	KnownEndpoints *endpoints.List
+	// Scheduler holds the settings of the decisions; required.
+	Scheduler scheduler.Settings
+	// MaxOpenCalls is how many requests may be queued or in flight at a time; default and upper bound 4000.
+	MaxOpenCalls int
+	// ConnIdleTimeout is how long a target keeps an unused connection open; default 30 s. The initiator closes its own
+	// connections earlier than that.
 	ConnIdleTimeout time.Duration
-	DialTimeout     time.Duration
+	// DialTimeout bounds the opening of a connection to a target; default and upper bound 250 ms.
+	DialTimeout time.Duration
 }
 
-// file is the platform's JSON.
-type file struct {
+// configFile is the JSON form of a configuration, under the platform's field names.
+type configFile struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
 	Discovery string          `json:"discovery"`
-	Seed      string          `json:"seed"`
+	Seed      string          `json:"seed"` // 64 bits in hexadecimal
 	Limits    Limits          `json:"limits"`
 	Known     *endpoints.List `json:"known"`
 	Settings  *WireSettings   `json:"settings"`
 }
 
-const (
-	defaultSockets  = 1024
-	defaultMemoryMB = 192
-	// mostHeld bounds open requests also where the settings name more: each may hold a body.
-	maxOpenCalls = 4000
-	maxDial      = 250 * time.Millisecond
-)
-
-// Load reads the environment and the JSON file that it names. The environment's words, where given, win.
+// Load reads and validates the JSON file that PROXY_CONFIG names. PROXY_NAME, PROXY_LISTEN and PROXY_DISCOVERY, where set,
+// replace the fields of the file. Errors about a field or a variable are FieldErrors.
 func Load(getenv func(string) string) (*Config, error) {
-	path := getenv("PROXY_CONFIG")
+	path := getenv(envConfigFile)
 	if path == "" {
-		return nil, Missing("PROXY_CONFIG")
+		return nil, absent(envConfigFile)
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fmt.Errorf("PROXY_CONFIG: %w", err)
+		return nil, &FieldError{Field: envConfigFile, Err: err}
 	}
 	return Parse(raw, getenv)
 }
 
-// Reload reads the file again. Its word on discovery wins over the environment's, which the process has had since its
-// start: it is the file that was replaced.
+// Reload is Load for a running process. The file's discovery address takes precedence over PROXY_DISCOVERY: the environment
+// dates from the start of the process, the file may have been replaced since.
 func Reload(getenv func(string) string) (*Config, error) {
 	return Load(func(name string) string {
-		if name == "PROXY_DISCOVERY" {
+		if name == envDiscovery {
 			return ""
 		}
 		return getenv(name)
 	})
 }
 
-// Parse checks the JSON of a configuration and turns it into typed values. Errors name the field.
+// Parse validates a configuration in JSON, with the environment's replacements as in Load. Unknown fields are skipped.
 func Parse(raw []byte, getenv func(string) string) (*Config, error) {
-	var f file
-	if err := jsoniter.ConfigCompatibleWithStandardLibrary.Unmarshal(raw, &f); err != nil {
+	var file configFile
+	if err := jsoniter.ConfigCompatibleWithStandardLibrary.Unmarshal(raw, &file); err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	for _, v := range []struct {
-		name string
-		into *string
-	}{{"PROXY_NAME", &f.Name}, {"PROXY_LISTEN", &f.Listen}, {"PROXY_DISCOVERY", &f.Discovery}} {
-		if s := getenv(v.name); s != "" {
-			*v.into = s
+	file.applyEnvironment(getenv)
+	if err := file.validate(); err != nil {
+		return nil, err
+	}
+	return file.config()
+}
+
+// applyEnvironment replaces the fields for which the environment has a value.
+func (f *configFile) applyEnvironment(getenv func(string) string) {
+	for variable, field := range map[string]*string{envName: &f.Name, envListen: &f.Listen, envDiscovery: &f.Discovery} {
+		if value := getenv(variable); value != "" {
+			*field = value
 		}
 	}
-	c := &Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Limits: f.Limits, KnownEndpoints: f.Known}
-	if c.Name == "" {
-		return nil, Missing("name")
+}
+
+// validate checks the fields that are used as they are, and fills in the defaults of the limits.
+func (f *configFile) validate() error {
+	if f.Name == "" {
+		return absent("name")
 	}
-	for _, a := range []struct{ field, addr string }{{"listen", c.Listen}, {"discovery", c.Discovery}} {
-		if a.addr == "" {
-			return nil, Missing(a.field)
-		}
-		if err := checkAddr(a.addr); err != nil {
-			return nil, fmt.Errorf("%s: %w", a.field, err)
-		}
+	if err := checkAddress("listen", f.Listen); err != nil {
+		return err
 	}
-	var err error
-	if c.Seed, err = parseSeed(f.Seed); err != nil {
-		return nil, err
+	if err := checkAddress("discovery", f.Discovery); err != nil {
+		return err
 	}
-	if c.KnownEndpoints != nil {
-		if err := c.KnownEndpoints.Check(); err != nil {
-			return nil, fmt.Errorf("known: %w", err)
+	if f.Known != nil {
+		if err := f.Known.Check(); err != nil {
+			return &FieldError{Field: "known", Err: err}
 		}
 	}
-	if err := c.Limits.check(); err != nil {
-		return nil, err
+	if err := f.Limits.validate(); err != nil {
+		return under("limits", err)
 	}
+	f.Limits.applyDefaults()
 	if f.Settings == nil {
-		return nil, Missing("settings")
-	}
-	if c.Scheduler, err = f.Settings.SchedulerSettings(); err != nil {
-		return nil, fmt.Errorf("settings: %w", err)
+		return absent("settings")
 	}
-	if _, err = scheduler.New(c.Scheduler, c.Seed); err != nil {
-		return nil, fmt.Errorf("settings: %w", err)
-	}
-	l := f.Settings.Limits
-	c.MaxOpenCalls = atMost(l.MostHeld, maxOpenCalls)
-	c.DialTimeout = min(orElse(Microseconds(l.DialTimeoutUs), maxDial), maxDial)
-	c.ConnIdleTimeout = orElse(Microseconds(l.ConnIdleUs), 30*time.Second)
-	return c, nil
+	return nil
 }
 
-func checkAddr(addr string) error {
-	_, port, err := net.SplitHostPort(addr)
+// config converts a valid file. The scheduler validates its own settings.
+func (f *configFile) config() (*Config, error) {
+	seed, err := parseSeed(f.Seed)
 	if err != nil {
-		return err
+		return nil, err
 	}
-	if n, err := strconv.ParseUint(port, 10, 16); err != nil || n == 0 {
-		return fmt.Errorf("port %q is not a number from 1 to 65535", port)
+	settings, err := f.Settings.SchedulerSettings()
+	if err != nil {
+		return nil, &FieldError{Field: "settings", Err: err}
+	}
+	if _, err := scheduler.New(settings, seed); err != nil {
+		return nil, &FieldError{Field: "settings", Err: err}
+	}
+	limits := f.Settings.Limits
+	return &Config{
+		Name:            f.Name,
+		Listen:          f.Listen,
+		Discovery:       f.Discovery,
+		Seed:            seed,
+		Limits:          f.Limits,
+		KnownEndpoints:  f.Known,
+		Scheduler:       settings,
+		MaxOpenCalls:    min(positiveOr(limits.MostHeld, openCallsLimit), openCallsLimit),
+		ConnIdleTimeout: positiveOr(Microseconds(limits.ConnIdleUs), defaultConnIdleTimeout),
+		DialTimeout:     min(positiveOr(Microseconds(limits.DialTimeoutUs), dialTimeoutLimit), dialTimeoutLimit),
+	}, nil
+}
+
+// ClassNames returns the set of configured request classes.
+func (c *Config) ClassNames() map[string]bool {
+	names := map[string]bool{}
+	for _, class := range c.Scheduler.Classes {
+		names[class.Name] = true
 	}
-	return nil
+	return names
 }
 
-func parseSeed(s string) (uint64, error) {
-	if s == "" {
-		return uint64(time.Now().UnixNano()), nil
+// ClassDeadlines returns, for each class, how long its clients wait for a response.
+func (c *Config) ClassDeadlines() map[string]time.Duration {
+	deadlines := map[string]time.Duration{}
+	for _, class := range c.Scheduler.Classes {
+		deadlines[class.Name] = class.Deadline
 	}
-	n, err := strconv.ParseUint(s, 16, 64)
-	if err != nil {
-		return 0, fmt.Errorf("seed: %q is not a hexadecimal number of 64 bits", s)
+	return deadlines
+}
+
+// MaxDeadline returns the longest deadline of any class.
+func (c *Config) MaxDeadline() time.Duration {
+	var longest time.Duration
+	for _, class := range c.Scheduler.Classes {
+		longest = max(longest, class.Deadline)
+	}
+	return longest
+}
+
+// PlanNames returns the set of configured plans.
+func (c *Config) PlanNames() map[string]bool {
+	names := map[string]bool{}
+	for _, plan := range c.Scheduler.Plans {
+		names[plan.Name] = true
 	}
-	return n, nil
+	return names
 }
 
-// check fills in what is not told and names what cannot be.
-func (l *Limits) check() error {
-	switch {
-	case l.Cores < 0 || math.IsNaN(l.Cores):
-		return fmt.Errorf("limits.cores: %v is not a number of cores", l.Cores)
-	case l.MemoryMB < 0:
-		return fmt.Errorf("limits.memory_mb: %d is negative", l.MemoryMB)
-	case l.Sockets < 0 || l.Sockets > 0 && l.Sockets < 64:
-		return fmt.Errorf("limits.sockets: %d is too few, at least 64", l.Sockets)
+// checkAddress requires a host:port with a numeric port other than 0. An absent address is ErrMissing.
+func checkAddress(field, address string) error {
+	if address == "" {
+		return absent(field)
 	}
-	if l.Cores == 0 {
-		l.Cores = 1
+	if err := checkHostPort(address); err != nil {
+		return &FieldError{Field: field, Err: err}
 	}
-	if l.MemoryMB == 0 {
-		l.MemoryMB = defaultMemoryMB
+	return nil
+}
+
+func checkHostPort(address string) error {
+	_, port, err := net.SplitHostPort(address)
+	if err != nil {
+		return err
 	}
-	if l.Sockets == 0 {
-		l.Sockets = defaultSockets
+	if n, err := strconv.ParseUint(port, 10, 16); err != nil || n == 0 {
+		return fmt.Errorf("port %q is not a number from 1 to 65535", port)
 	}
 	return nil
 }
 
-func atMost(n, most int) int {
-	if n <= 0 {
-		return most
+// parseSeed reads a hexadecimal seed of 64 bits. An empty one is replaced by a seed from the clock.
+func parseSeed(text string) (uint64, error) {
+	if text == "" {
+		return uint64(time.Now().UnixNano()), nil
+	}
+	seed, err := strconv.ParseUint(text, 16, 64)
+	if err != nil {
+		return 0, fieldError("seed", "%q is not a hexadecimal number of 64 bits", text)
 	}
-	return min(n, most)
+	return seed, nil
 }
 
-func orElse(d, other time.Duration) time.Duration {
-	if d <= 0 {
-		return other
+// positiveOr returns value where it is positive, else the fallback.
+func positiveOr[T int | time.Duration](value, fallback T) T {
+	if value <= 0 {
+		return fallback
 	}
-	return d
+	return value
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -1,6 +1,7 @@
 package config
 
 import (
+	"errors"
 	"os"
 	"path/filepath"
 	"strings"
@@ -14,7 +15,8 @@
 
 func TestMain(m *testing.M) { seeded.Main(m) }
 
-const good = `{"name":"n3","listen":"127.0.0.1:8080","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
+// validConfig is a configuration as the platform writes it, with one field that is unknown.
+const validConfig = `{"name":"n3","listen":"127.0.0.1:8080","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
  "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"surprise":1,
  "known":{"version":41,"full":true,"servers":[{"id":"a","addr":"127.0.0.1:1","cell":0,"state":"SERVING"}]},
  "settings":{"peersTotal":3,"tickUs":2000,"classes":[{"name":"position-read","promiseUs":150000,"deadlineUs":750000,
@@ -23,29 +25,31 @@
  "contracts":[{"name":"standard","usualRate":13,"reservation":13,"parts":3,"pays":0.9}],
  "limits":{"sendCap":3,"mostHeld":20000,"connIdleUs":30000000,"dialTimeoutUs":250000}}}`
 
-func none(string) string { return "" }
+// emptyEnvironment has none of the variables that replace fields of the file.
+func emptyEnvironment(string) string { return "" }
 
-func TestGood(t *testing.T) {
-	c, err := Parse([]byte(good), func(name string) string {
+// TestParse reads a valid configuration: the environment replaces a field, and limits above the process's own are lowered.
+func TestParse(t *testing.T) {
+	c, err := Parse([]byte(validConfig), func(name string) string {
 		return map[string]string{"PROXY_LISTEN": "127.0.0.2:8081"}[name]
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if c.Listen != "127.0.0.2:8081" || c.Seed != 0x8c1f30d27a5be964 || c.DialTimeout != 250*time.Millisecond ||
-		c.MaxOpenCalls != maxOpenCalls || len(c.Scheduler.Classes) != 3 || *c.KnownEndpoints.Version != 41 {
+		c.MaxOpenCalls != openCallsLimit || len(c.Scheduler.Classes) != 3 || *c.KnownEndpoints.Version != 41 {
 		t.Errorf("read as %+v", c)
 	}
-	// What the parts may hold together must fit, a few connections that are just being turned away included.
-	if total := c.MaxClientConns() + c.MaxTargetConns() + spareFiles; total > c.Limits.Sockets {
+	// All parts together must fit into the descriptors, with connections that are accepted only to be closed.
+	if total := c.MaxClientConns() + c.MaxTargetConns() + reservedDescriptors; total > c.Limits.Sockets {
 		t.Errorf("%d descriptors for all parts of %d", total, c.Limits.Sockets)
 	}
 }
 
-// TestBadNamesTheField checks that what cannot be served stops the start with the field's name.
-func TestBadNamesTheField(t *testing.T) {
+// TestInvalidFieldIsNamed checks that a configuration that cannot be served is an error with the field's path.
+func TestInvalidFieldIsNamed(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
-		{good, "nonsense", "configuration:"},
+		{validConfig, "nonsense", "configuration:"},
 		{`"name":"n3",`, "", "name: required"},
 		{`"listen":"127.0.0.1:8080",`, "", "listen: required"},
 		{"127.0.0.1:8080", "127.0.0.1", "listen:"},
@@ -62,7 +66,7 @@
 		{`"effect":"side_effect"`, `"effect":"odd"`, "classes[1].effect"},
 		{`"promiseUs":150000`, `"promiseUs":0`, `class "position-read" needs an aim`},
 	} {
-		_, err := Parse([]byte(strings.Replace(good, c.old, c.new, 1)), none)
+		_, err := Parse([]byte(strings.Replace(validConfig, c.old, c.new, 1)), emptyEnvironment)
 		if err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%.30s: %v, want %q", c.new, err, c.want)
 		}
@@ -74,23 +78,50 @@
 	}
 }
 
-// TestCuts cuts a valid configuration anywhere and feeds garbage: no part passes for the whole.
-func TestCuts(t *testing.T) {
+// TestParseDamaged truncates a valid configuration anywhere, changes a byte, and feeds random bytes: a truncated
+// configuration never passes for a complete one, and nothing panics.
+func TestParseDamaged(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		cut := good[:rapid.IntRange(0, len(good)-1).Draw(t, "cut")]
-		if c, err := Parse([]byte(cut), none); err == nil {
-			t.Fatalf("%q passed as %+v", cut, c)
+		truncated := validConfig[:rapid.IntRange(0, len(validConfig)-1).Draw(t, "length")]
+		if c, err := Parse([]byte(truncated), emptyEnvironment); err == nil {
+			t.Fatalf("%q passed as %+v", truncated, c)
+		}
+		damaged := []byte(validConfig)
+		damaged[rapid.IntRange(0, len(damaged)-1).Draw(t, "at")] = rapid.Byte().Draw(t, "byte")
+		garbage := rapid.SliceOf(rapid.Byte()).Draw(t, "garbage")
+		for _, input := range [][]byte{damaged, garbage} {
+			if c, err := Parse(input, emptyEnvironment); (c == nil) == (err == nil) {
+				t.Fatalf("%q: configuration %+v with error %v", input, c, err)
+			}
 		}
-		bent := []byte(good)
-		bent[rapid.IntRange(0, len(bent)-1).Draw(t, "at")] = rapid.Byte().Draw(t, "byte")
-		Parse(bent, none) // whatever comes of it, it must come
-		Parse(rapid.SliceOf(rapid.Byte()).Draw(t, "garbage"), none)
 	})
 }
 
-// TestOperatorFile reads the file under deploy/ and spoils it field by field.
+// TestFieldError checks what a caller can rely on: errors.As finds the field's path, errors.Is an absent field.
+func TestFieldError(t *testing.T) {
+	for _, c := range []struct {
+		old, new, field string
+		missing         bool
+	}{
+		{`"name":"n3",`, "", "name", true},
+		{`"listen":"127.0.0.1:8080",`, "", "listen", true},
+		{"127.0.0.1:8500", "127.0.0.1:99999", "discovery", false},
+		{`"sockets":1024`, `"sockets":3`, "limits.sockets", false},
+		{`"settings":`, `"other":`, "settings", true},
+		{`"peersTotal":3,`, "", "settings", true},
+	} {
+		_, err := Parse([]byte(strings.Replace(validConfig, c.old, c.new, 1)), emptyEnvironment)
+		var field *FieldError
+		if !errors.As(err, &field) || field.Field != c.field || errors.Is(err, ErrMissing) != c.missing {
+			t.Errorf("%s: %v, want field %q, missing %v", c.new, err, c.field, c.missing)
+		}
+	}
+}
+
+// TestOperatorFile reads the file under deploy/, and then with one field after the other made invalid: the error has the
+// field's path.
 func TestOperatorFile(t *testing.T) {
-	c, err := Parse([]byte(good), none)
+	platform, err := Parse([]byte(validConfig), emptyEnvironment)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -98,24 +129,24 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	read := func(text string) (*Operator, error) {
+	readText := func(text string) (*Operator, error) {
 		path := filepath.Join(t.TempDir(), "operator.toml")
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		return ReadOperator(path, c)
+		return ReadOperator(path, platform)
 	}
-	o, err := read(string(raw))
+	operator, err := readText(string(raw))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if k := o.NVMe.Controller(c); len(k.Namespaces) != 1 || k.ClassDeadlines["event-write"] != 1200*time.Millisecond {
-		t.Errorf("controller %+v", k)
+	if deadlines := platform.ClassDeadlines(); len(operator.NVMe.Namespaces) != 1 || deadlines["event-write"] != 1200*time.Millisecond {
+		t.Errorf("%d namespaces, deadlines %v", len(operator.NVMe.Namespaces), deadlines)
 	}
-	if h := o.NVMe.Host(); h.HostID[0] != 0x5f || h.KeepAliveTimeout != 5*time.Second {
-		t.Errorf("host %+v", h)
+	if operator.NVMe.HostIdentifier()[0] != 0x5f || operator.NVMe.KeepAliveTimeout() != 5*time.Second {
+		t.Errorf("host identifier %x, keep-alive timeout %v", operator.NVMe.HostIdentifier(), operator.NVMe.KeepAliveTimeout())
 	}
-	for _, x := range []struct{ old, new, want string }{
+	for _, c := range []struct{ old, new, want string }{
 		{"listen", "lisen", "nvme.lisen: unknown field"},
 		{"127.0.0.1:4420", "here", "nvme.listen"},
 		{`host_id = "5f`, `host_id = "zz`, "nvme.host_id"},
@@ -128,8 +159,10 @@
 		{"bulk_blocks = 64", "bulk_blocks = 0", "nvme.namespace[0].bulk_blocks"},
 		{"00000003b4d60021", "volume", "nvme.namespace[0].volume"},
 	} {
-		if _, err := read(strings.Replace(string(raw), x.old, x.new, 1)); err == nil || !strings.Contains(err.Error(), x.want) {
-			t.Errorf("%s: %v, want %q", x.new, err, x.want)
+		_, err := readText(strings.Replace(string(raw), c.old, c.new, 1))
+		var field *FieldError
+		if !errors.As(err, &field) || !strings.Contains(err.Error(), c.want) {
+			t.Errorf("%s: %v, want a field error with %q", c.new, err, c.want)
 		}
 	}
 }
--- /dev/null
+++ b/internal/config/errors.go
@@ -0,0 +1,29 @@
+package config
+
+import "fmt"
+
+// FieldError says which field of a configuration, or which environment variable, cannot be used, and why. Callers find it
+// with errors.As; where the field is absent, errors.Is finds ErrMissing.
+type FieldError struct {
+	Field string // path of the field, such as "limits.cores" or "nvme.namespace[0].plan"
+	Err   error  // what is wrong with it
+}
+
+// Error returns the field's path and the reason.
+func (e *FieldError) Error() string { return e.Field + ": " + e.Err.Error() }
+
+// Unwrap returns the reason without the field.
+func (e *FieldError) Unwrap() error { return e.Err }
+
+// fieldError returns a FieldError with a formatted reason; %w wraps as in fmt.Errorf.
+func fieldError(field, format string, args ...any) *FieldError {
+	return &FieldError{Field: field, Err: fmt.Errorf(format, args...)}
+}
+
+// absent returns the error of a required field that is missing.
+func absent(field string) *FieldError { return &FieldError{Field: field, Err: ErrMissing} }
+
+// under returns err with its field's path below parent.
+func under(parent string, err *FieldError) *FieldError {
+	return &FieldError{Field: parent + "." + err.Field, Err: err.Err}
+}
--- /dev/null
+++ b/internal/config/limits.go
@@ -0,0 +1,86 @@
+package config
+
+import "math"
+
+// Limits are the resources that the machine grants the process.
+type Limits struct {
+	// Cores is the processor share; default 1.
+	Cores float64 `json:"cores"`
+	// MemoryMB is the memory in MiB; default 192.
+	MemoryMB int `json:"memory_mb"`
+	// Sockets is the number of file descriptors; at least 64, default 1024.
+	Sockets int `json:"sockets"`
+}
+
+const (
+	defaultCores    = 1
+	defaultMemoryMB = 192
+	defaultSockets  = 1024
+	minSockets      = 64
+)
+
+// Shares of the resources. Descriptors: four tenths go to targets, reservedDescriptors to the process itself, clients get
+// what is left.
+const (
+	bytesPerMB = 1 << 20
+
+	// reservedDescriptors are for discovery, the listeners, logs and the runtime, and for connections above the clients'
+	// limit that are accepted only to be closed.
+	reservedDescriptors = 56
+
+	// clientConnBytes is the approximate memory of a client connection: buffers, goroutine stack and one request.
+	clientConnBytes = 24 << 10
+
+	// minClientConns keeps a process with very small limits reachable.
+	minClientConns = 8
+
+	// maxConnsPerTarget exceeds the attempts that the scheduler ever has in flight at one target, overdue ones included.
+	maxConnsPerTarget = 40
+)
+
+// validate checks what was configured; a field of 0 takes its default.
+func (l *Limits) validate() *FieldError {
+	switch {
+	case l.Cores < 0 || math.IsNaN(l.Cores):
+		return fieldError("cores", "%v is not a number of cores", l.Cores)
+	case l.MemoryMB < 0:
+		return fieldError("memory_mb", "%d is negative", l.MemoryMB)
+	case l.Sockets < 0 || l.Sockets > 0 && l.Sockets < minSockets:
+		return fieldError("sockets", "%d is too few, at least %d", l.Sockets, minSockets)
+	}
+	return nil
+}
+
+// applyDefaults replaces fields of 0.
+func (l *Limits) applyDefaults() {
+	if l.Cores == 0 {
+		l.Cores = defaultCores
+	}
+	if l.MemoryMB == 0 {
+		l.MemoryMB = defaultMemoryMB
+	}
+	if l.Sockets == 0 {
+		l.Sockets = defaultSockets
+	}
+}
+
+// MaxClientConns is the number of client connections at a time: the descriptors that targets and the process leave, as long
+// as the connections fit into a third of the memory.
+func (c *Config) MaxClientConns() int {
+	byDescriptors := c.Limits.Sockets - c.MaxTargetConns() - reservedDescriptors
+	byMemory := c.Limits.MemoryMB * bytesPerMB / 3 / clientConnBytes
+	return max(min(byDescriptors, byMemory), minClientConns)
+}
+
+// MaxIdleClientConns is the number of client connections without a request in flight: a sixth of the descriptors, so that
+// idle clients leave room for busy ones.
+func (c *Config) MaxIdleClientConns() int { return c.Limits.Sockets / 6 }
+
+// MaxTargetConns is the number of connections to all targets together: four tenths of the descriptors.
+func (c *Config) MaxTargetConns() int { return c.Limits.Sockets * 4 / 10 }
+
+// MaxConnsPerTarget is the number of connections to one target.
+func (c *Config) MaxConnsPerTarget() int { return min(maxConnsPerTarget, c.MaxTargetConns()) }
+
+// MaxBufferedBytes is the payload that may be buffered at a time: a quarter of the memory.
+func (c *Config) MaxBufferedBytes() int64 { return int64(c.Limits.MemoryMB) * bytesPerMB / 4 }
--- a/internal/configstore/server.go
+++ b/internal/configstore/server.go
@@ -27,9 +27,9 @@
 
 // Peer is one agent as all agents know it.
 type Peer struct {
-	ID   string `toml:"id"`
-	Raft string `toml:"raft"` // where it speaks Raft
-	API  string `toml:"api"`  // where commands and instances reach it
+	ID   string
+	Raft string // host:port of the Raft transport
+	API  string // host:port of the HTTP API
 }
 
 // Options set up one agent.
--- a/internal/nvme/admin.go
+++ b/internal/nvme/admin.go
@@ -300,7 +300,7 @@
 			return nil
 		}
 		page[0], page[1] = 1, 8 // EUI-64
-		copy(page[4:], euiOf(ns))
+		copy(page[4:], ns.eui64())
 	default:
 		return nil
 	}
--- a/internal/nvme/controller.go
+++ b/internal/nvme/controller.go
@@ -3,11 +3,9 @@
 import (
 	"bufio"
 	"context"
-	"encoding/binary"
 	"errors"
 	"log/slog"
 	"net"
-	"strconv"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -468,7 +466,7 @@
 	q.mu.Lock()
 	q.serial++
 	p.tag = q.serial
-	p.wait = time.AfterFunc(q.server.opt.ClassDeadlines[ns.Write], func() { q.end("HOST_DATA_LATE") })
+	p.wait = time.AfterFunc(q.server.opt.ClassDeadlines[ns.WriteClass], func() { q.end("HOST_DATA_LATE") })
 	q.put(typeR2T, 0, dataHead(p.cmd.cid(), p.tag, 0, uint32(p.io.Bytes)), nil)
 	q.mu.Unlock()
 }
@@ -554,8 +552,3 @@
 	}
 	return true
 }
-
-func euiOf(ns *Namespace) []byte {
-	n, _ := strconv.ParseUint(ns.Volume, 16, 64)
-	return binary.BigEndian.AppendUint64(nil, n)
-}
--- a/internal/nvme/nvme_test.go
+++ b/internal/nvme/nvme_test.go
@@ -35,8 +35,8 @@
 var quiet = slog.New(slog.DiscardHandler)
 
 func space() Namespace {
-	return Namespace{ID: 1, Volume: "00000003b4d60021", Plan: "std", Hosts: 1, BlockBytes: blockSize, Blocks: 1 << 20,
-		StripeBlocks: 2048, Shards: []int{0}, UnitBlocks: 16, Read: "position-read", Write: "event-write"}
+	return Namespace{ID: 1, Volume: "00000003b4d60021", Plan: "std", Initiators: 1, BlockBytes: blockSize, Blocks: 1 << 20,
+		StripeBlocks: 2048, Shards: []int{0}, UnitBlocks: 16, ReadClass: "position-read", WriteClass: "event-write"}
 }
 
 func newServer(t *testing.T, c Dispatcher, subsystem string) (*Server, string) {
