--- a/internal/clienthttp/handler.go
+++ b/internal/clienthttp/handler.go
@@ -27,7 +27,7 @@
 		}
 		return
 	}
-	j, m, f := s.parse(r)
+	j, m, f := s.parseHead(r)
 	if f == nil {
 		m.Body, f = readBody(r)
 	}
@@ -99,16 +99,16 @@
 
 // refuseBad answers what could not be taken, before what is left of its body, and then reads that away for a while. None
 // of these is a 429 or 503: a repeat would fare no better.
-func refuseBad(w http.ResponseWriter, r *http.Request, conn *clientConn, f *fault) {
+func refuseBad(w http.ResponseWriter, r *http.Request, conn *clientConn, f *RequestError) {
 	conn.claim()
 	rc := http.NewResponseController(w)
 	// Without it net/http would first wait for the body, which may never come.
 	rc.EnableFullDuplex()
 	w.Header().Set("Connection", "close")
-	http.Error(w, f.text, f.status)
+	http.Error(w, f.Message, f.Status)
 	flushed := rc.Flush() == nil
 	conn.phase.CompareAndSwap(active, spent)
-	if flushed && f.status != http.StatusRequestTimeout && rc.SetReadDeadline(time.Now().Add(drainFor)) == nil {
+	if flushed && f.Status != http.StatusRequestTimeout && rc.SetReadDeadline(time.Now().Add(drainFor)) == nil {
 		io.CopyBuffer(struct{ io.Writer }{io.Discard}, io.LimitReader(r.Body, drainMost), make([]byte, 16<<10))
 	}
 }
--- a/internal/clienthttp/parse.go
+++ b/internal/clienthttp/parse.go
@@ -1,7 +1,6 @@
 package clienthttp
 
 import (
-	"errors"
 	"fmt"
 	"io"
 	"net/http"
@@ -14,133 +13,233 @@
 	"dapplegate/scheduler"
 )
 
-// fault is a request that cannot be taken: what the client is told.
-type fault struct {
-	status int
-	text   string
+// The names of the request headers that every request carries exactly once.
+const (
+	headerRequestID     = "Request-Id"
+	headerClientTimeout = "Request-Timeout-Ms" // how long the client waits, in whole milliseconds
+	headerPlan          = "Tier"
+	headerIOInfo        = "IO-Info"
+)
+
+const (
+	// maxClientTimeoutMillis is the longest timeout that a client may ask for, in milliseconds.
+	maxClientTimeoutMillis = 10 * 60 * 1000
+	// maxRequestIDLength is in bytes.
+	maxRequestIDLength = 64
+	// maxShard, maxInitiators and maxUnits bound the numbers of an IO-Info header; maxUnits itself is out of range.
+	maxShard      = 1e6
+	maxInitiators = 1e6
+	maxUnits      = 1e6
+	// extentKeyLength and volumeIDLength are in hexadecimal digits.
+	extentKeyLength = 16
+	volumeIDLength  = 16
+)
+
+// RequestError is a request that cannot be accepted as it is. No request with one reaches the dispatcher.
+type RequestError struct {
+	Status  int    // HTTP status of the response
+	Message string // body of the response; names the header or the part that is at fault
 }
 
-func bad(status int, format string, args ...any) *fault {
-	return &fault{status, fmt.Sprintf(format, args...)}
+// Error implements error.
+func (e *RequestError) Error() string {
+	return e.Message
 }
 
-// parse reads the head of a request into a job; the body comes later.
-func (s *Server) parse(r *http.Request) (*dispatcher.Call, *httpmsg.Request, *fault) {
-	// net/http takes a Content-Length beside a Transfer-Encoding for nothing and drops it, and of HTTP/1.0 takes the
-	// coding for nothing: whoever stands before or after may see another request in the body. A length is asked for
-	// instead, of everyone.
+// requestErrorf formats a RequestError's message.
+func requestErrorf(status int, format string, args ...any) *RequestError {
+	return &RequestError{Status: status, Message: fmt.Sprintf(format, args...)}
+}
+
+// parseHead turns the head of a request into a call for the dispatcher and the message to forward, still without its body.
+func (s *Server) parseHead(r *http.Request) (*dispatcher.Call, *httpmsg.Request, *RequestError) {
+	if err := checkFraming(r); err != nil {
+		return nil, nil, err
+	}
+	if err := checkSingleHeaders(r.Header); err != nil {
+		return nil, nil, err
+	}
+	if r.Method != http.MethodGet && r.Method != http.MethodPut {
+		return nil, nil, requestErrorf(http.StatusMethodNotAllowed, "method %s: GET and PUT are served", r.Method)
+	}
+	class, extent, err := parseRequestTarget(r.RequestURI)
+	if err != nil {
+		return nil, nil, err
+	}
+	requestID := r.Header.Get(headerRequestID)
+	if !isRequestID(requestID) {
+		return nil, nil, requestErrorf(http.StatusBadRequest, "%s: wanted 1 to %d visible characters", headerRequestID, maxRequestIDLength)
+	}
+	timeout, err := parseClientTimeout(r.Header.Get(headerClientTimeout))
+	if err != nil {
+		return nil, nil, err
+	}
+	request, err := parseIOInfo(r.Header.Get(headerIOInfo))
+	if err != nil {
+		return nil, nil, err
+	}
+	request.Class = class
+	request.Plan = r.Header.Get(headerPlan)
+	request.Extent = extent
+	if err := s.checkConfigured(request); err != nil {
+		return nil, nil, err
+	}
+	call := &dispatcher.Call{Request: request, ClientRequestID: requestID, ClientTimeout: timeout}
+	return call, &httpmsg.Request{Method: r.Method, URI: r.RequestURI, ID: requestID}, nil
+}
+
+// checkFraming rejects a request whose body does not have a declared length within the limit.
+//
+// It guards against request smuggling: net/http drops a Content-Length beside a Transfer-Encoding, and ignores the
+// transfer coding of an HTTP/1.0 request, so that a proxy before or after this server may see another request in the
+// body. The guard holds since no request with a transfer coding is accepted at all.
+func checkFraming(r *http.Request) *RequestError {
 	switch {
 	case len(r.TransferEncoding) > 0:
-		return nil, nil, bad(http.StatusLengthRequired, "Transfer-Encoding: a body needs a Content-Length instead")
+		return requestErrorf(http.StatusLengthRequired, "Transfer-Encoding: a body needs a Content-Length instead")
 	case !r.ProtoAtLeast(1, 1):
-		return nil, nil, bad(http.StatusHTTPVersionNotSupported, "%s: HTTP/1.1 is served", r.Proto)
+		return requestErrorf(http.StatusHTTPVersionNotSupported, "%s: HTTP/1.1 is served", r.Proto)
 	case r.ContentLength > httpmsg.MaxRequestBody:
-		return nil, nil, bad(http.StatusRequestEntityTooLarge, "body: over %d bytes", httpmsg.MaxRequestBody)
+		return requestErrorf(http.StatusRequestEntityTooLarge, "body: over %d bytes", httpmsg.MaxRequestBody)
 	case r.Method == http.MethodGet && r.ContentLength != 0:
-		return nil, nil, bad(http.StatusBadRequest, "body: a GET has none")
+		return requestErrorf(http.StatusBadRequest, "body: a GET has none")
 	}
-	for _, name := range []string{"Request-Id", "Request-Timeout-Ms", "Tier", "IO-Info"} {
-		if n := len(r.Header.Values(name)); n != 1 {
-			return nil, nil, bad(http.StatusBadRequest, "%s: wanted once, is there %d times", name, n)
+	return nil
+}
+
+// checkSingleHeaders rejects a request that lacks one of the required headers or repeats it.
+func checkSingleHeaders(header http.Header) *RequestError {
+	for _, name := range []string{headerRequestID, headerClientTimeout, headerPlan, headerIOInfo} {
+		if count := len(header.Values(name)); count != 1 {
+			return requestErrorf(http.StatusBadRequest, "%s: wanted once, is there %d times", name, count)
 		}
 	}
-	if r.Method != http.MethodGet && r.Method != http.MethodPut {
-		return nil, nil, bad(http.StatusMethodNotAllowed, "method %s: GET and PUT are served", r.Method)
-	}
-	if !strings.HasPrefix(r.RequestURI, "/") {
-		return nil, nil, bad(http.StatusBadRequest, "the request's target must be a path")
+	return nil
+}
+
+// parseRequestTarget reads /class/…/key, with any query, into the class and the key of the extent.
+func parseRequestTarget(uri string) (class, extent string, requestError *RequestError) {
+	if !strings.HasPrefix(uri, "/") {
+		return "", "", requestErrorf(http.StatusBadRequest, "the request's target must be a path")
 	}
-	path, _, _ := strings.Cut(r.RequestURI, "?")
+	path, _, _ := strings.Cut(uri, "?")
 	class, rest, found := strings.Cut(path[1:], "/")
-	key := rest[strings.LastIndexByte(rest, '/')+1:]
-	if !found || class == "" || !isHex16(key) {
-		return nil, nil, bad(http.StatusBadRequest, "path: wanted /class/…/key with a key of 16 hex digits")
-	}
-	id := r.Header.Get("Request-Id")
-	if id == "" || len(id) > 64 || strings.ContainsFunc(id, func(c rune) bool { return c <= ' ' || c > '~' }) {
-		return nil, nil, bad(http.StatusBadRequest, "Request-Id: wanted 1 to 64 visible characters")
-	}
-	ms, err := strconv.ParseUint(r.Header.Get("Request-Timeout-Ms"), 10, 31)
-	// A late retry may have no whole millisecond left. That is no malformed request: it is refused, and its
-	// connection lives.
-	if err != nil || ms > maxTimeoutMs {
-		return nil, nil, bad(http.StatusBadRequest, "Request-Timeout-Ms: wanted whole milliseconds, 0 to %d", maxTimeoutMs)
-	}
-	q, f := parseInfo(r.Header.Get("IO-Info"))
-	if f != nil {
-		return nil, nil, f
-	}
-	j := &dispatcher.Call{Request: q, ClientRequestID: id, ClientTimeout: time.Duration(ms) * time.Millisecond}
-	j.Class, j.Plan, j.Extent = class, r.Header.Get("Tier"), key
-	if !s.options.Classes[j.Class] {
-		return nil, nil, bad(http.StatusNotFound, "class %q is not served here", j.Class)
-	}
-	if !s.options.Plans[j.Plan] {
-		return nil, nil, bad(http.StatusUnprocessableEntity, "Tier: plan %q is not known here", j.Plan)
-	}
-	return j, &httpmsg.Request{Method: r.Method, URI: r.RequestURI, ID: id}, nil
-}
-
-// parseInfo reads IO-Info: volume, units, shard and hosts, in any order; other fields are skipped.
-func parseInfo(s string) (scheduler.Request, *fault) {
-	var q scheduler.Request
-	var seen [4]bool
-	for field := range strings.SplitSeq(s, ",") {
-		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
-		var err error
-		at := -1
-		switch name {
-		case "volume":
-			if at, q.Volume = 0, value; !isHex16(value) {
-				err = errors.New("wanted 16 hex digits")
-			}
-		case "units":
-			at = 1
-			if q.Units, err = strconv.ParseFloat(value, 64); err == nil && !(q.Units >= 0 && q.Units < 1e6) {
-				err = errors.New("out of range")
-			}
-		case "shard":
-			at = 2
-			if q.Shard, err = strconv.Atoi(value); err == nil && (q.Shard < -1 || q.Shard > 1e6) {
-				err = errors.New("out of range")
+	extent = rest[strings.LastIndexByte(rest, '/')+1:]
+	if !found || class == "" || !isHex(extent, extentKeyLength) {
+		return "", "", requestErrorf(http.StatusBadRequest, "path: wanted /class/…/key with a key of %d hex digits", extentKeyLength)
+	}
+	return class, extent, nil
+}
+
+func isRequestID(id string) bool {
+	invisible := func(c rune) bool { return c <= ' ' || c > '~' }
+	return id != "" && len(id) <= maxRequestIDLength && !strings.ContainsFunc(id, invisible)
+}
+
+// parseClientTimeout accepts a timeout of zero: a late retry may have no whole millisecond left. It is well formed, so it
+// is left to the dispatcher to reject, and its connection stays open.
+func parseClientTimeout(value string) (time.Duration, *RequestError) {
+	millis, err := strconv.ParseUint(value, 10, 31)
+	if err != nil || millis > maxClientTimeoutMillis {
+		return 0, requestErrorf(http.StatusBadRequest, "%s: wanted whole milliseconds, 0 to %d", headerClientTimeout, maxClientTimeoutMillis)
+	}
+	return time.Duration(millis) * time.Millisecond, nil
+}
+
+// checkConfigured rejects a request of a class or a plan that the configuration does not have.
+func (s *Server) checkConfigured(request scheduler.Request) *RequestError {
+	if !s.options.Classes[request.Class] {
+		return requestErrorf(http.StatusNotFound, "class %q is not served here", request.Class)
+	}
+	if !s.options.Plans[request.Plan] {
+		return requestErrorf(http.StatusUnprocessableEntity, "%s: plan %q is not known here", headerPlan, request.Plan)
+	}
+	return nil
+}
+
+// ioInfoField is one field of the IO-Info header. Its parse function sets a member of the request, and tells whether the
+// value is usable.
+type ioInfoField struct {
+	name  string
+	parse func(request *scheduler.Request, value string) bool
+}
+
+// ioInfoFields are the fields that each IO-Info header carries exactly once, in any order.
+var ioInfoFields = [...]ioInfoField{
+	{"volume", parseVolume},
+	{"units", parseUnits},
+	{"shard", parseShard},
+	{"hosts", parseInitiators},
+}
+
+// parseIOInfo reads an IO-Info header such as "volume=00000003b4d60021,units=2,shard=5,hosts=3". Unknown fields are
+// skipped.
+func parseIOInfo(header string) (scheduler.Request, *RequestError) {
+	var request scheduler.Request
+	var seen [len(ioInfoFields)]bool
+	for part := range strings.SplitSeq(header, ",") {
+		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
+		for i, field := range ioInfoFields {
+			if field.name != name {
+				continue
 			}
-		case "hosts":
-			at = 3
-			if q.Initiators, err = strconv.Atoi(value); err == nil && (q.Initiators < 0 || q.Initiators > 1e6) {
-				err = errors.New("out of range")
+			if !field.parse(&request, value) || seen[i] {
+				return request, requestErrorf(http.StatusBadRequest, "%s: %s=%.40q: not usable", headerIOInfo, name, value)
 			}
-		default:
-			continue
+			seen[i] = true
 		}
-		if err != nil || seen[at] {
-			return q, bad(http.StatusBadRequest, "IO-Info: %s=%.40q: not usable", name, value)
-		}
-		seen[at] = true
 	}
-	for i, name := range []string{"volume", "units", "shard", "hosts"} {
+	for i, field := range ioInfoFields {
 		if !seen[i] {
-			return q, bad(http.StatusBadRequest, "IO-Info: %s is missing", name)
+			return request, requestErrorf(http.StatusBadRequest, "%s: %s is missing", headerIOInfo, field.name)
 		}
 	}
-	return q, nil
+	return request, nil
+}
+
+func parseVolume(request *scheduler.Request, value string) bool {
+	request.Volume = value
+	return isHex(value, volumeIDLength)
+}
+
+// parseUnits rejects NaN as well, which compares false with everything.
+func parseUnits(request *scheduler.Request, value string) bool {
+	units, err := strconv.ParseFloat(value, 64)
+	request.Units = units
+	return err == nil && units >= 0 && units < maxUnits
+}
+
+// parseShard accepts -1, which stands for a new object that any target may take.
+func parseShard(request *scheduler.Request, value string) bool {
+	shard, err := strconv.Atoi(value)
+	request.Shard = shard
+	return err == nil && shard >= -1 && shard <= maxShard
+}
+
+// parseInitiators reads how many initiators the volume's requests come through.
+func parseInitiators(request *scheduler.Request, value string) bool {
+	initiators, err := strconv.Atoi(value)
+	request.Initiators = initiators
+	return err == nil && initiators >= 0 && initiators <= maxInitiators
 }
 
-func isHex16(s string) bool {
-	if len(s) != 16 {
+// isHex tells whether text is a hexadecimal number of so many digits, at most 16.
+func isHex(text string, digits int) bool {
+	if len(text) != digits {
 		return false
 	}
-	_, err := strconv.ParseUint(s, 16, 64)
+	_, err := strconv.ParseUint(text, 16, 64)
 	return err == nil
 }
 
-// readBody reads the request's body, of a length that is told and not too large, within requestWithin.
-func readBody(r *http.Request) ([]byte, *fault) {
+// readBody reads the request's body, whose length is declared and within the limit. The server's read timeout bounds it.
+func readBody(r *http.Request) ([]byte, *RequestError) {
 	if r.ContentLength == 0 {
 		return nil, nil
 	}
 	body := make([]byte, r.ContentLength)
 	if _, err := io.ReadFull(r.Body, body); err != nil {
-		return nil, bad(http.StatusRequestTimeout, "body: did not come whole")
+		return nil, requestErrorf(http.StatusRequestTimeout, "body: did not come whole")
 	}
 	return body, nil
 }
--- a/internal/clienthttp/server.go
+++ b/internal/clienthttp/server.go
@@ -13,8 +13,7 @@
 )
 
 const (
-	maxTimeoutMs = 10 * 60 * 1000
-	maxHead      = 16 << 10
+	maxHead = 16 << 10
 	// requestWithin is how long a request, head and body, may take to come: from its first byte, or from the
 	// connection's start. A client that is slower, or says nothing, is owed an end within 3 s.
 	requestWithin = 2 * time.Second
--- a/internal/clienthttp/server_test.go
+++ b/internal/clienthttp/server_test.go
@@ -729,16 +729,16 @@
 	rapid.Check(t, func(t *rapid.T) {
 		whole := fmt.Sprintf("volume=%016x,units=%d,shard=%d,hosts=%d", rapid.Uint64().Draw(t, "v"),
 			rapid.IntRange(1, 8).Draw(t, "u"), rapid.IntRange(-1, 9).Draw(t, "s"), rapid.IntRange(1, 9).Draw(t, "h"))
-		if _, err := parseInfo(whole); err != nil {
+		if _, err := parseIOInfo(whole); err != nil {
 			t.Fatalf("%q: %v", whole, err)
 		}
 		if cut := rapid.IntRange(0, len(whole)-1).Draw(t, "cut"); cut < strings.LastIndexByte(whole, '=') {
-			if q, err := parseInfo(whole[:cut]); err == nil {
+			if q, err := parseIOInfo(whole[:cut]); err == nil {
 				t.Fatalf("%q passed as %+v", whole[:cut], q)
 			}
 		}
 		garbage := rapid.StringMatching(`[a-z=,0-9.\-]{0,60}`).Draw(t, "garbage")
-		if q, err := parseInfo(garbage); err == nil && (len(q.Volume) != 16 || q.Units < 0 || q.Shard < -1) {
+		if q, err := parseIOInfo(garbage); err == nil && (len(q.Volume) != 16 || q.Units < 0 || q.Shard < -1) {
 			t.Fatalf("%q passed as %+v", garbage, q)
 		}
 	})
