--- a/internal/clienthttp/accept_test.go
+++ b/internal/clienthttp/accept_test.go
@@ -77,7 +77,7 @@
 // Sequence: accept fails for 0.3 s, for want of descriptors. A client connects and asks meanwhile; its connection waits at the
 // listener, and its request is read 0.3 s later.
 // Cause: a request's time was counted from when it was read, as if nothing could have waited before the connection was taken.
-// Settled by the log: "accept failed", and "request taken" with age=10µs for a request that was sent 0.3 s before.
+// Settled by the log: "accept failed", and "request accepted" with age=10µs for a request that was sent 0.3 s before.
 func TestRequestBehindAFailingAcceptHasArrived(t *testing.T) {
 	const failsFor = 300 * time.Millisecond
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/clienthttp/ahead_test.go
+++ b/internal/clienthttp/ahead_test.go
@@ -17,7 +17,7 @@
 // second is read then, and gets all of its time anew, as does the third.
 // Cause: a request's time was counted from when its last byte was read. Behind another request it may have been here, unread,
 // since that one came.
-// Settled by the log: "request taken" with age=10µs for a request that was sent seconds before.
+// Settled by the log: "request accepted" with age=10µs for a request that was sent seconds before.
 func TestRequestSentAheadHasArrived(t *testing.T) {
 	const openFor = 300 * time.Millisecond
 	for name, gap := range map[string]time.Duration{"in one step": 0, "a little later": 20 * time.Millisecond, "while one is open": openFor / 2} {
--- /dev/null
+++ b/internal/dispatcher/calllog.go
@@ -0,0 +1,43 @@
+package dispatcher
+
+import (
+	"context"
+	"log/slog"
+)
+
+// What the log tells of a request, in this order.
+const (
+	eventRequestAccepted   = "request accepted"
+	eventAttemptDispatched = "attempt dispatched"
+	eventAttemptEnded      = "attempt ended"
+	eventRequestEnded      = "request ended"
+)
+
+// Fields of these log lines. Durations are from the last byte of the request (age) or from the attempt's start (latency).
+const (
+	fieldRequest     = "request" // the client's id for it
+	fieldClass       = "class"
+	fieldAge         = "age"
+	fieldTimeout     = "timeout"
+	fieldReason      = "reason"
+	fieldTarget      = "target"
+	fieldAttempt     = "attempt"  // its number, from 0
+	fieldAttempts    = "attempts" // how many were sent
+	fieldInFlight    = "in_flight"
+	fieldLatency     = "latency"
+	fieldLastAttempt = "last_attempt"
+)
+
+// reasonClientClosed ends a request without a response. Other requests end with their response's Status as the reason, and
+// attempts with their scheduler.AttemptStatus.
+const reasonClientClosed = "CLIENT_CLOSED"
+
+// logCall logs what happens to a call, at debug level.
+func (d *Dispatcher) logCall(event string, call *Call, attrs ...slog.Attr) {
+	ctx := context.Background()
+	if !d.options.Logger.Enabled(ctx, slog.LevelDebug) {
+		return
+	}
+	attrs = append(attrs, slog.String(fieldRequest, call.ClientRequestID))
+	d.options.Logger.LogAttrs(ctx, slog.LevelDebug, event, attrs...)
+}
--- a/internal/dispatcher/dispatcher_test.go
+++ b/internal/dispatcher/dispatcher_test.go
@@ -10,298 +10,286 @@
 	"dapplegate/scheduler"
 )
 
-// fake is an upstream that notes what it is told.
-type fake struct {
-	sent      []Attempt
-	cancelled []string
-}
+const targetID = "n"
 
-func (f *fake) Send(a Attempt)              { f.sent = append(f.sent, a) }
-func (f *fake) Cancel(node, request string) { f.cancelled = append(f.cancelled, node+"/"+request) }
+// oneTarget is a complete endpoint list with one target that serves.
+func oneTarget() scheduler.EndpointList {
+	return scheduler.EndpointList{Complete: true, Targets: []scheduler.Target{{ID: targetID}}}
+}
 
-func module(t *testing.T) *scheduler.Scheduler {
+func newScheduler(t *testing.T) *scheduler.Scheduler {
 	t.Helper()
-	m, err := scheduler.New(scheduler.Settings{Initiators: 1, Tick: time.Millisecond, MeanUnits: 1, MaxUnits: 1,
-		Classes: []scheduler.Class{{Name: "get", LatencyObjective: 400 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 1},
-			{Name: "put", LatencyObjective: 400 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 1, Idempotency: scheduler.NonIdempotent},
-			{Name: "keyed", LatencyObjective: 400 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 1, Idempotency: scheduler.IdempotencyKey, DedupWindow: time.Second}},
-		Plans: []scheduler.Plan{{Name: "std", ProvisionedRate: 1000, Reservation: 1000, Weight: 1, PriorityFactor: 1}}}, 1)
+	class := func(name string, idempotency scheduler.Idempotency) scheduler.Class {
+		return scheduler.Class{Name: name, LatencyObjective: 400 * time.Millisecond, Deadline: 2 * time.Second,
+			PriorityWeight: 1, Idempotency: idempotency}
+	}
+	keyed := class("keyed", scheduler.IdempotencyKey)
+	keyed.DedupWindow = time.Second
+	s, err := scheduler.New(scheduler.Settings{
+		Initiators: 1,
+		Tick:       time.Millisecond,
+		MeanUnits:  1,
+		MaxUnits:   1,
+		Classes:    []scheduler.Class{class("get", scheduler.Idempotent), class("put", scheduler.NonIdempotent), keyed},
+		Plans:      []scheduler.Plan{{Name: "std", ProvisionedRate: 1000, Reservation: 1000, Weight: 1, PriorityFactor: 1}},
+	}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return m
+	return s
+}
+
+// recorder is an upstream that records its calls and carries out nothing.
+type recorder struct {
+	sent      []Attempt
+	cancelled []string // target/request id
+}
+
+func (r *recorder) Send(a Attempt) { r.sent = append(r.sent, a) }
+func (r *recorder) Cancel(target, requestID string) {
+	r.cancelled = append(r.cancelled, target+"/"+requestID)
+}
+
+// result ends the attempt that was sent last.
+func (r *recorder) result(status scheduler.AttemptStatus) AttemptResult {
+	last := r.sent[len(r.sent)-1]
+	return AttemptResult{RequestID: last.RequestID, Number: last.Number, Target: last.Target, Status: status}
 }
 
-// hand is a core stepped by hand.
-type hand struct {
+// harness is a dispatcher that the test steps itself, at times of its own.
+type harness struct {
 	*Dispatcher
-	up  *fake
-	now time.Time
+	upstream  *recorder
+	now       time.Time
+	responses []Response
 }
 
-func newHand(t *testing.T) *hand {
-	h := &hand{up: &fake{}, now: time.Now()}
-	h.Dispatcher = New(module(t), h.up, NewClock(), Options{MaxOpenCalls: 100, AnswerMargin: 10 * time.Millisecond})
-	h.step(h.now, []any{scheduler.EndpointList{Complete: true, Targets: []scheduler.Target{{ID: "n"}}}})
+func newHarness(t *testing.T) *harness {
+	t.Helper()
+	h := &harness{upstream: &recorder{}, now: time.Now()}
+	h.Dispatcher = New(newScheduler(t), h.upstream, NewClock(), Options{MaxOpenCalls: 100, AnswerMargin: 10 * time.Millisecond})
+	h.receive(endpointsUpdated{oneTarget()})
 	return h
 }
 
-func job(class string, arrived time.Time, answers *[]Response) *Call {
-	return &Call{Request: scheduler.Request{Class: class, Plan: "std", Volume: "v", Units: 1, Initiators: 1},
-		ReceivedAt: arrived, ClientTimeout: 2 * time.Second, Respond: func(a Response) { *answers = append(*answers, a) }}
+// newCall returns a call whose response is recorded.
+func (h *harness) newCall(class string, receivedAt time.Time) *Call {
+	return &Call{
+		Request:       scheduler.Request{Class: class, Plan: "std", Volume: "v", Units: 1, Initiators: 1},
+		ReceivedAt:    receivedAt,
+		ClientTimeout: 2 * time.Second,
+		Respond:       func(r Response) { h.responses = append(h.responses, r) },
+	}
 }
 
-// later steps the core at timers until the time has passed.
-func (h *hand) later(d time.Duration) {
+func (h *harness) lastResponse() Response { return h.responses[len(h.responses)-1] }
+
+// receive steps the dispatcher with a batch of messages.
+func (h *harness) receive(batch ...message) { h.step(h.now, batch) }
+
+// advance moves the time on and steps the dispatcher on the way, so that timers fire.
+func (h *harness) advance(d time.Duration) {
 	for end := h.now.Add(d); h.now.Before(end); {
 		h.now = h.now.Add(5 * time.Millisecond)
 		h.step(h.now, nil)
 	}
 }
 
-// TestOneFinalAnswer plays outcomes twice, late and of attempts that never were: one answer is given.
-func TestOneFinalAnswer(t *testing.T) {
-	h := newHand(t)
-	var answers []Response
-	h.step(h.now, []any{submitted{job("get", h.now, &answers)}})
-	if len(h.up.sent) != 1 {
-		t.Fatalf("%d attempts, want 1", len(h.up.sent))
-	}
-	r := AttemptResult{RequestID: h.up.sent[0].RequestID, Target: "n", Status: scheduler.Succeeded, Payload: "body"}
-	wrong := r
-	wrong.Number = 3
-	h.step(h.now, []any{wrong, r, r})
-	h.step(h.now, []any{r})
-	if len(answers) != 1 || answers[0].Status != Served || answers[0].Payload != "body" {
-		t.Fatalf("answers %+v, want one", answers)
-	}
-	if len(h.calls) != 0 {
-		t.Errorf("%d requests kept", len(h.calls))
-	}
-}
-
-// TestNameOnce guards against a second copy at a target under the name of a request that is open, whose client has left
-// with an attempt out, or that has run. A name whose request was never sent may come again.
-func TestNameOnce(t *testing.T) {
-	h := newHand(t)
-	var answers []Response
-	submit := func(name, class string) *Call {
-		j := job(class, h.now, &answers)
-		j.ClientRequestID = name
-		if !h.Submit(j) {
-			t.Fatal("not taken")
-		}
-		h.step(h.now, h.inbox.Take(nil))
-		return j
+// TestOneFinalResponse reports the result of an attempt three times, and one of an attempt that was never sent: the client
+// gets one response.
+func TestOneFinalResponse(t *testing.T) {
+	h := newHarness(t)
+	h.receive(callSubmitted{h.newCall("get", h.now)})
+	if len(h.upstream.sent) != 1 {
+		t.Fatalf("%d attempts, want 1", len(h.upstream.sent))
 	}
-	conflict := func(when string) {
-		t.Helper()
-		submit("a", "put")
-		if len(answers) == 0 || answers[len(answers)-1].Status != Duplicate {
-			t.Errorf("%s: answers %+v, want a conflict", when, answers)
-		}
-	}
-	first := submit("a", "put")
-	conflict("open")
-	h.step(h.now, []any{first})
-	conflict("its client gone, its attempt out")
-	h.step(h.now, []any{AttemptResult{RequestID: h.up.sent[0].RequestID, Target: "n", Status: scheduler.Cancelled}})
-	conflict("may have run")
-	if len(h.up.sent) != 1 || h.OpenCalls() != 0 {
-		t.Errorf("%d attempts, %d open; want one, none", len(h.up.sent), h.OpenCalls())
-	}
-	for range 3 {
-		h.now = h.now.Add(executedIDLifetime + time.Second)
-		submit("b", "put")
-		last := h.up.sent[len(h.up.sent)-1]
-		h.step(h.now, []any{AttemptResult{RequestID: last.RequestID, Number: last.Number, Target: "n", Status: scheduler.NotSent}})
-		h.step(h.now, []any{scheduler.EndpointList{Complete: true}})
-		h.later(2 * time.Second)
-		if got := answers[len(answers)-1]; got.Status != Rejected {
-			t.Errorf("never sent: %+v, want it refused", got)
-		}
-		h.step(h.now, []any{scheduler.EndpointList{Complete: true, Targets: []scheduler.Target{{ID: "n"}}}})
+	result := h.upstream.result(scheduler.Succeeded)
+	result.Payload = "body"
+	unknown := result
+	unknown.Number = 3
+	h.receive(attemptFinished{unknown}, attemptFinished{result}, attemptFinished{result})
+	h.receive(attemptFinished{result})
+	if len(h.responses) != 1 || h.responses[0].Status != Served || h.responses[0].Payload != "body" {
+		t.Fatalf("responses %+v, want one", h.responses)
 	}
-	submit("c", "get")
-	last := h.up.sent[len(h.up.sent)-1]
-	h.step(h.now, []any{AttemptResult{RequestID: last.RequestID, Number: last.Number, Target: "n", Status: scheduler.Succeeded}})
-	if n := len(h.openIDs) + len(h.executedIDs[0]) + len(h.executedIDs[1]); n != 1 {
-		t.Errorf("%d names are kept, want the last alone", n)
+	if len(h.calls.byID) != 0 {
+		t.Errorf("%d calls are held, want none", len(h.calls.byID))
 	}
 }
 
-// TestDeadlineRunsFromArrival guards against counting a request's time from when a busy process got to it.
-func TestDeadlineRunsFromArrival(t *testing.T) {
-	h := newHand(t)
-	var answers []Response
-	h.step(h.now, []any{submitted{job("get", h.now.Add(-1500*time.Millisecond), &answers)}})
-	if len(h.up.sent) != 1 {
-		t.Fatalf("%d attempts, want 1", len(h.up.sent))
+// TestTimeoutRunsFromArrival
+//
+// A busy process got to a request long after it had arrived, and counted the client's timeout from then on: the response
+// came after the client had left. What is left for the attempt must count from the arrival.
+func TestTimeoutRunsFromArrival(t *testing.T) {
+	h := newHarness(t)
+	h.receive(callSubmitted{h.newCall("get", h.now.Add(-1500*time.Millisecond))})
+	if len(h.upstream.sent) != 1 {
+		t.Fatalf("%d attempts, want 1", len(h.upstream.sent))
 	}
-	if left := h.up.sent[0].Deadline.Sub(h.now); left > 490*time.Millisecond {
+	if left := h.upstream.sent[0].Deadline.Sub(h.now); left > 490*time.Millisecond {
 		t.Errorf("attempt may last %v, but its client leaves in 500ms", left)
 	}
 }
 
-// TestUnsafeIsNotRepeated ends a write in doubt: one failure, no second attempt, no word that a repeat is harmless.
-func TestUnsafeIsNotRepeated(t *testing.T) {
-	for _, code := range []scheduler.AttemptStatus{scheduler.ConnectionReset, scheduler.DeadlineExceeded, scheduler.Errored, scheduler.Cancelled} {
-		h := newHand(t)
-		var answers []Response
-		h.step(h.now, []any{submitted{job("put", h.now, &answers)}})
-		h.step(h.now, []any{AttemptResult{RequestID: h.up.sent[0].RequestID, Target: "n", Status: code}})
-		h.later(3 * time.Second)
-		if len(h.up.sent) != 1 || len(answers) != 1 || answers[0].Status != Failed || answers[0].LastAttempt != code {
-			t.Errorf("code %v: %d attempts, answers %+v", code, len(h.up.sent), answers)
+// TestNonIdempotentIsNotRetried ends the attempt of a write in doubt: there is no second attempt, and the response is a
+// failure, which makes no promise that a retry is harmless.
+func TestNonIdempotentIsNotRetried(t *testing.T) {
+	inDoubt := []scheduler.AttemptStatus{scheduler.ConnectionReset, scheduler.DeadlineExceeded, scheduler.Errored, scheduler.Cancelled}
+	for _, status := range inDoubt {
+		h := newHarness(t)
+		h.receive(callSubmitted{h.newCall("put", h.now)})
+		h.receive(attemptFinished{h.upstream.result(status)})
+		h.advance(3 * time.Second)
+		if len(h.upstream.sent) != 1 {
+			t.Errorf("%v: %d attempts, want 1", status, len(h.upstream.sent))
+		}
+		if len(h.responses) != 1 || h.responses[0].Status != Failed || h.responses[0].LastAttempt != status {
+			t.Errorf("%v: responses %+v, want one failure", status, h.responses)
 		}
 	}
 }
 
-// TestListComesFirst guards the order within a batch: a drain notice that waits behind a request and an outcome
-// reaches the module before them, and nothing is sent to the target that drains.
-func TestListComesFirst(t *testing.T) {
-	h := newHand(t)
-	var answers []Response
-	msgs := func() []any {
-		return []any{submitted{job("get", h.now, &answers)}, AttemptResult{RequestID: "none"},
-			scheduler.EndpointList{Targets: []scheduler.Target{{ID: "n", State: scheduler.Draining}}}}
+// TestEndpointsComeFirst
+//
+// A target's drain notice waited behind a request in the same batch, and the request was sent to the target that drains.
+// Endpoint lists go to the scheduler ahead of everything else in their batch.
+func TestEndpointsComeFirst(t *testing.T) {
+	h := newHarness(t)
+	batch := func() []message {
+		return []message{
+			callSubmitted{h.newCall("get", h.now)},
+			attemptFinished{AttemptResult{RequestID: "none"}},
+			endpointsUpdated{scheduler.EndpointList{Targets: []scheduler.Target{{ID: targetID, State: scheduler.Draining}}}},
+		}
 	}
-	if _, first := h.gather(h.now, msgs())[0].(scheduler.EndpointList); !first {
-		t.Error("the notice came behind the request")
+	if _, first := h.collectEvents(h.now, batch())[0].(scheduler.EndpointList); !first {
+		t.Error("the list came behind the request")
 	}
-	h.step(h.now, msgs())
-	if len(h.up.sent) != 0 {
-		t.Errorf("sent to a target known to drain: %+v", h.up.sent)
+	h.receive(batch()...)
+	if len(h.upstream.sent) != 0 {
+		t.Errorf("sent to a target known to drain: %+v", h.upstream.sent)
 	}
 }
 
-// TestDepartedIsCalledOff checks that an attempt nobody waits for is called off, and no answer is given.
-func TestDepartedIsCalledOff(t *testing.T) {
-	h := newHand(t)
-	var answers []Response
-	j := job("get", h.now, &answers)
-	h.step(h.now, []any{submitted{j}})
-	h.step(h.now, []any{j})
-	if len(h.up.cancelled) != 1 || len(h.calls) != 1 {
-		t.Fatalf("cancelled %v, %d kept; want it called off and kept until its outcome", h.up.cancelled, len(h.calls))
+// TestCancelledCallGetsNoResponse checks that the attempt of a call that its client has left is cancelled, that the call is
+// held until the attempt's result, and that there is no response.
+func TestCancelledCallGetsNoResponse(t *testing.T) {
+	h := newHarness(t)
+	call := h.newCall("get", h.now)
+	h.receive(callSubmitted{call})
+	h.receive(callCancelled{call})
+	if len(h.upstream.cancelled) != 1 || len(h.calls.byID) != 1 {
+		t.Fatalf("cancelled %v, %d calls held; want it cancelled, and held until its result", h.upstream.cancelled, len(h.calls.byID))
 	}
-	h.step(h.now, []any{AttemptResult{RequestID: h.up.sent[0].RequestID, Target: "n", Status: scheduler.Cancelled}})
-	h.later(3 * time.Second)
-	if len(answers) != 0 || len(h.calls) != 0 {
-		t.Errorf("answers %v, %d kept", answers, len(h.calls))
+	h.receive(attemptFinished{h.upstream.result(scheduler.Cancelled)})
+	h.advance(3 * time.Second)
+	if len(h.responses) != 0 || len(h.calls.byID) != 0 {
+		t.Errorf("responses %v, %d calls held; want none", h.responses, len(h.calls.byID))
 	}
 }
 
-// TestClockNeverGoesBack steps the core with times out of order.
-func TestClockNeverGoesBack(t *testing.T) {
-	h := newHand(t)
+// TestSchedulerTimeNeverGoesBack steps the dispatcher with times out of order.
+func TestSchedulerTimeNeverGoesBack(t *testing.T) {
+	h := newHarness(t)
 	before := h.lastStep
-	var answers []Response
-	h.step(h.now.Add(-time.Second), []any{submitted{job("get", h.now, &answers)}})
+	h.step(h.now.Add(-time.Second), []message{callSubmitted{h.newCall("get", h.now)}})
 	if h.lastStep < before {
-		t.Errorf("clock went from %v to %v", before, h.lastStep)
+		t.Errorf("time went from %v to %v", before, h.lastStep)
 	}
 }
 
-// TestFurtherAttemptIsBound passes on by when an attempt must begin, where the module says so.
-func TestFurtherAttemptIsBound(t *testing.T) {
-	h := newHand(t)
-	var answers []Response
-	for i, class := range []string{"get", "keyed"} {
-		h.step(h.now, []any{submitted{job(class, h.now, &answers)}})
-		begun := h.now
-		if len(h.up.sent) != 2*i+1 || !h.up.sent[2*i].StartBy.IsZero() {
-			t.Fatalf("%s: attempts %+v, want one that may begin at any time", class, h.up.sent)
+// TestRetryStartsWithinDedupWindow
+//
+// A target drops a repeat of a request with an idempotency key only within its dedup window, so a retry must not begin after
+// that. The scheduler says within what time an attempt must start, and the dispatcher passes that on as a time.
+func TestRetryStartsWithinDedupWindow(t *testing.T) {
+	const dedupWindow = time.Second
+	h := newHarness(t)
+	for _, class := range []string{"get", "keyed"} {
+		h.upstream.sent = nil
+		h.receive(callSubmitted{h.newCall(class, h.now)})
+		began := h.now
+		if len(h.upstream.sent) != 1 || !h.upstream.sent[0].StartBy.IsZero() {
+			t.Fatalf("%s: attempts %+v, want one that may start at any time", class, h.upstream.sent)
 		}
-		h.step(h.now, []any{AttemptResult{RequestID: h.up.sent[2*i].RequestID, Target: "n", Status: scheduler.ConnectionReset}})
-		h.later(300 * time.Millisecond)
-		if len(h.up.sent) != 2*i+2 {
-			t.Fatalf("%s: %d attempts, want a further one", class, len(h.up.sent))
+		h.receive(attemptFinished{h.upstream.result(scheduler.ConnectionReset)})
+		h.advance(300 * time.Millisecond)
+		if len(h.upstream.sent) != 2 {
+			t.Fatalf("%s: %d attempts, want a retry", class, len(h.upstream.sent))
 		}
-		if at, bound := h.up.sent[2*i+1].StartBy, begun.Add(time.Second); class == "get" && !at.IsZero() || class == "keyed" && !at.Equal(bound) {
-			t.Errorf("%s: must begin by %v, of %v", class, at, bound)
+		var want time.Time
+		if class == "keyed" {
+			want = began.Add(dedupWindow)
 		}
-		h.step(h.now, []any{AttemptResult{RequestID: h.up.sent[2*i+1].RequestID, Number: 1, Target: "n", Status: scheduler.Succeeded}})
+		if got := h.upstream.sent[1].StartBy; !got.Equal(want) {
+			t.Errorf("%s: must start by %v, want %v", class, got, want)
+		}
+		h.receive(attemptFinished{h.upstream.result(scheduler.Succeeded)})
 	}
 }
 
-// echo answers each attempt from many goroutines at once.
-type echo struct{ core *Dispatcher }
+// echo is an upstream that ends each attempt with success, from a goroutine of its own.
+type echo struct{ dispatcher *Dispatcher }
 
 func (e *echo) Send(a Attempt) {
-	go e.core.ReportResult(AttemptResult{RequestID: a.RequestID, Number: a.Number, Target: a.Target, Status: scheduler.Succeeded})
+	go e.dispatcher.ReportResult(AttemptResult{RequestID: a.RequestID, Number: a.Number, Target: a.Target, Status: scheduler.Succeeded})
 }
 func (e *echo) Cancel(string, string) {}
 
-// TestNothingIsLostUnderLoad has many goroutines hand over requests at once, more than the core may hold: each
-// taken one has exactly one answer, and what is not taken is said so.
+// TestNothingIsLostUnderLoad submits calls from many goroutines, more than may be open at a time: each accepted call gets
+// exactly one response, and Submit says which are not accepted.
 func TestNothingIsLostUnderLoad(t *testing.T) {
-	up := &echo{}
-	c := New(module(t), up, NewClock(), Options{MaxOpenCalls: 500})
-	up.core = c
+	upstream := &echo{}
+	d := New(newScheduler(t), upstream, NewClock(), Options{MaxOpenCalls: 500})
+	upstream.dispatcher = d
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	go c.Run(ctx)
-	c.UpdateEndpoints(scheduler.EndpointList{Complete: true, Targets: []scheduler.Target{{ID: "n"}}})
+	go d.Run(ctx)
+	d.UpdateEndpoints(oneTarget())
+
 	var mu sync.Mutex
-	answers := map[string]int{}
-	var open, turned sync.WaitGroup
-	taken := 0
-	for g := range 20 {
-		turned.Add(1)
-		go func() {
-			defer turned.Done()
-			for i := range 100 {
-				name := fmt.Sprint(g, "/", i)
-				j := &Call{Request: scheduler.Request{Class: "get", Plan: "std", Volume: name, Units: 1, Initiators: 1},
-					ReceivedAt: time.Now(), ClientTimeout: 2 * time.Second}
-				j.Respond = func(Response) {
-					mu.Lock()
-					answers[name]++
-					mu.Unlock()
-					open.Done()
-				}
-				open.Add(1)
-				if !c.Submit(j) {
-					open.Done()
-					continue
-				}
+	responses := map[string]int{} // by volume, which is each call's own
+	accepted := 0
+	var open sync.WaitGroup
+	submit := func(volume string) {
+		call := &Call{
+			Request:       scheduler.Request{Class: "get", Plan: "std", Volume: volume, Units: 1, Initiators: 1},
+			ReceivedAt:    time.Now(),
+			ClientTimeout: 2 * time.Second,
+			Respond: func(Response) {
 				mu.Lock()
-				taken++
+				responses[volume]++
 				mu.Unlock()
+				open.Done()
+			},
+		}
+		open.Add(1)
+		if !d.Submit(call) {
+			open.Done()
+			return
+		}
+		mu.Lock()
+		accepted++
+		mu.Unlock()
+	}
+
+	var clients sync.WaitGroup
+	for client := range 20 {
+		clients.Go(func() {
+			for i := range 100 {
+				submit(fmt.Sprint(client, "/", i))
 			}
-		}()
+		})
 	}
-	turned.Wait()
+	clients.Wait()
 	open.Wait()
-	if len(answers) != taken {
-		t.Errorf("%d requests taken, %d answered", taken, len(answers))
+	if len(responses) != accepted {
+		t.Errorf("%d calls accepted, %d answered", accepted, len(responses))
 	}
-	for name, n := range answers {
+	for volume, n := range responses {
 		if n != 1 {
-			t.Errorf("%s: %d answers", name, n)
-		}
-	}
-}
-
-// TestShutdownEndsBeforeKill guards against an end as long as one site's deadlines allow: where clients wait for less,
-// SIGKILL comes sooner, and what it finds without an answer is lost.
-func TestShutdownEndsBeforeKill(t *testing.T) {
-	for ms := 300; ms < 10000; ms += 100 {
-		longest := time.Duration(ms) * time.Millisecond
-		kill := min(longest, 3*time.Second) + 700*time.Millisecond
-		l := NewShutdownSchedule(longest)
-		if l.AnswerBy > kill-100*time.Millisecond || l.ServeConnsFor < AcceptGrace || l.ServeConnsFor > l.AnswerBy {
-			t.Errorf("clients wait for %v, killed after %v: serves for %v, answers by %v", longest, kill, l.ServeConnsFor, l.AnswerBy)
-		}
-		left := time.Now()
-		for since := AcceptGrace + time.Millisecond; since < 4*time.Second; since += 50 * time.Millisecond {
-			if p := l.LimitTimeout(longest, left.Add(since), &left); p < 0 || p > 0 && since+p > l.AnswerBy {
-				t.Errorf("clients wait for %v: one that asks after %v may take %v", longest, since, p)
-			}
-		}
-		if p := l.LimitTimeout(longest, left.Add(AcceptGrace), &left); p != longest {
-			t.Errorf("clients wait for %v: one that came with the last new connections has %v", longest, p)
+			t.Errorf("%s: %d responses", volume, n)
 		}
 	}
 }
--- /dev/null
+++ b/internal/dispatcher/events.go
@@ -0,0 +1,139 @@
+package dispatcher
+
+import (
+	"log/slog"
+	"time"
+
+	"dapplegate/scheduler"
+)
+
+// message is what the event loop receives from other goroutines: one of the types below.
+type message interface{ message() }
+
+type (
+	callSubmitted     struct{ call *Call }
+	callCancelled     struct{ call *Call }
+	attemptFinished   struct{ result AttemptResult }
+	endpointsUpdated  struct{ list scheduler.EndpointList }
+	shutdownRequested struct{ deadline time.Time }
+)
+
+func (callSubmitted) message()     {}
+func (callCancelled) message()     {}
+func (attemptFinished) message()   {}
+func (endpointsUpdated) message()  {}
+func (shutdownRequested) message() {}
+
+// collectEvents turns a batch of messages, and the timer if it is due, into one batch of events. Endpoint lists go first:
+// otherwise a request ahead of one could be sent to a target that is already known to be draining. The slice is valid until
+// the next call.
+func (d *Dispatcher) collectEvents(now time.Time, messages []message) []scheduler.Event {
+	d.events = d.events[:0]
+	d.endpointEvents = d.endpointEvents[:0]
+	for _, m := range messages {
+		switch m := m.(type) {
+		case callSubmitted:
+			d.accept(now, m.call)
+		case callCancelled:
+			d.cancel(m.call)
+		case attemptFinished:
+			d.finishAttempt(now, m.result)
+		case endpointsUpdated:
+			d.endpointEvents = append(d.endpointEvents, m.list)
+		case shutdownRequested:
+			d.beginShutdown(now, m.deadline)
+		}
+	}
+	d.cancelAtShutdown(now)
+	if !d.nextTimer.IsZero() && !now.Before(d.nextTimer) {
+		d.nextTimer = time.Time{}
+		d.events = append(d.events, scheduler.Timer{})
+	}
+	return append(d.endpointEvents, d.events...)
+}
+
+// accept starts a call, unless its request id is taken: targets know requests by these ids, and would take a request under
+// the id of another for a hedged request.
+func (d *Dispatcher) accept(now time.Time, call *Call) {
+	if !d.requestIDs.reserve(call.ClientRequestID) {
+		d.openCalls.Add(-1)
+		d.logCall(eventRequestEnded, call, slog.String(fieldReason, Duplicate.String()))
+		call.Respond(Response{Status: Duplicate})
+		return
+	}
+	d.calls.add(call)
+	// The client's timeout runs from the arrival: a busy process must not count from when it gets to the request.
+	age := now.Sub(call.ReceivedAt)
+	call.Timeout = call.ClientTimeout - age - d.options.AnswerMargin
+	d.logCall(eventRequestAccepted, call, slog.String(fieldClass, call.Class),
+		slog.Duration(fieldTimeout, call.ClientTimeout), slog.Duration(fieldAge, age))
+	d.events = append(d.events, call.Request)
+}
+
+// cancel ends a call whose client has closed its connection: nobody reads a response any more.
+func (d *Dispatcher) cancel(call *Call) {
+	state := d.calls.get(call.ID)
+	if state == nil || state.call != call || state.answered {
+		return
+	}
+	state.answered = true
+	d.logCall(eventRequestEnded, call, slog.String(fieldReason, reasonClientClosed),
+		slog.Int(fieldAttempts, state.attempts), slog.Bool(fieldInFlight, state.inFlight))
+	if state.inFlight {
+		d.upstream.Cancel(state.target, call.ID)
+	}
+	d.events = append(d.events, scheduler.ClientClosed{RequestID: call.ID})
+	d.releaseIfDone(state)
+}
+
+// finishAttempt takes the result of the attempt in flight, and responds if it is a success. Any other result is reported to
+// the scheduler alone, which decides what becomes of the request.
+func (d *Dispatcher) finishAttempt(now time.Time, result AttemptResult) {
+	state := d.calls.get(result.RequestID)
+	if state == nil || !state.awaits(result.Number) {
+		return
+	}
+	latency := now.Sub(state.sentAt)
+	state.finishAttempt(result.Status)
+	d.logCall(eventAttemptEnded, state.call, slog.Int(fieldAttempt, result.Number), slog.String(fieldTarget, result.Target),
+		slog.String(fieldReason, result.Status.String()), slog.Duration(fieldLatency, latency))
+	if result.Status == scheduler.Succeeded {
+		d.respond(state, Response{Status: Served, Payload: result.Payload})
+	}
+	d.events = append(d.events, scheduler.AttemptEnded{
+		RequestID:   result.RequestID,
+		Attempt:     result.Number,
+		Target:      result.Target,
+		Status:      result.Status,
+		Latency:     latency,
+		Answered:    state.answered,
+		LoadReport:  result.LoadReport,
+		VolumeUsage: result.VolumeUsage,
+	})
+	d.releaseIfDone(state)
+	d.requestIDs.expire(now)
+}
+
+// beginShutdown tells the scheduler how much time is left.
+func (d *Dispatcher) beginShutdown(now, deadline time.Time) {
+	d.shutdownDeadline = deadline
+	d.setTimer(deadline)
+	d.events = append(d.events, scheduler.Shutdown{Within: deadline.Sub(now)})
+}
+
+// cancelAtShutdown cancels all attempts in flight once the shutdown's deadline has passed. Their results follow, and the
+// scheduler ends the requests on these.
+func (d *Dispatcher) cancelAtShutdown(now time.Time) {
+	if d.shutdownDeadline.IsZero() {
+		return
+	}
+	if now.Before(d.shutdownDeadline) {
+		d.setTimer(d.shutdownDeadline)
+		return
+	}
+	for id, state := range d.calls.byID {
+		if state.inFlight {
+			d.upstream.Cancel(state.target, id)
+		}
+	}
+}
--- a/internal/dispatcher/shutdown.go
+++ b/internal/dispatcher/shutdown.go
@@ -5,56 +5,63 @@
 	"time"
 )
 
-// LingerFor is how long after SIGTERM a front takes new connections: clients come for 0.4 s, and one that the
-// machine has accepted but nobody has read from would be lost with the listener.
+// AcceptGrace is how long after SIGTERM a server accepts new connections. Clients go on opening them for 0.4 s, and one
+// that the kernel has accepted but no server has read from would be lost when the listener closes.
 const AcceptGrace = 450 * time.Millisecond
 
-// Shutdown is a graceful one: how the program ends after SIGTERM, counted from there.
+// ShutdownSchedule is when each part of a graceful shutdown ends, counted from SIGTERM.
 type ShutdownSchedule struct {
-	// ServeFor is how long a front goes on with what comes on connections that it has: their clients know no other way,
-	// and go without until the successor is up.
+	// ServeConnsFor is how long a server reads new requests from the connections that are open: their clients know no other
+	// initiator until the successor is up.
 	ServeConnsFor time.Duration
-	// AnswerBy is when what was taken after LingerFor has its answer, so that the successor need not wait.
+	// AnswerBy is when requests received after AcceptGrace have their responses, so that the successor need not wait.
 	AnswerBy time.Duration
-	// LastAnswer is when every request has its answer: SIGKILL may come soon after.
+	// FinalAnswerBy is when every request has its response: SIGKILL may follow soon after.
 	FinalAnswerBy time.Duration
 }
 
 const (
-	mostAnswerBy = 2600 * time.Millisecond
-	// answerWithin is the time that the last requests have.
-	answerWithin = 800 * time.Millisecond
-	// killAfter and killMost say when SIGKILL may come: the longest deadline, at most killMost, and killAfter later.
-	// Requests of the end that it finds without an answer are lost; killMargin is what a busy process may be late by.
-	killAfter  = 700 * time.Millisecond
-	killMost   = 3 * time.Second
-	killMargin = 200 * time.Millisecond
+	maxAnswerBy = 2600 * time.Millisecond
+	// lastRequestTimeout is what is left between ServeConnsFor and AnswerBy for the last requests read.
+	lastRequestTimeout = 800 * time.Millisecond
 )
 
-// ShutdownFor is the end that fits clients who wait for so long at the longest.
-func NewShutdownSchedule(longest time.Duration) ShutdownSchedule {
-	last := min(longest, killMost) + killAfter - killMargin
-	by := min(mostAnswerBy, last)
-	return ShutdownSchedule{ServeConnsFor: max(by-answerWithin, AcceptGrace), AnswerBy: by, FinalAnswerBy: last}
-}
+// SIGKILL may come killDelay after the longest deadline, of which at most maxKillDeadline counts. A request without a
+// response by then is lost; killMargin is by how much a busy process may be late.
+const (
+	maxKillDeadline = 3 * time.Second
+	killDelay       = 700 * time.Millisecond
+	killMargin      = 200 * time.Millisecond
+)
 
-// Pause waits until then, or until the context ends.
-func WaitUntil(ctx context.Context, until time.Time) {
-	select {
-	case <-time.After(time.Until(until)):
-	case <-ctx.Done():
+// NewShutdownSchedule returns the schedule for clients whose longest deadline is given.
+func NewShutdownSchedule(maxDeadline time.Duration) ShutdownSchedule {
+	finalAnswerBy := min(maxDeadline, maxKillDeadline) + killDelay - killMargin
+	answerBy := min(maxAnswerBy, finalAnswerBy)
+	return ShutdownSchedule{
+		ServeConnsFor: max(answerBy-lastRequestTimeout, AcceptGrace),
+		AnswerBy:      answerBy,
+		FinalAnswerBy: finalAnswerBy,
 	}
 }
 
-// Cut shortens a patience so that the answer is there by AnswerBy, for a request taken after LingerFor; left is the
-// moment of SIGTERM, nil before it.
-func (s ShutdownSchedule) LimitTimeout(patience time.Duration, arrived time.Time, left *time.Time) time.Duration {
-	if left == nil {
-		return patience
+// LimitTimeout returns the timeout of a request that was received at the given time. Once the shutdown has begun (nil: it
+// has not), a request received after AcceptGrace gets no more time than there is until AnswerBy; 0: none is left.
+func (s ShutdownSchedule) LimitTimeout(timeout time.Duration, received time.Time, shutdownBegan *time.Time) time.Duration {
+	if shutdownBegan == nil {
+		return timeout
 	}
-	since := arrived.Sub(*left)
+	since := received.Sub(*shutdownBegan)
 	if since <= AcceptGrace {
-		return patience
+		return timeout
+	}
+	return max(min(timeout, s.AnswerBy-since), 0)
+}
+
+// WaitUntil returns at the given time, or when the context ends.
+func WaitUntil(ctx context.Context, until time.Time) {
+	select {
+	case <-time.After(time.Until(until)):
+	case <-ctx.Done():
 	}
-	return max(min(patience, s.AnswerBy-since), 0)
 }
--- /dev/null
+++ b/internal/dispatcher/shutdown_test.go
@@ -0,0 +1,37 @@
+package dispatcher
+
+import (
+	"testing"
+	"time"
+)
+
+// TestShutdownEndsBeforeKill
+//
+// A shutdown was once as long as one site's deadlines allow. Where the longest deadline is shorter, SIGKILL came earlier, and
+// requests that had no response by then were lost. The schedule must end before SIGKILL for every longest deadline.
+func TestShutdownEndsBeforeKill(t *testing.T) {
+	const (
+		margin  = 100 * time.Millisecond
+		horizon = 4 * time.Second
+	)
+	for maxDeadline := 300 * time.Millisecond; maxDeadline < 10*time.Second; maxDeadline += 100 * time.Millisecond {
+		killAfter := min(maxDeadline, 3*time.Second) + 700*time.Millisecond
+		schedule := NewShutdownSchedule(maxDeadline)
+		if schedule.AnswerBy > killAfter-margin {
+			t.Errorf("deadlines up to %v, killed after %v: answers by %v", maxDeadline, killAfter, schedule.AnswerBy)
+		}
+		if schedule.ServeConnsFor < AcceptGrace || schedule.ServeConnsFor > schedule.AnswerBy {
+			t.Errorf("deadlines up to %v: serves for %v, answers by %v", maxDeadline, schedule.ServeConnsFor, schedule.AnswerBy)
+		}
+		began := time.Now()
+		for since := AcceptGrace + time.Millisecond; since < horizon; since += 50 * time.Millisecond {
+			timeout := schedule.LimitTimeout(maxDeadline, began.Add(since), &began)
+			if timeout < 0 || timeout > 0 && since+timeout > schedule.AnswerBy {
+				t.Errorf("deadlines up to %v: a request received after %v may take %v", maxDeadline, since, timeout)
+			}
+		}
+		if timeout := schedule.LimitTimeout(maxDeadline, began.Add(AcceptGrace), &began); timeout != maxDeadline {
+			t.Errorf("deadlines up to %v: a request received within the grace has %v", maxDeadline, timeout)
+		}
+	}
+}
--- a/internal/faulttest/regression_test.go
+++ b/internal/faulttest/regression_test.go
@@ -99,7 +99,7 @@
 // are allowed.
 // Cause: the departure is noticed by one goroutine and the attempt is written by another; nothing looked at the client's
 // connection before the first byte, so that the order in which the two came to run decided.
-// Settled by the log of such a request: "attempt begins", and then "request ended" with reason=CLIENT_LEFT.
+// Settled by the log of such a request: "attempt begins", and then "request ended" with reason=CLIENT_CLOSED.
 func TestNoAttemptOnceTheClientHasLeft(t *testing.T) {
 	w := newWorld(t, serveAtOnce)
 	for i := range 12 {
--- a/internal/upstream/calledoff_test.go
+++ b/internal/upstream/calledoff_test.go
@@ -16,7 +16,7 @@
 // Sequence: clients leave while the connections for their attempts come up. Each attempt was reported as one that got no
 // connection; after three of them the target counted as failing, and was spared for a while.
 // Cause: an attempt that was called off before its first byte was reported with how far it had got, not as not sent.
-// Settled by the log: "attempt ended" reason=NO_CONNECTION took=0.4ms, right behind "request ended" reason=CLIENT_LEFT.
+// Settled by the log: "attempt ended" reason=CONNECT_FAILED latency=0.4ms, right behind "request ended" reason=CLIENT_CLOSED.
 func TestCalledOffBeforeItBegan(t *testing.T) {
 	w := &lateWire{up: make(chan bool)}
 	results := make(chan dispatcher.AttemptResult, 1)
