--- a/internal/mailbox/mailbox.go
+++ b/internal/mailbox/mailbox.go
@@ -1,40 +1,45 @@
-// Package mailbox is how the actors of this program hear from one another.
+// Package mailbox provides unbounded queues of messages for goroutines that own their state and receive all input this way.
 package mailbox
 
 import "sync"
 
-// Box takes messages from any goroutine for the one that owns it. It has no bound of its own, so Put never
-// waits and never drops: two actors that write to each other cannot lock up, and no outcome is lost. What
-// may pile up is bounded where work is let in (the front's cap on connections, the core's on requests).
+// Box is a queue that any goroutine puts messages into and one goroutine, its owner, takes them from.
+//
+// It has no bound, so Put neither blocks nor drops: two owners that send to each other cannot deadlock, and no result is
+// lost. What may pile up must be bounded where work is admitted, as by the limits on client connections and open calls.
 type Box[T any] struct {
-	mu    sync.Mutex
-	items []T
-	wake  chan struct{}
+	mu       sync.Mutex
+	messages []T
+	wake     chan struct{} // holds one value while a wake-up is pending
 }
 
 // New returns an empty mailbox.
-func New[T any]() *Box[T] { return &Box[T]{wake: make(chan struct{}, 1)} }
+func New[T any]() *Box[T] {
+	return &Box[T]{wake: make(chan struct{}, 1)}
+}
 
-// Put leaves a message.
-func (b *Box[T]) Put(m T) {
+// Put adds a message. It never blocks, and is safe for concurrent use.
+func (b *Box[T]) Put(message T) {
 	b.mu.Lock()
-	b.items = append(b.items, m)
+	b.messages = append(b.messages, message)
 	b.mu.Unlock()
 	select {
 	case b.wake <- struct{}{}:
-	default: // a wake-up is pending already
+	default: // the owner has a wake-up pending, and will find this message as well
 	}
 }
 
-// Wake is readable when there may be messages to take.
+// Wake returns a channel that is readable when there may be messages to take. A wake-up may be spurious: another Take may
+// have taken the messages.
 func (b *Box[T]) Wake() <-chan struct{} { return b.wake }
 
-// Take returns all messages in the order they were left. The slice passed in is used for what comes next.
+// Take removes and returns all messages, in the order of their Puts; none: an empty slice. The mailbox clears spare and
+// reuses its memory for messages to come: the caller passes the slice of an earlier Take that it is done with, or nil.
 func (b *Box[T]) Take(spare []T) []T {
 	clear(spare)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	items := b.items
-	b.items = spare[:0]
-	return items
+	messages := b.messages
+	b.messages = spare[:0]
+	return messages
 }
