--- /dev/null
+++ b/cmd/initiator/configcmd.go
@@ -0,0 +1,138 @@
+package main
+
+import (
+	"encoding/json"
+	"io"
+	"maps"
+	"os"
+	"slices"
+	"strconv"
+
+	"github.com/spf13/cobra"
+
+	"dapplegate/internal/configstore"
+)
+
+// anyVersion is the value of --if-version that puts no condition on a write.
+const anyVersion = -1
+
+// configCommand groups the commands that read and write configurations in the store.
+func configCommand() *cobra.Command {
+	client := &configstore.Client{}
+	cmd := &cobra.Command{Use: "config", Short: "Read and write instances' configurations at the agents"}
+	cmd.PersistentFlags().StringSliceVar(&client.Addrs, "agents", []string{"127.0.0.1:7701"}, "addresses of the agents")
+	cmd.AddCommand(configGetCommand(client), configListCommand(client), configPutCommand(client),
+		configDeleteCommand(client), configStatusCommand(client))
+	return cmd
+}
+
+func configGetCommand(client *configstore.Client) *cobra.Command {
+	return &cobra.Command{
+		Use:   "get NAME",
+		Short: "Print an instance's configuration",
+		Args:  cobra.ExactArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			entry, err := client.Get(cmd.Context(), args[0])
+			if err != nil {
+				return err
+			}
+			encoder := json.NewEncoder(cmd.OutOrStdout())
+			encoder.SetIndent("", "  ")
+			return encoder.Encode(entry)
+		},
+	}
+}
+
+func configListCommand(client *configstore.Client) *cobra.Command {
+	return &cobra.Command{
+		Use:   "list",
+		Short: "List the instances and the versions of their configurations",
+		Args:  cobra.NoArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			versions, err := client.List(cmd.Context())
+			if err != nil {
+				return err
+			}
+			for _, name := range slices.Sorted(maps.Keys(versions)) {
+				printf(cmd, "%s\t%d\n", name, versions[name])
+			}
+			return nil
+		},
+	}
+}
+
+func configPutCommand(client *configstore.Client) *cobra.Command {
+	var ifVersion int64
+	cmd := &cobra.Command{
+		Use:   "put NAME FILE",
+		Short: "Write an instance's configuration (FILE - is standard input)",
+		Args:  cobra.ExactArgs(2),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			name := args[0]
+			text, err := readInput(cmd, args[1])
+			if err != nil {
+				return err
+			}
+			if err := checkStored(name, text); err != nil {
+				return err
+			}
+			return writeConfig(cmd, client, name, text, ifVersion)
+		},
+	}
+	addIfVersionFlag(cmd, &ifVersion)
+	return cmd
+}
+
+func configDeleteCommand(client *configstore.Client) *cobra.Command {
+	var ifVersion int64
+	cmd := &cobra.Command{
+		Use:   "delete NAME",
+		Short: "Delete an instance's configuration; one that runs goes on",
+		Args:  cobra.ExactArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			return writeConfig(cmd, client, args[0], nil, ifVersion)
+		},
+	}
+	addIfVersionFlag(cmd, &ifVersion)
+	return cmd
+}
+
+func configStatusCommand(client *configstore.Client) *cobra.Command {
+	return &cobra.Command{
+		Use:   "status",
+		Short: "Show each agent's state and leader",
+		Args:  cobra.NoArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			for _, s := range client.Status(cmd.Context()) {
+				printf(cmd, "%s\t%s\tleader=%s\tapplied=%d\n", s.ID, s.State, s.Leader, s.Applied)
+			}
+			return nil
+		},
+	}
+}
+
+func addIfVersionFlag(cmd *cobra.Command, ifVersion *int64) {
+	cmd.Flags().Int64Var(ifVersion, "if-version", anyVersion, "only over this version; 0: only where there is none yet")
+}
+
+// writeConfig writes a configuration, or deletes it if text is nil, and prints the version that results.
+func writeConfig(cmd *cobra.Command, client *configstore.Client, name string, text []byte, ifVersion int64) error {
+	condition := ""
+	if ifVersion >= 0 {
+		condition = strconv.FormatInt(ifVersion, 10)
+	}
+	entry, err := client.Put(cmd.Context(), name, text, condition)
+	if err != nil {
+		return err
+	}
+	printf(cmd, "%s\t%d\n", entry.Name, entry.Version)
+	return nil
+}
+
+// readInput reads a file, or standard input if its name is "-".
+func readInput(cmd *cobra.Command, name string) ([]byte, error) {
+	if name == "-" {
+		return io.ReadAll(cmd.InOrStdin())
+	}
+	return os.ReadFile(name)
+}
--- a/cmd/initiator/main.go
+++ b/cmd/initiator/main.go
@@ -1,4 +1,5 @@
-// Command initiator is the real initiator: the decision module on sockets.
+// Command initiator is the storage initiator: it runs the scheduler between clients and storage targets (serve), validates
+// configurations (check), and keeps the initiators' configurations (agent, config).
 package main
 
 import (
@@ -25,3 +26,8 @@
 	root.AddCommand(serveCommand(), checkCommand(), versionCommand(), agentCommand(), configCommand())
 	return root
 }
+
+// printf writes a command's output. A failure to write is ignored: there is nowhere else to tell of it.
+func printf(cmd *cobra.Command, format string, args ...any) {
+	_, _ = fmt.Fprintf(cmd.OutOrStdout(), format, args...)
+}
