--- a/cmd/initiator/follow.go
+++ b/cmd/initiator/follow.go
@@ -2,114 +2,126 @@
 
 import (
 	"context"
-	"errors"
 	"log/slog"
 	"sync"
-	"syscall"
-
-	"golang.org/x/sys/unix"
 
 	"dapplegate/internal/config"
 	"dapplegate/internal/configstore"
 )
 
-// follow serves what the agents say of this instance. A new configuration is checked, then served by a
-// successor that listens at the same addresses; the predecessor leaves once that one is up, as at SIGTERM, so
-// that nothing taken is lost. One that cannot be served changes nothing.
-func follow(stop context.Context, agents []string, getenv func(string) string, operator string, log *slog.Logger) error {
+// follow serves what the configuration store has for the initiator that PROXY_NAME names. A new version is checked, then
+// served by a successor that listens at the same addresses; once that one is up, its predecessor shuts down gracefully, so
+// that no accepted request is lost. A version that cannot be served changes nothing.
+func follow(stop context.Context, agents []string, getenv func(string) string, operatorFile string, log *slog.Logger) error {
 	name := getenv("PROXY_NAME")
 	if name == "" {
 		return config.Missing("PROXY_NAME")
 	}
-	// The environment names the instance alone: where it listens is for the agents to say.
-	nothing := func(string) string { return "" }
-	news := make(chan configstore.Entry)
-	watch, unwatch := context.WithCancel(stop)
-	defer unwatch()
-	client := &configstore.Client{Addrs: agents}
-	go client.Follow(watch, name, log, func(e configstore.Entry) {
-		select {
-		case news <- e:
-		case <-watch.Done():
-		}
-	})
-	var now *generation
-	var leaving sync.WaitGroup // predecessors with requests open
-	defer leaving.Wait()
+	watch, cancelWatch := context.WithCancel(stop)
+	defer cancelWatch()
+	entries := watchEntry(watch, &configstore.Client{Addrs: agents}, name, log)
+
+	f := &follower{operatorFile: operatorFile, log: log}
+	defer f.draining.Wait()
 	for {
-		var ended chan error
-		if now != nil {
-			ended = now.ended
-		}
 		select {
 		case <-stop.Done():
-			if now == nil {
-				return nil
-			}
-			return <-now.ended
-		case err := <-ended:
-			return err
-		case e := <-news:
-			next, err := succeed(stop, e, nothing, operator, log)
-			if err != nil {
-				log.Error("configuration not taken", slog.String("reason", "BAD_CONFIG"),
-					slog.Uint64("version", e.Version), slog.Any("error", err))
-				continue
-			}
-			log.Info("configuration taken", slog.Uint64("version", e.Version))
-			if old := now; old != nil {
-				old.leave(errSucceeded)
-				leaving.Go(func() { <-old.ended })
-			}
-			now = next
+			return f.wait()
+		case <-f.currentDone():
+			return f.current.err
+		case entry := <-entries:
+			f.update(stop, entry)
 		}
 	}
 }
 
-// errSucceeded ends a generation whose successor is up.
-var errSucceeded = errors.New("a successor serves")
+// watchEntry sends each new version of the named configuration, until the context ends.
+func watchEntry(ctx context.Context, client *configstore.Client, name string, log *slog.Logger) <-chan configstore.Entry {
+	entries := make(chan configstore.Entry)
+	go client.Follow(ctx, name, log, func(entry configstore.Entry) {
+		select {
+		case entries <- entry:
+		case <-ctx.Done():
+		}
+	})
+	return entries
+}
 
-// generation is a running initiator of one configuration.
-type generation struct {
-	leave context.CancelCauseFunc
-	ended chan error
+// follower runs the latest version of a configuration that can be served.
+type follower struct {
+	operatorFile string
+	log          *slog.Logger
+	current      *runningVersion // nil: no version has been served yet
+	draining     sync.WaitGroup  // predecessors in their graceful shutdown
 }
 
-// succeed starts a generation and waits until it listens.
-func succeed(stop context.Context, e configstore.Entry, getenv func(string) string, operator string, log *slog.Logger) (*generation, error) {
-	cfg, err := config.Parse(e.Config, getenv)
+// update replaces the current version by the entry's, if that can be served.
+func (f *follower) update(stop context.Context, entry configstore.Entry) {
+	successor, err := startVersion(stop, entry, f.operatorFile, f.log)
 	if err != nil {
-		return nil, err
+		f.log.Error(eventConfigRejected, slog.String("reason", reasonBadConfig),
+			slog.Uint64("version", entry.Version), slog.Any("error", err))
+		return
 	}
-	if cfg.Name != e.Name {
-		return nil, errors.New("name: it is another instance's")
+	f.log.Info(eventConfigAccepted, slog.Uint64("version", entry.Version))
+	if predecessor := f.current; predecessor != nil {
+		predecessor.stop(errSuperseded)
+		f.draining.Go(func() { <-predecessor.done })
 	}
-	op := &config.Operator{}
-	if operator != "" {
-		if op, err = config.ReadOperator(operator, cfg); err != nil {
-			return nil, err
-		}
+	f.current = successor
+}
+
+// currentDone is closed when the current version has ended. Without one it is nil, which blocks.
+func (f *follower) currentDone() <-chan struct{} {
+	if f.current == nil {
+		return nil
 	}
-	ctx, leave := context.WithCancelCause(stop)
-	g := &generation{leave, make(chan error, 1)}
-	up := make(chan struct{})
-	go func() { g.ended <- serve(ctx, cfg, op, log, func() { close(up) }, nil) }()
-	select {
-	case <-up:
-		return g, nil
-	case err := <-g.ended:
-		leave(err)
-		return nil, err
+	return f.current.done
+}
+
+// wait returns how the current version has ended, once it has.
+func (f *follower) wait() error {
+	if f.current == nil {
+		return nil
 	}
+	<-f.current.done
+	return f.current.err
 }
 
-// shareAddress lets a successor listen where its predecessor still does.
-func shareAddress(_, _ string, c syscall.RawConn) error {
-	var err error
-	if e := c.Control(func(fd uintptr) {
-		err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
-	}); e != nil {
-		return e
+// runningVersion is an initiator that runs with one version of its configuration.
+type runningVersion struct {
+	stop context.CancelCauseFunc
+	done chan struct{} // closed when it has ended
+	err  error         // how it ended; valid once done is closed
+}
+
+// startVersion starts an initiator with the entry's configuration, and returns when it listens or has failed to. It runs
+// until stop ends or it is stopped itself.
+func startVersion(stop context.Context, entry configstore.Entry, operatorFile string, log *slog.Logger) (*runningVersion, error) {
+	cfg, err := parseStored(entry.Name, entry.Config)
+	if err != nil {
+		return nil, err
+	}
+	operator, err := readOperator(operatorFile, cfg)
+	if err != nil {
+		return nil, err
+	}
+	ctx, cancel := context.WithCancelCause(stop)
+	version := &runningVersion{stop: cancel, done: make(chan struct{})}
+	listening := make(chan struct{})
+	options := runOptions{
+		shareAddresses: true,
+		onListening:    func() { close(listening) },
+	}
+	go func() {
+		defer close(version.done)
+		version.err = serve(ctx, cfg, operator, log, options)
+	}()
+	select {
+	case <-listening:
+		return version, nil
+	case <-version.done:
+		cancel(version.err)
+		return nil, version.err
 	}
-	return err
 }
--- a/cmd/initiator/nvme_test.go
+++ b/cmd/initiator/nvme_test.go
@@ -1,37 +1,35 @@
 package main
 
 import (
+	"context"
+	"io"
+	"net"
+	"net/http"
 	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 	"time"
-
-	"dapplegate/internal/config"
 )
 
-// TestNVMeOptions converts the operator's file under deploy/ to the options of both sides of NVMe over TCP: every field of
-// the file must arrive where it takes effect.
-func TestNVMeOptions(t *testing.T) {
-	cfg, err := config.Parse([]byte(newWorld(t).config()), func(string) string { return "" })
-	if err != nil {
-		t.Fatal(err)
-	}
+// nvmeAddr is where the operator's file under deploy/ has NVMe over TCP listen.
+const nvmeAddr = "127.0.0.1:4420"
+
+// deployedNVMe is the operator's file under deploy/ with the testbed's plan and class in place of the platform's.
+func deployedNVMe(t *testing.T) string {
+	t.Helper()
 	raw, err := os.ReadFile("../../deploy/nvme.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	text := strings.NewReplacer("standard", "base", "event-write", "position-read", "history-export", "position-read").Replace(string(raw))
-	path := filepath.Join(t.TempDir(), "nvme.toml")
-	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	operator, err := config.ReadOperator(path, cfg)
-	if err != nil {
-		t.Fatal(err)
-	}
+	names := strings.NewReplacer("standard", "base", "event-write", "position-read", "history-export", "position-read")
+	return names.Replace(string(raw))
+}
 
-	server := nvmeServerOptions(cfg, operator.NVMe, quiet)
+// TestNVMeOptions converts the operator's file under deploy/ to the options of both sides of NVMe over TCP: every field of
+// the file must arrive where it takes effect.
+func TestNVMeOptions(t *testing.T) {
+	cfg, operator := newTestbed(t).mustLoad(t, deployedNVMe(t))
+	server := nvmeServerOptions(cfg, operator.NVMe, discardLog)
 	if len(server.Namespaces) != 1 || server.ClassDeadlines["position-read"] != 20*time.Second ||
 		server.QueueDepth != 64 || server.MaxConns != cfg.MaxClientConns() || server.MaxHeldBytes != 48<<20 {
 		t.Errorf("controller side: %+v", server)
@@ -50,3 +48,62 @@
 		t.Errorf("host side: %+v", host)
 	}
 }
+
+// waitUntilReady waits for the health check to succeed.
+func (b *testbed) waitUntilReady(t *testing.T) {
+	t.Helper()
+	for deadline := time.Now().Add(waitTimeout); ; time.Sleep(10 * time.Millisecond) {
+		response, err := http.Get("http://" + b.listen + "/-/ready")
+		if err == nil {
+			_ = response.Body.Close()
+			if response.StatusCode == http.StatusOK {
+				return
+			}
+		}
+		if time.Now().After(deadline) {
+			t.Fatalf("not ready within %v: %+v, %v", waitTimeout, response, err)
+		}
+	}
+}
+
+// TestServeNVMe serves by an operator's file: NVMe over TCP answers a host's connection request at its address, and the
+// platform's address has health checks alone.
+func TestServeNVMe(t *testing.T) {
+	const (
+		icReq      = 0 // PDU types: initialize connection, request and response
+		icResp     = 1
+		icPDUBytes = 128
+	)
+	b := newTestbed(t)
+	addr := freeAddr(t)
+	cfg, operator := b.mustLoad(t, strings.ReplaceAll(deployedNVMe(t), nvmeAddr, addr))
+	ctx, stop := context.WithCancel(context.Background())
+	listening := make(chan struct{})
+	ended := make(chan error, 1)
+	options := runOptions{shareAddresses: true, onListening: func() { close(listening) }}
+	go func() { ended <- serve(ctx, cfg, operator, discardLog, options) }()
+	<-listening
+	if status, _ := b.request(); status != http.StatusNotFound {
+		t.Errorf("a request over HTTP: status %d", status)
+	}
+	b.waitUntilReady(t)
+
+	conn, err := net.Dial("tcp", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = conn.Close() }()
+	request := make([]byte, icPDUBytes)
+	copy(request, []byte{icReq, 0, icPDUBytes, 0, icPDUBytes}) // type, flags, header length, data offset, total length
+	if _, err := conn.Write(request); err != nil {
+		t.Fatal(err)
+	}
+	response := make([]byte, icPDUBytes)
+	if _, err := io.ReadFull(conn, response); err != nil || response[0] != icResp {
+		t.Errorf("the connection request was answered with %x, %v", response[:8], err)
+	}
+	stop()
+	if err := <-ended; err != nil {
+		t.Error(err)
+	}
+}
--- a/cmd/initiator/reload.go
+++ b/cmd/initiator/reload.go
@@ -9,49 +9,51 @@
 )
 
 const (
-	// reloadWithin is how long a configuration that cannot be taken is tried again: the discovery that the old one names
-	// ends its connections 1.5 s after the signal.
-	reloadWithin = 1500 * time.Millisecond
-	// reloadPause is the time between two tries.
-	reloadPause = 50 * time.Millisecond
+	// reloadTimeout is how long a reload is retried: the discovery service that the old configuration names closes its
+	// connections 1.5 s after the signal.
+	reloadTimeout = 1500 * time.Millisecond
+	// reloadRetryInterval is the pause between two attempts.
+	reloadRetryInterval = 50 * time.Millisecond
 )
 
-// reloads reads the configuration again at each SIGHUP and passes on where discovery is from then on; the rest of it
-// waits for the next start. One that cannot be served changes nothing.
-func reloads(hup <-chan os.Signal, getenv func(string) string, discovery string, log *slog.Logger) <-chan string {
-	moves := make(chan string)
+// watchReloads reads the configuration again at each SIGHUP and sends discovery's address, whenever that has changed, to
+// the channel returned; all other settings take effect at the next start. A configuration that cannot be used changes
+// nothing. Its goroutine ends when the channel of signals is closed.
+func watchReloads(hangups <-chan os.Signal, getenv func(string) string, discoveryAddr string, log *slog.Logger) <-chan string {
+	changes := make(chan string)
 	go func() {
-		for range hup {
-			cfg, err := reload(hup, getenv)
+		for range hangups {
+			cfg, err := reloadConfig(hangups, getenv)
 			if err != nil {
-				log.Error("configuration not taken", slog.String("reason", "BAD_CONFIG"), slog.Any("error", err))
+				log.Error(eventConfigRejected, slog.String("reason", reasonBadConfig), slog.Any("error", err))
 				continue
 			}
-			log.Info("configuration taken", slog.String("discovery", cfg.Discovery))
-			if cfg.Discovery != discovery {
-				discovery = cfg.Discovery
-				moves <- discovery
+			log.Info(eventConfigAccepted, slog.String("discovery", cfg.Discovery))
+			if cfg.Discovery != discoveryAddr {
+				discoveryAddr = cfg.Discovery
+				changes <- discoveryAddr
 			}
 		}
 	}()
-	return moves
+	return changes
 }
 
-// reload reads the configuration, and tries for a while where it cannot: the file may be half written, or the machine short
-// of something. Another signal begins that time anew.
-func reload(hup <-chan os.Signal, getenv func(string) string) (*config.Config, error) {
-	for end := time.Now().Add(reloadWithin); ; {
+// reloadConfig reads the configuration and retries until reloadTimeout if that fails: the file may be half written, or the
+// process out of descriptors for a moment. Another signal starts the timeout anew.
+func reloadConfig(hangups <-chan os.Signal, getenv func(string) string) (*config.Config, error) {
+	deadline := time.Now().Add(reloadTimeout)
+	for {
 		cfg, err := config.Reload(getenv)
-		if err == nil || time.Now().After(end) {
+		if err == nil || time.Now().After(deadline) {
 			return cfg, err
 		}
 		select {
-		case _, open := <-hup:
+		case _, open := <-hangups:
 			if !open {
 				return nil, err
 			}
-			end = time.Now().Add(reloadWithin)
-		case <-time.After(reloadPause):
+			deadline = time.Now().Add(reloadTimeout)
+		case <-time.After(reloadRetryInterval):
 		}
 	}
 }
--- a/cmd/initiator/reload_test.go
+++ b/cmd/initiator/reload_test.go
@@ -1,9 +1,12 @@
 package main
 
 import (
+	"context"
 	"errors"
-	"log/slog"
+	"net/http"
+	"net/http/httptest"
 	"os"
+	"os/signal"
 	"path/filepath"
 	"strings"
 	"syscall"
@@ -14,31 +17,83 @@
 // TestReloadOutlastsAFailingRead
 //
 // Symptom: a target that drains went on getting requests after a new configuration.
-// Sequence: the file cannot be read for a moment when SIGHUP comes. The old discovery ends 1.5 s later.
-// Cause: the configuration was read once for each signal, and one that could not be read was given up.
-// Settled by the log: "configuration not taken", and no call at the new address.
+// Sequence: the file cannot be read for a moment when SIGHUP arrives. The old discovery service ends 1.5 s later.
+// Cause: the configuration was read once for each signal, and given up if that failed.
+// Settled by the log: "configuration rejected", and no call at the new address.
 func TestReloadOutlastsAFailingRead(t *testing.T) {
-	w := newWorld(t)
-	path := filepath.Join(t.TempDir(), "config.json")
-	getenv := func(name string) string { return map[string]string{"PROXY_CONFIG": path}[name] }
-	hup := make(chan os.Signal, 1)
-	moves := reloads(hup, getenv, w.discovery, slog.New(slog.DiscardHandler))
-	hup <- syscall.SIGHUP
+	b := newTestbed(t)
+	configFile := filepath.Join(t.TempDir(), "config.json")
+	hangups := make(chan os.Signal, 1)
+	addrs := watchReloads(hangups, environment(map[string]string{"PROXY_CONFIG": configFile}), b.discoveryAddr, discardLog)
+	hangups <- syscall.SIGHUP
 	time.Sleep(100 * time.Millisecond)
-	if _, err := os.Stat(path); !errors.Is(err, os.ErrNotExist) {
+	if _, err := os.Stat(configFile); !errors.Is(err, os.ErrNotExist) {
 		t.Fatal(err)
 	}
 	const moved = "127.0.0.1:9"
-	if err := os.WriteFile(path, []byte(strings.Replace(w.config(), w.discovery, moved, 1)), 0o600); err != nil {
-		t.Fatal(err)
-	}
+	writeFile(t, configFile, strings.Replace(b.config(), b.discoveryAddr, moved, 1))
 	select {
-	case got := <-moves:
+	case got := <-addrs:
 		if got != moved {
 			t.Errorf("moved to %s, want %s", got, moved)
 		}
 	case <-time.After(5 * time.Second):
-		t.Error("the configuration was not taken")
+		t.Error("the configuration was not accepted")
+	}
+	close(hangups)
+}
+
+// TestReloadMovesDiscovery replaces the configuration file under a running initiator and signals the process. A file that
+// cannot be used changes nothing. A good one moves discovery, although the environment names the old address: it is the file
+// that was replaced. Requests are served all along, and the initiator stops cleanly with a reload under way.
+func TestReloadMovesDiscovery(t *testing.T) {
+	b := newTestbed(t)
+	configFile := filepath.Join(t.TempDir(), "config.json")
+	writeFile(t, configFile, b.config())
+	getenv := environment(map[string]string{"PROXY_CONFIG": configFile, "PROXY_DISCOVERY": b.discoveryAddr})
+	cfg, operator, err := loadConfig(getenv, "")
+	if err != nil {
+		t.Fatal(err)
+	}
+	hangups := make(chan os.Signal, 1)
+	signal.Notify(hangups, syscall.SIGHUP)
+	defer signal.Stop(hangups)
+	reload := func(text string) {
+		t.Helper()
+		writeFile(t, configFile, text)
+		if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
+			t.Fatal(err)
+		}
+	}
+	ctx, stop := context.WithCancel(context.Background())
+	ended := make(chan error, 1)
+	options := runOptions{discoveryAddrs: watchReloads(hangups, getenv, cfg.Discovery, discardLog)}
+	go func() { ended <- serve(ctx, cfg, operator, discardLog, options) }()
+	b.waitUntilServed(t)
+
+	reload(`{"name":"n1"}`)
+	b.waitUntilServed(t)
+	for range 3 {
+		calls := make(chan string, 64)
+		moved := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			calls <- r.URL.String()
+			b.discoveryHandler.ServeHTTP(w, r)
+		}))
+		defer moved.Close()
+		reload(strings.Replace(b.config(), b.discoveryAddr, strings.TrimPrefix(moved.URL, "http://"), 1))
+		select {
+		case got := <-calls:
+			if got != "/api/targets" {
+				t.Errorf("first call at the new address: %q", got)
+			}
+		case <-time.After(20 * time.Second):
+			t.Fatal("no call at the new address")
+		}
+		b.waitUntilServed(t)
+	}
+	reload(b.config())
+	stop()
+	if err := <-ended; err != nil {
+		t.Error(err)
 	}
-	close(hup)
 }
--- a/internal/dispatcher/dispatcher_test.go
+++ b/internal/dispatcher/dispatcher_test.go
@@ -180,7 +180,8 @@
 	h.receive(callSubmitted{call})
 	h.receive(callCancelled{call})
 	if len(h.upstream.cancelled) != 1 || len(h.calls.byID) != 1 {
-		t.Fatalf("cancelled %v, %d calls held; want it cancelled, and held until its result", h.upstream.cancelled, len(h.calls.byID))
+		t.Fatalf("cancelled %v, %d calls held; want it cancelled, and held until its result",
+			h.upstream.cancelled, len(h.calls.byID))
 	}
 	h.receive(attemptFinished{h.upstream.result(scheduler.Cancelled)})
 	h.advance(3 * time.Second)
@@ -233,7 +234,8 @@
 type echo struct{ dispatcher *Dispatcher }
 
 func (e *echo) Send(a Attempt) {
-	go e.dispatcher.ReportResult(AttemptResult{RequestID: a.RequestID, Number: a.Number, Target: a.Target, Status: scheduler.Succeeded})
+	result := AttemptResult{RequestID: a.RequestID, Number: a.Number, Target: a.Target, Status: scheduler.Succeeded}
+	go e.dispatcher.ReportResult(result)
 }
 func (e *echo) Cancel(string, string) {}
 
