--- /dev/null
+++ b/cmd/initiator/endpoints.go
@@ -0,0 +1,38 @@
+package main
+
+import (
+	"dapplegate/internal/discovery"
+	"dapplegate/internal/endpoints"
+	"dapplegate/internal/upstream"
+	"dapplegate/scheduler"
+)
+
+// applyEndpoints takes over an endpoint list, in the watcher's goroutine. The registry has it before the scheduler: an
+// attempt that was decided on the older list meets the newer state at its first byte, and so never starts at a target that
+// is known to be draining.
+func (in *initiator) applyEndpoints(list *endpoints.List) {
+	in.registry.Apply(upstreamEndpoints(list), list.Full)
+	in.startTimes.Apply(list)
+	in.dispatcher.UpdateEndpoints(schedulerEndpoints(list, in.startTimes))
+	in.hasEndpoints.Store(true)
+}
+
+// upstreamEndpoints is the list as the registry of targets needs it.
+func upstreamEndpoints(list *endpoints.List) []upstream.Endpoint {
+	converted := make([]upstream.Endpoint, 0, len(list.Servers))
+	for _, entry := range list.Servers {
+		converted = append(converted, upstream.Endpoint{ID: entry.ID, Addr: entry.Addr, State: entry.Target().State})
+	}
+	return converted
+}
+
+// schedulerEndpoints is the list as the scheduler needs it, with starts of targets on the scheduler's clock.
+func schedulerEndpoints(list *endpoints.List, startTimes *discovery.StartTimes) scheduler.EndpointList {
+	converted := scheduler.EndpointList{Complete: list.Full}
+	for _, entry := range list.Servers {
+		target := entry.Target()
+		target.Started = startTimes.At(entry)
+		converted.Targets = append(converted.Targets, target)
+	}
+	return converted
+}
--- a/cmd/initiator/initiator.go
+++ b/cmd/initiator/initiator.go
@@ -15,7 +15,6 @@
 	"dapplegate/internal/config"
 	"dapplegate/internal/discovery"
 	"dapplegate/internal/dispatcher"
-	"dapplegate/internal/endpoints"
 	"dapplegate/internal/nvme"
 	"dapplegate/internal/upstream"
 	"dapplegate/scheduler"
@@ -35,8 +34,8 @@
 	shutdownMargin     = 600 * time.Millisecond
 )
 
-// errSuperseded is the cause that stops an initiator whose successor has taken over its addresses. Nobody kills it, so its
-// open requests may take their full time.
+// errSuperseded is the cause that stops an initiator whose successor has taken over its addresses. The process goes on, so
+// open requests may take their full time; after SIGTERM they must have their responses before SIGKILL.
 var errSuperseded = errors.New("a successor serves")
 
 // server accepts clients' connections on a listener until Shutdown, which returns once all requests have their responses
@@ -188,16 +187,6 @@
 	}
 }
 
-// applyEndpoints takes over an endpoint list, in the watcher's goroutine. The registry has it before the scheduler: an
-// attempt that was decided on the older list meets the newer state at its first byte, and so never starts at a target that
-// is known to be draining.
-func (in *initiator) applyEndpoints(list *endpoints.List) {
-	in.registry.Apply(upstreamEndpoints(list), list.Full)
-	in.startTimes.Apply(list)
-	in.dispatcher.UpdateEndpoints(schedulerEndpoints(list, in.startTimes))
-	in.hasEndpoints.Store(true)
-}
-
 // startServers starts a goroutine for each server, which ends with its Shutdown. Errors of the servers go to the channel
 // returned.
 func (in *initiator) startServers(listeners map[string]net.Listener) <-chan error {
@@ -231,23 +220,3 @@
 	in.log.Info("shut down", slog.Int("open", in.dispatcher.OpenCalls()))
 	return err
 }
-
-// upstreamEndpoints is the list as the registry of targets needs it.
-func upstreamEndpoints(list *endpoints.List) []upstream.Endpoint {
-	converted := make([]upstream.Endpoint, 0, len(list.Servers))
-	for _, entry := range list.Servers {
-		converted = append(converted, upstream.Endpoint{ID: entry.ID, Addr: entry.Addr, State: entry.Target().State})
-	}
-	return converted
-}
-
-// schedulerEndpoints is the list as the scheduler needs it, with starts of targets on the scheduler's clock.
-func schedulerEndpoints(list *endpoints.List, startTimes *discovery.StartTimes) scheduler.EndpointList {
-	converted := scheduler.EndpointList{Complete: list.Full}
-	for _, entry := range list.Servers {
-		target := entry.Target()
-		target.Started = startTimes.At(entry)
-		converted.Targets = append(converted.Targets, target)
-	}
-	return converted
-}
--- a/cmd/initiator/reload_test.go
+++ b/cmd/initiator/reload_test.go
@@ -43,6 +43,18 @@
 	close(hangups)
 }
 
+// startDiscovery starts one more discovery service with the testbed's list, and returns its address and the calls it gets.
+func (b *testbed) startDiscovery(t *testing.T) (addr string, calls <-chan string) {
+	t.Helper()
+	received := make(chan string, 64)
+	service := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		received <- r.URL.String()
+		b.discoveryHandler.ServeHTTP(w, r)
+	}))
+	t.Cleanup(service.Close)
+	return strings.TrimPrefix(service.URL, "http://"), received
+}
+
 // TestReloadMovesDiscovery replaces the configuration file under a running initiator and signals the process. A file that
 // cannot be used changes nothing. A good one moves discovery, although the environment names the old address: it is the file
 // that was replaced. Requests are served all along, and the initiator stops cleanly with a reload under way.
@@ -74,13 +86,8 @@
 	reload(`{"name":"n1"}`)
 	b.waitUntilServed(t)
 	for range 3 {
-		calls := make(chan string, 64)
-		moved := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			calls <- r.URL.String()
-			b.discoveryHandler.ServeHTTP(w, r)
-		}))
-		defer moved.Close()
-		reload(strings.Replace(b.config(), b.discoveryAddr, strings.TrimPrefix(moved.URL, "http://"), 1))
+		moved, calls := b.startDiscovery(t)
+		reload(strings.Replace(b.config(), b.discoveryAddr, moved, 1))
 		select {
 		case got := <-calls:
 			if got != "/api/targets" {
--- a/internal/dispatcher/actions.go
+++ b/internal/dispatcher/actions.go
@@ -17,14 +17,14 @@
 		if state == nil || state.answered || state.inFlight {
 			return
 		}
-		d.executeOn(state, now, action)
+		d.executeForCall(state, now, action)
 	case scheduler.WatchEndpoints, scheduler.Log:
 		// Endpoints are watched from the start, and this process has no report to log to.
 	}
 }
 
-// executeOn carries out an action on an open call that has no attempt in flight.
-func (d *Dispatcher) executeOn(state *callState, now time.Time, action scheduler.Action) {
+// executeForCall carries out an action on an open call that has no attempt in flight.
+func (d *Dispatcher) executeForCall(state *callState, now time.Time, action scheduler.Action) {
 	switch action.Kind {
 	case scheduler.Send:
 		d.send(state, now, action)
--- a/internal/dispatcher/dispatcher_test.go
+++ b/internal/dispatcher/dispatcher_test.go
@@ -119,8 +119,8 @@
 
 // TestTimeoutRunsFromArrival
 //
-// A busy process got to a request long after it had arrived, and counted the client's timeout from then on: the response
-// came after the client had left. What is left for the attempt must count from the arrival.
+// A busy process may read a request long after it has arrived. If the client's timeout counted from then on, the response
+// would be written after the client has left. What is left for the attempt must count from the arrival.
 func TestTimeoutRunsFromArrival(t *testing.T) {
 	h := newHarness(t)
 	h.receive(callSubmitted{h.newCall("get", h.now.Add(-1500*time.Millisecond))})
@@ -152,8 +152,8 @@
 
 // TestEndpointsComeFirst
 //
-// A target's drain notice waited behind a request in the same batch, and the request was sent to the target that drains.
-// Endpoint lists go to the scheduler ahead of everything else in their batch.
+// A target's drain notice may wait behind a request in the same batch. If the request went first, it would be sent to a target
+// that is known to drain. Endpoint lists go to the scheduler ahead of everything else in their batch.
 func TestEndpointsComeFirst(t *testing.T) {
 	h := newHarness(t)
 	batch := func() []message {
@@ -190,6 +190,26 @@
 	}
 }
 
+// TestShutdownCancelsAttempts begins a shutdown with a write in flight: its attempt is left alone until the shutdown's
+// deadline, cancelled then, and its client still gets a response.
+func TestShutdownCancelsAttempts(t *testing.T) {
+	h := newHarness(t)
+	h.receive(callSubmitted{h.newCall("put", h.now)})
+	h.receive(shutdownRequested{h.now.Add(time.Second)})
+	h.advance(900 * time.Millisecond)
+	if len(h.upstream.cancelled) != 0 || len(h.responses) != 0 {
+		t.Fatalf("before the deadline: cancelled %v, responses %+v; want none", h.upstream.cancelled, h.responses)
+	}
+	h.advance(200 * time.Millisecond)
+	if len(h.upstream.cancelled) == 0 {
+		t.Fatal("the attempt is in flight after the deadline")
+	}
+	h.receive(attemptFinished{h.upstream.result(scheduler.Cancelled)})
+	if len(h.responses) != 1 || h.responses[0].Status != Failed {
+		t.Errorf("responses %+v, want one failure", h.responses)
+	}
+}
+
 // TestSchedulerTimeNeverGoesBack steps the dispatcher with times out of order.
 func TestSchedulerTimeNeverGoesBack(t *testing.T) {
 	h := newHarness(t)
@@ -239,6 +259,38 @@
 }
 func (e *echo) Cancel(string, string) {}
 
+// loadClient submits calls from many goroutines and counts their responses.
+type loadClient struct {
+	dispatcher *Dispatcher
+	open       sync.WaitGroup // accepted calls without a response
+
+	mu        sync.Mutex
+	accepted  int
+	responses map[string]int // by volume, which is each call's own
+}
+
+func (c *loadClient) submit(volume string) {
+	call := &Call{
+		Request:       scheduler.Request{Class: "get", Plan: "std", Volume: volume, Units: 1, Initiators: 1},
+		ReceivedAt:    time.Now(),
+		ClientTimeout: 2 * time.Second,
+		Respond: func(Response) {
+			c.mu.Lock()
+			c.responses[volume]++
+			c.mu.Unlock()
+			c.open.Done()
+		},
+	}
+	c.open.Add(1)
+	if !c.dispatcher.Submit(call) {
+		c.open.Done()
+		return
+	}
+	c.mu.Lock()
+	c.accepted++
+	c.mu.Unlock()
+}
+
 // TestNothingIsLostUnderLoad submits calls from many goroutines, more than may be open at a time: each accepted call gets
 // exactly one response, and Submit says which are not accepted.
 func TestNothingIsLostUnderLoad(t *testing.T) {
@@ -250,46 +302,21 @@
 	go d.Run(ctx)
 	d.UpdateEndpoints(oneTarget())
 
-	var mu sync.Mutex
-	responses := map[string]int{} // by volume, which is each call's own
-	accepted := 0
-	var open sync.WaitGroup
-	submit := func(volume string) {
-		call := &Call{
-			Request:       scheduler.Request{Class: "get", Plan: "std", Volume: volume, Units: 1, Initiators: 1},
-			ReceivedAt:    time.Now(),
-			ClientTimeout: 2 * time.Second,
-			Respond: func(Response) {
-				mu.Lock()
-				responses[volume]++
-				mu.Unlock()
-				open.Done()
-			},
-		}
-		open.Add(1)
-		if !d.Submit(call) {
-			open.Done()
-			return
-		}
-		mu.Lock()
-		accepted++
-		mu.Unlock()
-	}
-
-	var clients sync.WaitGroup
-	for client := range 20 {
-		clients.Go(func() {
+	client := &loadClient{dispatcher: d, responses: map[string]int{}}
+	var submitting sync.WaitGroup
+	for worker := range 20 {
+		submitting.Go(func() {
 			for i := range 100 {
-				submit(fmt.Sprint(client, "/", i))
+				client.submit(fmt.Sprint(worker, "/", i))
 			}
 		})
 	}
-	clients.Wait()
-	open.Wait()
-	if len(responses) != accepted {
-		t.Errorf("%d calls accepted, %d answered", accepted, len(responses))
+	submitting.Wait()
+	client.open.Wait()
+	if len(client.responses) != client.accepted {
+		t.Errorf("%d calls accepted, %d answered", client.accepted, len(client.responses))
 	}
-	for volume, n := range responses {
+	for volume, n := range client.responses {
 		if n != 1 {
 			t.Errorf("%s: %d responses", volume, n)
 		}
--- a/internal/dispatcher/requestids_test.go
+++ b/internal/dispatcher/requestids_test.go
@@ -7,31 +7,34 @@
 	"dapplegate/scheduler"
 )
 
+// submitWithID submits a call under a client's request id, and steps the dispatcher.
+func (h *harness) submitWithID(t *testing.T, id, class string) *Call {
+	t.Helper()
+	call := h.newCall(class, h.now)
+	call.ClientRequestID = id
+	if !h.Submit(call) {
+		t.Fatal("not accepted")
+	}
+	h.step(h.now, h.inbox.Take(nil))
+	return call
+}
+
 // TestRequestIDIsUsedOnce
 //
-// A client reused a request id, and the target took the second request for a hedged request of the first. A request is a
+// If a client reuses a request id, a target takes the second request for a hedged request of the first. So a request is a
 // duplicate while one of its id is open, while the attempt of a cancelled one is in flight, and for a while after one that
 // may have been executed. The id of a request that no target has seen may be used again.
 func TestRequestIDIsUsedOnce(t *testing.T) {
 	h := newHarness(t)
-	submit := func(id, class string) *Call {
-		call := h.newCall(class, h.now)
-		call.ClientRequestID = id
-		if !h.Submit(call) {
-			t.Fatal("not accepted")
-		}
-		h.step(h.now, h.inbox.Take(nil))
-		return call
-	}
 	wantDuplicate := func(when string) {
 		t.Helper()
-		submit("a", "put")
+		h.submitWithID(t, "a", "put")
 		if len(h.responses) == 0 || h.lastResponse().Status != Duplicate {
 			t.Errorf("%s: responses %+v, want a duplicate", when, h.responses)
 		}
 	}
 
-	first := submit("a", "put")
+	first := h.submitWithID(t, "a", "put")
 	wantDuplicate("open")
 	h.receive(callCancelled{first})
 	wantDuplicate("cancelled, its attempt in flight")
@@ -43,7 +46,7 @@
 
 	for range 3 {
 		h.now = h.now.Add(executedIDLifetime + time.Second)
-		submit("b", "put")
+		h.submitWithID(t, "b", "put")
 		h.receive(attemptFinished{h.upstream.result(scheduler.NotSent)})
 		h.receive(endpointsUpdated{scheduler.EndpointList{Complete: true}})
 		h.advance(2 * time.Second)
@@ -53,7 +56,7 @@
 		h.receive(endpointsUpdated{oneTarget()})
 	}
 
-	submit("c", "get")
+	h.submitWithID(t, "c", "get")
 	h.receive(attemptFinished{h.upstream.result(scheduler.Succeeded)})
 	ids := h.requestIDs
 	if n := len(ids.open) + len(ids.executed) + len(ids.executedBefore); n != 1 {
--- a/internal/dispatcher/shutdown_test.go
+++ b/internal/dispatcher/shutdown_test.go
@@ -7,8 +7,8 @@
 
 // TestShutdownEndsBeforeKill
 //
-// A shutdown was once as long as one site's deadlines allow. Where the longest deadline is shorter, SIGKILL came earlier, and
-// requests that had no response by then were lost. The schedule must end before SIGKILL for every longest deadline.
+// SIGKILL comes earlier where the longest deadline is shorter. A shutdown of one length for all would still have requests open
+// then, and they are lost. The schedule must end before SIGKILL for every longest deadline.
 func TestShutdownEndsBeforeKill(t *testing.T) {
 	const (
 		margin  = 100 * time.Millisecond
