--- a/internal/faulttest/regression_test.go
+++ b/internal/faulttest/regression_test.go
@@ -104,7 +104,7 @@
 // are allowed.
 // Cause: the departure is noticed by one goroutine and the attempt is written by another; nothing looked at the client's
 // connection before the first byte, so that the order in which the two came to run decided.
-// Settled by the log of such a request: "attempt begins", and then "request ended" with reason=CLIENT_LEFT.
+// Settled by the log of such a request: "attempt begins", and then "request ended" with reason=CLIENT_CLOSED.
 func TestNoAttemptAfterClientDisconnected(t *testing.T) {
 	f := newFixture(t, respondAtOnce)
 	for i := range 12 {
