--- a/internal/clienthttp/accept.go
+++ b/internal/clienthttp/accept.go
@@ -11,66 +11,73 @@
 )
 
 const (
-	// leastAcceptPause and mostAcceptPause bound the pause after an accept that failed; it doubles with each in a row. What
-	// the machine has accepted waits meanwhile.
-	leastAcceptPause = time.Millisecond
-	mostAcceptPause  = 20 * time.Millisecond
-	// acceptBlocks is longer than accept takes where a connection waits.
-	acceptBlocks = time.Millisecond
+	// minAcceptBackoff and maxAcceptBackoff bound the pause after a failed accept, which doubles with each in a row.
+	// Connections that the kernel has accepted wait meanwhile.
+	minAcceptBackoff = time.Millisecond
+	maxAcceptBackoff = 20 * time.Millisecond
+	// acceptWaitThreshold is longer than accept takes if a connection waits in the backlog.
+	acceptWaitThreshold = time.Millisecond
 )
 
-// passingAcceptErrors are the errors of accept that pass by themselves, as accept(2) tells them: of the connection that would
-// have come next, of the network, and of a machine short of something. All others are the listener's own, and stay.
-var passingAcceptErrors = []syscall.Errno{
+// transientAcceptErrors are the errors of accept, as accept(2) documents them, that pass by themselves: errors of the
+// connection that would have come next or of the network, and lack of resources. All others are permanent errors of the
+// listener itself.
+var transientAcceptErrors = []syscall.Errno{
 	syscall.ECONNABORTED, syscall.ECONNRESET, syscall.EINTR, syscall.EAGAIN, syscall.ETIMEDOUT, syscall.EPERM,
 	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENOSR,
 	syscall.EPROTO, syscall.ENOPROTOOPT, syscall.EOPNOTSUPP, syscall.EHOSTDOWN, syscall.ENONET,
 	syscall.ENETDOWN, syscall.ENETUNREACH, syscall.EHOSTUNREACH,
 }
 
-func passes(err error) bool {
-	var number syscall.Errno
-	return errors.As(err, &number) && slices.Contains(passingAcceptErrors, number)
+func isTransientAcceptError(err error) bool {
+	var errno syscall.Errno
+	return errors.As(err, &errno) && slices.Contains(transientAcceptErrors, errno)
 }
 
-// listener wraps accepted connections, and waits where accept fails for a moment. One goroutine accepts.
+// listener adds accepted connections to the table, and retries a failed accept with backoff. One goroutine calls Accept.
+//
+// The retries guard against the loss of all requests in flight: net/http ends the server on each error of accept that the
+// net package does not call temporary, with the process's last line "accept4: no buffer space available".
 type listener struct {
 	net.Listener
 	table *connTable
-	// waitingSince is since when connections may have waited, because accept failed; zero: none has.
-	waitingSince time.Time
+	// backlogSince is since when connections may have waited in the backlog because accept failed; zero: none has.
+	backlogSince time.Time
 }
 
-// Accept implements net.Listener. An error ends the server.
+// Accept implements net.Listener. Its error is permanent, and ends the server.
 func (l *listener) Accept() (net.Conn, error) {
-	pause := leastAcceptPause
+	backoff := minAcceptBackoff
 	for {
-		begun := time.Now()
-		c, err := l.Listener.Accept()
+		calledAt := time.Now()
+		conn, err := l.Listener.Accept()
 		if err == nil {
-			return l.take(c, time.Since(begun)), nil
+			return l.addConn(conn, time.Since(calledAt)), nil
 		}
-		if !passes(err) {
+		if !isTransientAcceptError(err) {
 			return nil, err
 		}
-		if l.waitingSince.IsZero() { // once for each time that it fails
-			l.waitingSince = begun
+		if l.backlogSince.IsZero() { // logged once until the backlog is empty again
+			l.backlogSince = calledAt
 			l.table.log.Warn("accept failed", slog.String("reason", "ACCEPT_FAILED"), slog.Any("error", err))
 		}
-		time.Sleep(pause + rand.N(pause))
-		pause = min(2*pause, mostAcceptPause)
+		time.Sleep(backoff + rand.N(backoff))
+		backoff = min(2*backoff, maxAcceptBackoff)
 	}
 }
 
-// take wraps a connection that accept has waited for so long. Up to the first that it had to wait for, each may have been
-// here with a request since accept began to fail: its client's time runs from then.
-func (l *listener) take(c net.Conn, waited time.Duration) net.Conn {
-	cc := l.table.add(c)
-	if waited > acceptBlocks {
-		l.waitingSince = time.Time{}
+// addConn adds a connection for which accept took so long.
+//
+// While accept failed, connections waited in the backlog, with requests on them whose clients' timeouts were running. Their
+// requests count as received when accept began to fail, or a request would be answered after its client had given up. The
+// backlog is known to be empty once accept has had to wait.
+func (l *listener) addConn(conn net.Conn, acceptDuration time.Duration) net.Conn {
+	c := l.table.add(conn)
+	if acceptDuration > acceptWaitThreshold {
+		l.backlogSince = time.Time{}
 	}
-	if since := l.waitingSince; !since.IsZero() {
-		cc.queued.Store(&since)
+	if since := l.backlogSince; !since.IsZero() {
+		c.queuedSince.Store(&since)
 	}
-	return cc
+	return c
 }
--- a/internal/clienthttp/conn.go
+++ b/internal/clienthttp/conn.go
@@ -15,246 +15,307 @@
 	"dapplegate/internal/socket"
 )
 
-// clientConn notes when a client's bytes came and why its connection ended.
+// backgroundReadSize is the size, in bytes, of the reads by which net/http detects that the client closes while a request
+// is in flight. No other read of net/http is as small.
+const backgroundReadSize = 1
+
+// clientConn is a client's connection. It records when bytes arrived and why the connection ended, and its reads and its
+// end exclude each other, so that no request is lost between them.
+//
+// Reads come from one goroutine at a time: the one that serves the connection, or net/http's background read while a
+// request is in flight. "Reader" below is either.
 type clientConn struct {
 	net.Conn
-	raw     syscall.RawConn           // nil where the system has none
-	taking  sync.Mutex                // held while bytes are taken, and while it is decided to close the connection
-	at      atomic.Pointer[time.Time] // of the last read that brought bytes
-	queued  atomic.Pointer[time.Time] // since when the next request may wait unread behind an open one; nil: none did
-	emptied bool                      // nothing more waited when net/http looked last; under its reader's lock
-	asked   atomic.Int64              // requests of which a head has come
-	used    atomic.Bool               // a request has been answered on it
-	reason  atomic.Pointer[string]
-	open    atomic.Pointer[string] // the id of the request that is open; nil: none is
-	phase   atomic.Int32
-	ahead   chan struct{} // closed once more than one request has come at a time; nil: not watched
-	once    sync.Once
-	since   time.Time // when it became quiet; under the table's lock
-	extra   bool      // past the cap, with none to make room
+	// rawConn is nil where the connection offers none, in which case reads go through Conn.
+	rawConn syscall.RawConn
+
+	// readMutex is held while available bytes are read, and while it is decided whether to close the connection. It comes
+	// after connTable.mutex, and is never held during Conn.Close, which waits for a read that has begun.
+	readMutex sync.Mutex
+
+	// state is written by the reader, the handler, the state hook and the table, by the transitions of connState.
+	state atomicConnState
+	// lastReadAt is when a read last brought bytes; nil: none did. Written by the reader, read by the handler and the table.
+	lastReadAt atomic.Pointer[time.Time]
+	// queuedSince is the earliest time at which the next request may have arrived, if it may have waited unread behind a
+	// request in flight or in the listener's backlog; nil: it did not wait. Written by the accepting goroutine before the
+	// first read, then by the reader; read by the handler.
+	queuedSince atomic.Pointer[time.Time]
+	// requestCount is the number of requests whose head has arrived. Written by the state hook, read for the log.
+	requestCount atomic.Int64
+	// hasResponded is whether a request has been answered. Written by the state hook, read by the reader and the table.
+	hasResponded atomic.Bool
+	// closeReason is the first reason that anyone noted; nil: none yet. Read for the log.
+	closeReason atomic.Pointer[closeReason]
+	// openRequestID is the client's id of the request in flight; nil: none is. Set by the handler, cleared by the state
+	// hook, read for the log.
+	openRequestID atomic.Pointer[string]
+
+	// pipelined is closed once more than one request has arrived at a time; nil: not watched. Closed by the reader, by
+	// way of closePipelined; received from by the handler.
+	pipelined      chan struct{}
+	closePipelined sync.Once
+
+	// foundEmpty is whether net/http's last background read found nothing to read. Only the reader uses it.
+	foundEmpty bool
+
+	// idleSince is when the connection last became idle. Guarded by connTable.mutex.
+	idleSince time.Time
+	// overLimit is whether the connection was accepted over the limit with none to evict for it. Set before the first read.
+	overLimit bool
 }
 
-func (c *clientConn) Read(b []byte) (n int, err error) {
-	// net/http reads on after an answer only once it has used up what it read ahead: up to then a whole request may wait
-	// there, which a connection that counted as quiet would be closed over.
-	c.phase.CompareAndSwap(answered, quiet)
-	if c.raw == nil {
-		n, err = c.Conn.Read(b)
-		c.took(n)
-	} else {
-		n, err = c.readRaw(b)
+func newClientConn(conn net.Conn) *clientConn {
+	c := &clientConn{Conn: conn, idleSince: time.Now(), pipelined: make(chan struct{})}
+	if raw, ok := conn.(syscall.Conn); ok {
+		c.rawConn, _ = raw.SyscallConn()
 	}
+	return c
+}
+
+// Read implements net.Conn.
+func (c *clientConn) Read(buffer []byte) (int, error) {
+	// net/http reads on after a response only once it has used up what it had read ahead. Until then a complete request may
+	// wait in its buffer, and would be lost if the connection counted as idle and were closed.
+	c.state.CompareAndSwap(stateResponded, stateIdle)
+	n, err := c.read(buffer)
 	if err != nil {
-		c.end(c.readCause(err))
+		c.noteCloseReason(c.readFailureReason(err))
+	}
+	return n, err
+}
+
+func (c *clientConn) read(buffer []byte) (int, error) {
+	if c.rawConn != nil {
+		return c.readSocket(buffer)
 	}
+	n, err := c.Conn.Read(buffer)
+	c.noteBytesRead(n)
 	return n, err
 }
 
-// readRaw reads from the socket, and notes since when a request may have waited there behind an open one.
-func (c *clientConn) readRaw(b []byte) (n int, err error) {
-	before := c.at.Load()
-	blocked := false
-	ended := c.raw.Read(func(fd uintptr) bool {
-		n, err = c.take(int(fd), b)
-		blocked = blocked || err == syscall.EAGAIN
-		return err != syscall.EAGAIN
+// readSocket waits for bytes and reads them, and records since when a request may have waited behind one in flight.
+func (c *clientConn) readSocket(buffer []byte) (n int, err error) {
+	lastReadBefore := c.lastReadAt.Load()
+	waited := false
+	waitError := c.rawConn.Read(func(fd uintptr) (done bool) {
+		n, err = c.readAvailable(int(fd), buffer)
+		nothingAvailable := errors.Is(err, syscall.EAGAIN)
+		waited = waited || nothingAvailable
+		return !nothingAvailable
 	})
+	isBackgroundRead := len(buffer) == backgroundReadSize
 	switch {
-	case errors.Is(ended, os.ErrDeadlineExceeded) && len(b) > lookoutSize:
-		n, err = c.readOrEnd(b, ended)
-	case ended != nil:
-		n, err = 0, ended
+	case errors.Is(waitError, os.ErrDeadlineExceeded) && len(buffer) > backgroundReadSize:
+		n, err = c.readAtDeadline(buffer, waitError)
+	case waitError != nil:
+		n, err = 0, waitError
 	}
-	if len(b) == lookoutSize {
-		c.noteBehind(before, blocked, n == 1)
-	} else if c.emptied || blocked {
-		c.queued.Store(nil) // what net/http reads now came after the request before
-		c.emptied = false
+	if isBackgroundRead {
+		c.noteBackgroundRead(lastReadBefore, waited, n == 1)
+	} else if c.foundEmpty || waited {
+		c.queuedSince.Store(nil) // what is read now arrived after the request before it
+		c.foundEmpty = false
 	}
 	return n, err
 }
 
-// readOrEnd reads what has come by the time at which a read was to end; if nothing has, it ends a connection that rests in
-// the same step. The process may have been held up past that time with a request here.
-func (c *clientConn) readOrEnd(b []byte, ended error) (n int, err error) {
-	if c.phase.Load() == quiet {
-		reason := c.readCause(ended)
-		c.taking.Lock()
-		over := c.endNow(quiet)
-		c.taking.Unlock()
-		if over {
-			c.end(reason)
-			return 0, ended
+// readAtDeadline reads what has arrived by the time at which a read is to end, or closes an idle connection on which
+// nothing has.
+//
+// It guards against closing a connection over a request that arrived in time: the process may have been held up past the
+// deadline, and the client would see its connection end without a response. The guard holds since the check for bytes and
+// the close are one step.
+func (c *clientConn) readAtDeadline(buffer []byte, deadlineError error) (n int, err error) {
+	if c.state.Load() == stateIdle {
+		reason := c.readFailureReason(deadlineError)
+		c.readMutex.Lock()
+		closed := c.closeIfUnread(stateIdle)
+		c.readMutex.Unlock()
+		if closed {
+			c.noteCloseReason(reason)
+			return 0, deadlineError
 		}
 	}
-	if failed := c.raw.Control(func(fd uintptr) { n, err = c.take(int(fd), b) }); failed != nil {
-		return 0, failed
+	controlError := c.rawConn.Control(func(fd uintptr) { n, err = c.readAvailable(int(fd), buffer) })
+	if controlError != nil {
+		return 0, controlError
 	}
-	if err == syscall.EAGAIN {
-		return 0, ended
+	if errors.Is(err, syscall.EAGAIN) {
+		return 0, deadlineError
 	}
 	return n, err
 }
 
-// noteBehind notes what net/http's look-out for the client's departure found: whether nothing waited at first, and whether
-// the first byte of a further request came. One that waited may have come along with the request that is open.
-func (c *clientConn) noteBehind(openSince *time.Time, blocked, came bool) {
-	c.emptied = blocked && !came
-	if !came || c.queued.Load() != nil {
+// noteBackgroundRead records what a background read found: whether it had to wait, and whether it got the first byte of a
+// further request. A byte that was there at once may have arrived along with the request in flight.
+func (c *clientConn) noteBackgroundRead(inFlightSince *time.Time, waited, gotByte bool) {
+	c.foundEmpty = waited && !gotByte
+	if !gotByte || c.queuedSince.Load() != nil {
 		return
 	}
-	if blocked {
-		openSince = c.at.Load()
+	if waited {
+		c.queuedSince.Store(c.lastReadAt.Load())
+		return
 	}
-	c.queued.Store(openSince)
+	c.queuedSince.Store(inFlightSince)
 }
 
-// lookoutSize is the size of the reads by which net/http looks out for the client's departure while a request is open. No
-// other read of its is as small.
-const lookoutSize = 1
-
-// take reads what is there, and notes in the same step that it did: a connection that still looked quiet with a request
-// just read would be closed over it.
-func (c *clientConn) take(fd int, b []byte) (int, error) {
-	c.taking.Lock()
-	defer c.taking.Unlock()
-	if c.phase.Load() == evicted {
+// readAvailable reads without waiting, and returns syscall.EAGAIN if there is nothing to read.
+//
+// It guards against closing a connection as idle over a request that has just been read from its socket: the request would
+// have no response. The guard holds since the read and the change of state are one step under readMutex.
+func (c *clientConn) readAvailable(fd int, buffer []byte) (int, error) {
+	c.readMutex.Lock()
+	defer c.readMutex.Unlock()
+	if c.state.Load() == stateClosed {
 		return 0, net.ErrClosed
 	}
-	n, err := syscall.Read(fd, b)
-	for err == syscall.EINTR {
-		n, err = syscall.Read(fd, b)
+	n, err := syscall.Read(fd, buffer)
+	for errors.Is(err, syscall.EINTR) {
+		n, err = syscall.Read(fd, buffer)
 	}
 	switch {
-	case err == syscall.EAGAIN:
+	case errors.Is(err, syscall.EAGAIN):
 		return 0, err
 	case err != nil:
 		return 0, &net.OpError{Op: "read", Net: "tcp", Addr: c.RemoteAddr(), Err: os.NewSyscallError("read", err)}
-	case n == 0 && len(b) > 0:
+	case n == 0 && len(buffer) > 0:
 		return 0, io.EOF
 	}
-	c.took(n)
-	if n == 1 && len(b) == lookoutSize && c.ahead != nil {
-		// With a byte in hand net/http looks out no more.
-		c.once.Do(func() { close(c.ahead) })
+	c.noteBytesRead(n)
+	if n == 1 && len(buffer) == backgroundReadSize && c.pipelined != nil {
+		// With this byte in hand net/http stops its background reads, and the handler has to detect a close by itself.
+		c.closePipelined.Do(func() { close(c.pipelined) })
 	}
 	return n, nil
 }
 
-// gone tells whether the client has ended the connection, also where bytes of it are still unread.
-func (c *clientConn) gone() bool {
-	return c.Conn != nil && socket.IsPeerClosed(c.Conn)
-}
-
-// took notes that bytes came.
-func (c *clientConn) took(n int) {
-	if n > 0 {
-		now := time.Now()
-		c.at.Store(&now)
-		c.phase.CompareAndSwap(quiet, reading)
+// noteBytesRead records that a read brought n bytes, which may be none.
+func (c *clientConn) noteBytesRead(n int) {
+	if n <= 0 {
+		return
 	}
+	now := time.Now()
+	c.lastReadAt.Store(&now)
+	c.state.CompareAndSwap(stateIdle, stateReceiving)
 }
 
-func (c *clientConn) Write(b []byte) (int, error) {
-	n, err := c.Conn.Write(b)
+// Write implements net.Conn.
+func (c *clientConn) Write(buffer []byte) (int, error) {
+	n, err := c.Conn.Write(buffer)
 	if err != nil {
-		c.end("CLIENT_WRITE_FAILED")
+		c.noteCloseReason(reasonWriteFailed)
 	}
 	return n, err
 }
 
-// endNow ends a connection that is still in the phase, unless bytes are on their way to it. What is refused already is let
-// go whatever comes.
-func (c *clientConn) endNow(phase int32) bool {
-	claim := func() bool { return c.phase.CompareAndSwap(phase, evicted) }
-	switch phase {
-	case spent:
-		return claim()
-	case reading:
-		return socket.ShutdownIfQuiet(c.Conn, lateRefusal, claim)
+// CloseWrite lets net/http close the write side alone. Otherwise the reset that follows bytes which were never read could
+// take the response from the client.
+func (c *clientConn) CloseWrite() error {
+	if conn, ok := c.Conn.(interface{ CloseWrite() error }); ok {
+		return conn.CloseWrite()
 	}
-	return socket.ShutdownIfQuiet(c.Conn, "", claim)
+	return nil
 }
 
-// CloseWrite lets net/http half-close, so that an answer is not lost to a reset by bytes it never read.
-func (c *clientConn) CloseWrite() error {
-	if h, ok := c.Conn.(interface{ CloseWrite() error }); ok {
-		return h.CloseWrite()
+// closeIfUnread shuts the connection down and marks it closed if it is in the expected state and nothing is unread on it;
+// a rejected connection is marked whatever is unread. The caller holds readMutex, and still has to call Conn.Close.
+func (c *clientConn) closeIfUnread(expected connState) (closed bool) {
+	markClosed := func() bool { return c.state.CompareAndSwap(expected, stateClosed) }
+	switch expected {
+	case stateRejected:
+		return markClosed()
+	case stateReceiving:
+		return socket.ShutdownIfQuiet(c.Conn, evictionResponse, markClosed)
+	default:
+		return socket.ShutdownIfQuiet(c.Conn, "", markClosed)
 	}
-	return nil
 }
 
-// claim takes the request that has been read. It ends the handler where the connection was refused and closed meanwhile.
-func (c *clientConn) claim() {
-	if !c.phase.CompareAndSwap(reading, active) &&
-		!c.phase.CompareAndSwap(answered, active) && // all of it was read ahead, with the one before
-		!c.phase.CompareAndSwap(quiet, active) { // its last bytes were
+// peerClosed tells whether the client has closed the connection, also if bytes from before are still unread.
+func (c *clientConn) peerClosed() bool {
+	return c.Conn != nil && socket.IsPeerClosed(c.Conn)
+}
+
+// claimRequest marks the request that has been read as in flight. It aborts the handler if the connection was closed in
+// the meantime.
+func (c *clientConn) claimRequest() {
+	claimed := c.state.CompareAndSwap(stateReceiving, stateInFlight) ||
+		c.state.CompareAndSwap(stateResponded, stateInFlight) || // all of it was read ahead, with the request before it
+		c.state.CompareAndSwap(stateIdle, stateInFlight) // its last bytes were read ahead
+	if !claimed {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// openRequest is the id of the request that is open, for logs; empty: none is.
-func (c *clientConn) openRequest() string {
-	if id := c.open.Load(); id != nil {
+// loggedRequestID is the client's id of the request in flight; empty: none is.
+func (c *clientConn) loggedRequestID() string {
+	if id := c.openRequestID.Load(); id != nil {
 		return *id
 	}
 	return ""
 }
 
-// end notes the first reason that is one.
-func (c *clientConn) end(reason string) {
-	if reason != "" {
-		c.reason.CompareAndSwap(nil, &reason)
+// noteCloseReason records why the connection ends, unless a reason has been recorded before.
+func (c *clientConn) noteCloseReason(reason closeReason) {
+	if reason != reasonNone {
+		c.closeReason.CompareAndSwap(nil, &reason)
 	}
 }
 
-func (c *clientConn) readCause(err error) string {
+// readFailureReason is the reason that an error of Read gives for the connection's end.
+func (c *clientConn) readFailureReason(err error) closeReason {
 	switch {
 	case errors.Is(err, io.EOF):
-		return "CLIENT_CLOSED"
+		return reasonClientClosed
 	case errors.Is(err, syscall.ECONNRESET):
-		return "CLIENT_RESET"
+		return reasonClientReset
 	case !errors.Is(err, os.ErrDeadlineExceeded):
-		return "CLIENT_READ_FAILED"
+		return reasonReadFailed
 	}
-	switch phase := c.phase.Load(); {
-	case phase == reading:
-		return "REQUEST_LATE"
-	case phase == quiet && !c.used.Load():
-		return "SILENT"
+	state := c.state.Load()
+	if state == stateReceiving {
+		return reasonRequestTimeout
 	}
-	// net/http ends its own background read by a deadline in the past, which is no one's end; and only while the
-	// program leaves is a connection kept so long that it ends an idle one.
-	return ""
+	if state == stateIdle && !c.hasResponded.Load() {
+		return reasonIdleTimeout
+	}
+	// net/http ends its own background reads by a deadline in the past, which ends no connection. A connection stays idle
+	// for net/http's whole idle timeout only during shutdown.
+	return reasonNone
 }
 
-type connKey struct{}
-
-func withConn(ctx context.Context, c net.Conn) context.Context {
-	return context.WithValue(ctx, connKey{}, c)
+// receivedAt is when the client's timeout starts to run: when the last byte of the request so far was read, which may be
+// well before a busy process runs its handler. For a request that may have waited unread, it is the earliest time at which
+// it may have arrived.
+func (c *clientConn) receivedAt() time.Time {
+	if queuedSince := c.queuedSince.Load(); queuedSince != nil {
+		return *queuedSince
+	}
+	return c.lastReadTime()
 }
 
-// connOf is the connection that a request came on; a blank one in tests that have none.
-func connOf(ctx context.Context) *clientConn {
-	if c, ok := ctx.Value(connKey{}).(*clientConn); ok {
-		return c
+// lastReadTime is when a read last brought bytes, and the present time if none did.
+func (c *clientConn) lastReadTime() time.Time {
+	if lastReadAt := c.lastReadAt.Load(); lastReadAt != nil {
+		return *lastReadAt
 	}
-	return &clientConn{}
+	return time.Now()
 }
 
-// arrival is from when the client's time runs: when the last byte of the request so far was read, which may be well before
-// a busy process gets to run its handler. Of one that was sent behind another, it is the earliest that it may have come.
-func (c *clientConn) arrival() time.Time {
-	if queued := c.queued.Load(); queued != nil {
-		return *queued
-	}
-	return c.lastRead()
+// connContextKey is the context key of a request's *clientConn.
+type connContextKey struct{}
+
+func contextWithConn(ctx context.Context, conn net.Conn) context.Context {
+	return context.WithValue(ctx, connContextKey{}, conn)
 }
 
-// lastRead is when bytes came last.
-func (c *clientConn) lastRead() time.Time {
-	if at := c.at.Load(); at != nil {
-		return *at
+// connFromContext is the connection that a request came on. A request that came on none, as from net/http/httptest, gets
+// a zero one.
+func connFromContext(ctx context.Context) *clientConn {
+	if conn, ok := ctx.Value(connContextKey{}).(*clientConn); ok {
+		return conn
 	}
-	return time.Now()
+	return &clientConn{}
 }
--- a/internal/clienthttp/conntable.go
+++ b/internal/clienthttp/conntable.go
@@ -5,110 +5,129 @@
 	"net"
 	"net/http"
 	"sync"
-	"syscall"
 	"time"
 )
 
-// connTable caps clients' connections. A new one past the cap is still taken, since the machine has accepted
-// it and a request on it would be lost: one without a request makes room. Where there is none, the new one's
-// request is refused at once, and the connection closed.
+// maxOverLimit is how many connections over the limit are accepted, each to have one request rejected.
+const maxOverLimit = 24
+
+// connTable holds the clients' connections and limits their number.
+//
+// A new connection over the limit is accepted all the same: the kernel has completed its handshake, and a request that is
+// already on it would be lost. One without a request is evicted for it. Where there is none, the new connection's request
+// is rejected at once, and the connection closed.
 //
-// Past easy connections, the cap is for those with a request open alone. Clients hold so many and no more, those that
-// asked once and stay included: where these take all, usual ones cannot even connect, and no cap here would be met.
+// Beyond maxIdle connections, only those with a request in flight may stay. Clients count their open connections, idle
+// ones included, against a limit of their own: if idle ones used that up, well-behaved clients could not even connect,
+// and maxOpen would never be reached.
 type connTable struct {
-	most int
-	easy int
-	log  *slog.Logger
-	mu   sync.Mutex
-	open map[*clientConn]bool
-	left bool
+	maxOpen int
+	maxIdle int
+	log     *slog.Logger
+
+	mutex        sync.Mutex // guards what follows, and idleSince of each connection
+	open         map[*clientConn]bool
+	shuttingDown bool
 }
 
-func newConnTable(most, easy int, log *slog.Logger) *connTable {
-	return &connTable{most: most, easy: min(easy, most), log: log, open: map[*clientConn]bool{}}
+func newConnTable(maxOpen, maxIdle int, log *slog.Logger) *connTable {
+	return &connTable{maxOpen: maxOpen, maxIdle: min(maxIdle, maxOpen), log: log, open: map[*clientConn]bool{}}
 }
 
-func (t *connTable) add(c net.Conn) *clientConn {
-	cc := &clientConn{Conn: c, since: time.Now(), ahead: make(chan struct{})}
-	if sc, ok := c.(syscall.Conn); ok {
-		cc.raw, _ = sc.SyscallConn()
+// add takes an accepted connection into the table, and evicts another for it if there are too many.
+func (t *connTable) add(accepted net.Conn) *clientConn {
+	c := newClientConn(accepted)
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	t.open[c] = true
+	if len(t.open) <= t.maxIdle {
+		return c
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.open[cc] = true
-	if len(t.open) <= t.easy {
-		return cc
-	}
-	full := len(t.open) > t.most
-	for range mostTries {
-		o, phase := t.leastNeeded(cc, full)
-		if o == nil {
-			break
-		}
-		if t.evict(o, phase, "CAP") {
-			return cc
-		}
-		o.since = time.Now() // it is asking just now
+	full := len(t.open) > t.maxOpen
+	if !t.makeRoomFor(c, full) && full {
+		t.markOverLimit(c)
 	}
-	if full {
-		cc.extra = true
-		cc.end("CAP")
-		if len(t.open) > t.most+slack {
-			cc.phase.Store(evicted)
-			cc.Conn.Close()
-		}
+	return c
+}
+
+// markOverLimit has the connection's request rejected, and closes the connection at once if too many wait for that. The
+// table is locked, and nothing has been read from the connection yet.
+func (t *connTable) markOverLimit(c *clientConn) {
+	c.overLimit = true
+	c.noteCloseReason(reasonConnectionLimit)
+	if len(t.open) > t.maxOpen+maxOverLimit {
+		c.state.Store(stateClosed)
+		_ = c.Close()
 	}
-	return cc
 }
 
-// endIdle closes the connections that have been without a request for idle, and those of which part of a request has
-// come and nothing more for slow: net/http gives the first bytes of a further request all the time of an idle connection.
-// It closes no idle one while the program leaves: what clients have is then all they can use.
-func (t *connTable) endIdle(idle, slow time.Duration) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+// closeTimedOut closes the connections that have been idle for keepAlive, and those that received part of a request and
+// nothing more for partialRequest. net/http by itself would give the first bytes of a further request all the time of an
+// idle connection. During shutdown no idle connection is closed here: clients cannot open others.
+func (t *connTable) closeTimedOut(keepAlive, partialRequest time.Duration) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
 	for c := range t.open {
-		switch phase := c.phase.Load(); {
-		case phase == reading && time.Since(c.lastRead()) >= slow:
-			t.evict(c, reading, "REQUEST_LATE")
-		case phase == quiet && c.used.Load() && time.Since(c.since) >= idle && !t.left:
-			t.evict(c, quiet, "IDLE")
+		switch state := c.state.Load(); {
+		case state == stateReceiving && time.Since(c.lastReadTime()) >= partialRequest:
+			t.evict(c, stateReceiving, reasonRequestTimeout)
+		case state == stateIdle && c.hasResponded.Load() && time.Since(c.idleSince) >= keepAlive && !t.shuttingDown:
+			t.evict(c, stateIdle, reasonKeepAliveTimeout)
 		}
 	}
 }
 
-// state follows net/http's states, and logs one line when a connection ends.
-func (t *connTable) state(c net.Conn, st http.ConnState) {
-	cc, ok := c.(*clientConn)
+// onConnState is net/http's state hook.
+func (t *connTable) onConnState(conn net.Conn, state http.ConnState) {
+	c, ok := conn.(*clientConn)
 	if !ok {
 		return
 	}
-	switch st {
+	switch state {
 	case http.StateActive:
-		cc.asked.Add(1)
+		c.requestCount.Add(1)
 	case http.StateIdle:
-		t.mu.Lock()
-		cc.since = time.Now()
-		t.mu.Unlock()
-		cc.used.Store(true)
-		cc.open.Store(nil)
-		if !cc.phase.CompareAndSwap(active, answered) {
-			cc.phase.CompareAndSwap(reading, answered) // net/http answered it by itself
-		}
+		t.onResponded(c)
 	case http.StateClosed, http.StateHijacked:
-		t.mu.Lock()
-		delete(t.open, cc)
-		left := t.left
-		t.mu.Unlock()
-		reason := "CLOSED_BY_US" // after an answer that says so, or bytes that are no request
-		if left {
-			reason = "LEAVING"
-		}
-		if p := cc.reason.Load(); p != nil && *p != "CLIENT_READ_FAILED" {
-			reason = *p
-		}
-		t.log.Info("connection ended", slog.String("side", "client"), slog.String("peer", c.RemoteAddr().String()),
-			slog.String("reason", reason), slog.Int64("requests", cc.asked.Load()), slog.String("request", cc.openRequest()),
-			slog.String("phase", phaseNames[cc.phase.Load()]))
+		t.onClosed(c)
+	}
+}
+
+// onResponded records that net/http has written a response and keeps the connection.
+func (t *connTable) onResponded(c *clientConn) {
+	t.mutex.Lock()
+	c.idleSince = time.Now()
+	t.mutex.Unlock()
+	c.hasResponded.Store(true)
+	c.openRequestID.Store(nil)
+	if !c.state.CompareAndSwap(stateInFlight, stateResponded) {
+		c.state.CompareAndSwap(stateReceiving, stateResponded) // net/http responded by itself
+	}
+}
+
+// onClosed removes the connection and logs why it ended.
+func (t *connTable) onClosed(c *clientConn) {
+	t.mutex.Lock()
+	delete(t.open, c)
+	shuttingDown := t.shuttingDown
+	t.mutex.Unlock()
+	t.log.Info("connection ended",
+		slog.String("side", "client"),
+		slog.String("peer", c.RemoteAddr().String()),
+		slog.String("reason", string(loggedCloseReason(c, shuttingDown))),
+		slog.Int64("requests", c.requestCount.Load()),
+		slog.String("request", c.loggedRequestID()),
+		slog.String("state", c.state.Load().String()))
+}
+
+// loggedCloseReason is the reason noted for the connection, or else this side's. A failed read does not count: it follows
+// from this side's close.
+func loggedCloseReason(c *clientConn, shuttingDown bool) closeReason {
+	if noted := c.closeReason.Load(); noted != nil && *noted != reasonReadFailed {
+		return *noted
+	}
+	if shuttingDown {
+		return reasonShutdown
 	}
+	return reasonClosedByServer
 }
--- a/internal/clienthttp/drain.go
+++ b/internal/clienthttp/drain.go
@@ -9,50 +9,70 @@
 	"dapplegate/internal/socket"
 )
 
-// Stop leaves ready at once, keeps accepting while clients may still come, serves them for a while on the connections
-// they have, and then finishes what was taken until the context ends.
+// shutdownPollInterval is how often a graceful shutdown looks for connections without a request.
+const shutdownPollInterval = 10 * time.Millisecond
+
+// Shutdown ends the server gracefully. It reports not ready at once, accepts connections for dispatcher.AcceptGrace, serves
+// the open connections for a while, and returns once no connection is left. If the context ends before, it closes the
+// remaining connections and returns the context's error.
 func (s *Server) Shutdown(ctx context.Context) error {
-	now := time.Now()
-	s.left.Store(&now)
-	s.conns.leave()
-	dispatcher.WaitUntil(ctx, now.Add(dispatcher.AcceptGrace))
-	if l := s.listener.Load(); l != nil {
-		// The time may be over before the goroutine that accepts has run, or while accept fails: what waits there is a
-		// client's.
-		socket.DrainListener(*l, now.Add(s.shutdown.AnswerBy))
+	startedAt := time.Now()
+	s.shutdownAt.Store(&startedAt)
+	s.conns.beginShutdown()
+	dispatcher.WaitUntil(ctx, startedAt.Add(dispatcher.AcceptGrace))
+	s.stopAccepting(startedAt)
+	dispatcher.WaitUntil(ctx, startedAt.Add(s.shutdown.ServeConnsFor))
+	return s.closeConns(ctx, startedAt)
+}
+
+// stopAccepting closes the listener once its backlog is empty.
+//
+// It guards against losing clients whose connections the kernel has accepted: the grace may be over before the accepting
+// goroutine has run, or while accept fails. The guard holds since the accepting goroutine runs on until the listener closes.
+func (s *Server) stopAccepting(startedAt time.Time) {
+	if listener := s.listener.Load(); listener != nil {
+		_ = socket.DrainListener(*listener, startedAt.Add(s.shutdown.AnswerBy))
 	}
-	dispatcher.WaitUntil(ctx, now.Add(s.shutdown.ServeConnsFor))
-	// Not by http.Server.Shutdown: it closes what net/http calls idle, and that may have a request half read.
-	s.ending.Store(true)
-	tick := time.NewTicker(endEvery)
-	defer tick.Stop()
-	for s.conns.endUnasked(time.Since(now) >= s.shutdown.AnswerBy) > 0 {
+}
+
+// closeConns closes each connection once it has no request, until none is left.
+//
+// It does not use http.Server.Shutdown, which closes what net/http takes for idle: such a connection may have received part
+// of a request, which would be lost.
+func (s *Server) closeConns(ctx context.Context, startedAt time.Time) error {
+	s.closeAfterResponse.Store(true)
+	ticker := time.NewTicker(shutdownPollInterval)
+	defer ticker.Stop()
+	for {
+		includeStalled := time.Since(startedAt) >= s.shutdown.AnswerBy
+		if s.conns.closeIdle(includeStalled) == 0 {
+			return s.http.Close()
+		}
 		select {
 		case <-ctx.Done():
 			return errors.Join(ctx.Err(), s.http.Close())
-		case <-tick.C:
+		case <-ticker.C:
 		}
 	}
-	return s.http.Close()
 }
 
-// leave marks that connections end from now on because the program does.
-func (t *connTable) leave() {
-	t.mu.Lock()
-	t.left = true
-	t.mu.Unlock()
+// beginShutdown marks that connections end from now on because the program does.
+func (t *connTable) beginShutdown() {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	t.shuttingDown = true
 }
 
-// endUnasked closes what has no request open, and with all also what has part of one and stalls, which is otherwise let come
-// in whole. It returns how many connections are left.
-func (t *connTable) endUnasked(all bool) int {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+// closeIdle closes the connections without a request, and returns how many are left. With includeStalled it also closes
+// those that received part of a request and nothing more for stalledTimeout; otherwise these may go on.
+func (t *connTable) closeIdle(includeStalled bool) (left int) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
 	for c := range t.open {
-		phase := c.phase.Load()
-		stalled := phase == reading && time.Since(c.lastRead()) > stalledFor
-		if phase == quiet || phase == spent || all && stalled {
-			t.evict(c, phase, "LEAVING")
+		state := c.state.Load()
+		stalled := state == stateReceiving && time.Since(c.lastReadTime()) > stalledTimeout
+		if state == stateIdle || state == stateRejected || includeStalled && stalled {
+			t.evict(c, state, reasonShutdown)
 		}
 	}
 	return len(t.open)
--- a/internal/clienthttp/eviction.go
+++ b/internal/clienthttp/eviction.go
@@ -1,80 +1,125 @@
 package clienthttp
 
-import (
-	"time"
-)
+import "time"
 
 const (
-	// silentFor is how long a new connection may bring nothing before it makes room ahead of idle ones: usual
-	// clients connect to ask at once.
-	silentFor = 50 * time.Millisecond
-	// unusedFor is how long an answered connection must have been without a request to make room while there is some.
-	// At ten times that, a crowd of connections that asked once shut usual clients out.
-	unusedFor = 25 * time.Millisecond
-	// slack is how many connections past the cap are taken, each to have one request refused.
-	slack = 24
-	// stalledFor is how long a request of which part has come must have brought nothing more for its connection to be closed
-	// over it. One that has come whole is claimed long before, unless the process is held up.
-	stalledFor = 200 * time.Millisecond
-	// mostTries is how many connections a new one looks at for room.
-	mostTries = 8
+	// silentTimeout is how long a new connection may bring nothing before it is evicted ahead of idle ones. Well-behaved
+	// clients send a request as soon as they are connected.
+	silentTimeout = 50 * time.Millisecond
+	// unusedTimeout is how long a connection must have been idle after a response to be evicted while the table is not full.
+	// It is short, so that many connections with one request each do not keep other clients out.
+	unusedTimeout = 25 * time.Millisecond
+	// stalledTimeout is how long nothing more of a request must have arrived for its connection to be evicted. A complete
+	// request is claimed long before, unless the process is held up.
+	stalledTimeout = 200 * time.Millisecond
+	// maxEvictionAttempts is how many connections are tried to make room for a new one, which waits meanwhile.
+	maxEvictionAttempts = 8
 )
 
-// lateRefusal goes to a client over whose request its connection is closed. All of that request may be here by now: it has
-// its answer then, and nothing of it was sent on.
-const lateRefusal = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
+// evictionResponse is sent to a client whose connection is closed over part of a request. All of that request may have
+// arrived by then: this is its response, and nothing of it was forwarded.
+const evictionResponse = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 
-// evict closes a connection that is still in the phase, which is any but active and answered. One with bytes on their way to
-// it is not closed, unless it was refused: it is asking just now. One with part of a request is refused that. The table is
-// locked.
-func (t *connTable) evict(c *clientConn, phase int32, reason string) bool {
-	c.taking.Lock()
-	free := c.endNow(phase)
-	if free {
-		c.end(reason)
-	}
-	// Not while closing: Close waits for a read that has begun, and that one waits for the lock.
-	c.taking.Unlock()
-	if !free {
-		return false
+// evictionRank orders connections by how dispensable they are; the highest is evicted first.
+type evictionRank int
+
+const (
+	// rankKeep: not to be evicted, since a request is in flight or may have arrived.
+	rankKeep evictionRank = iota
+	// rankNew: new, and nothing has been read yet; evicted only if the table is full.
+	rankNew
+	// rankIdle: idle after a response.
+	rankIdle
+	// rankStalled: silent since it was opened, or slow with its first request.
+	rankStalled
+	// rankRejected: its request was rejected, and none follows.
+	rankRejected
+)
+
+// makeRoomFor evicts a connection other than the new one, and tells whether one was evicted. The table is locked.
+func (t *connTable) makeRoomFor(newConn *clientConn, full bool) bool {
+	for range maxEvictionAttempts {
+		candidate, state := t.evictionCandidate(newConn, full)
+		if candidate == nil {
+			return false
+		}
+		if t.evict(candidate, state, reasonConnectionLimit) {
+			return true
+		}
+		candidate.idleSince = time.Now() // a request is arriving on it
 	}
-	c.Conn.Close()
-	delete(t.open, c)
-	return true
+	return false
 }
 
-// leastNeeded is the connection to close for a new one: one that has been refused; otherwise one that has said nothing
-// for a while or is slow with its first request, the oldest first; otherwise the one unused longest; otherwise, where the
-// table is full, one that is new and silent. Never one with a request open. With it comes the phase it was seen in.
-func (t *connTable) leastNeeded(but *clientConn, full bool) (best *clientConn, seen int32) {
+// evictionCandidate is the connection to evict, and the state in which it was seen: the one of the highest rank, and among
+// equals the one idle longest; nil: none may be evicted. The table is locked.
+func (t *connTable) evictionCandidate(except *clientConn, full bool) (candidate *clientConn, seen connState) {
 	now := time.Now()
-	rank := func(c *clientConn, phase int32) int {
-		first := !c.used.Load()
-		switch phase {
-		case spent:
-			return 4
-		case quiet:
-			switch {
-			case first && now.Sub(c.since) > silentFor:
-				return 3
-			case !first && (full || now.Sub(c.since) > unusedFor):
-				return 2
-			case full && first:
-				return 1
-			}
-		case reading:
-			if first && now.Sub(c.lastRead()) > stalledFor {
-				return 3
-			}
+	highest := rankKeep
+	for c := range t.open {
+		state := c.state.Load()
+		rank := rankForEviction(c, state, full, now)
+		if c == except || rank == rankKeep {
+			continue
+		}
+		if rank > highest || rank == highest && c.idleSince.Before(candidate.idleSince) {
+			candidate = c
+			seen = state
+			highest = rank
 		}
-		return 0
 	}
-	most := 0
-	for c := range t.open {
-		phase := c.phase.Load()
-		if r := rank(c, phase); c != but && r > 0 && (r > most || r == most && c.since.Before(best.since)) {
-			best, seen, most = c, phase, r
+	return candidate, seen
+}
+
+// rankForEviction ranks a connection that was seen in the state. The table is locked; full tells whether it has more
+// connections than the limit.
+func rankForEviction(c *clientConn, state connState, full bool, now time.Time) evictionRank {
+	switch state {
+	case stateRejected:
+		return rankRejected
+	case stateIdle:
+		return rankIdleForEviction(c, full, now)
+	case stateReceiving:
+		if !c.hasResponded.Load() && now.Sub(c.lastReadTime()) > stalledTimeout {
+			return rankStalled
 		}
 	}
-	return best, seen
+	return rankKeep
+}
+
+func rankIdleForEviction(c *clientConn, full bool, now time.Time) evictionRank {
+	idleFor := now.Sub(c.idleSince)
+	if c.hasResponded.Load() {
+		if full || idleFor > unusedTimeout {
+			return rankIdle
+		}
+		return rankKeep
+	}
+	if idleFor > silentTimeout {
+		return rankStalled
+	}
+	if full {
+		return rankNew
+	}
+	return rankKeep
+}
+
+// evict closes a connection that is still in the state in which it was seen, which is idle, receiving or rejected, and
+// tells whether it did. A connection with unread bytes is not closed, unless it was rejected: a request is arriving on it.
+// One with part of a request gets evictionResponse. The table is locked.
+func (t *connTable) evict(c *clientConn, seen connState, reason closeReason) bool {
+	c.readMutex.Lock()
+	closed := c.closeIfUnread(seen)
+	if closed {
+		c.noteCloseReason(reason)
+	}
+	// Close waits for a read that has begun, and that read waits for this mutex: held during Close, both would wait for
+	// ever, and with them the table.
+	c.readMutex.Unlock()
+	if !closed {
+		return false
+	}
+	_ = c.Close()
+	delete(t.open, c)
+	return true
 }
--- a/internal/clienthttp/handler.go
+++ b/internal/clienthttp/handler.go
@@ -11,11 +11,23 @@
 	"dapplegate/internal/dispatcher"
 )
 
+const (
+	// peerCheckInterval is how often a client that sent more than one request at a time is checked for a close: nothing may
+	// be forwarded for it 0.1 s after it has closed.
+	peerCheckInterval = 25 * time.Millisecond
+	// writeTimeout is how long a client may take to read its response.
+	writeTimeout = 5 * time.Second
+	// bodyDrainTimeout and maxDrainedBytes bound what is read and discarded of a rejected request's body, so that the client
+	// can read the response before a reset.
+	bodyDrainTimeout = 3 * time.Second
+	maxDrainedBytes  = 64 << 20
+)
+
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	conn := connOf(r.Context())
-	arrived := conn.arrival()
-	if ready := r.URL.Path == "/-/ready"; ready || s.options.HealthOnly || conn.extra {
-		conn.claim()
+	conn := connFromContext(r.Context())
+	arrived := conn.receivedAt()
+	if ready := r.URL.Path == "/-/ready"; ready || s.options.HealthOnly || conn.overLimit {
+		conn.claimRequest()
 		switch {
 		case ready:
 			s.ready(w)
@@ -35,23 +47,23 @@
 		refuseBad(w, r, conn, f)
 		return
 	}
-	conn.open.Store(&j.ClientRequestID)
-	conn.claim()
+	conn.openRequestID.Store(&j.ClientRequestID)
+	conn.claimRequest()
 	if len(m.Body) > 0 {
-		arrived = conn.arrival()
+		arrived = conn.receivedAt()
 	}
 	// The time for the request to come must not run out on it while it is open.
 	if err := http.NewResponseController(w).SetReadDeadline(time.Time{}); err != nil && !errors.Is(err, http.ErrNotSupported) {
 		panic(http.ErrAbortHandler)
 	}
-	j.ClientTimeout = s.shutdown.LimitTimeout(j.ClientTimeout, arrived, s.left.Load())
+	j.ClientTimeout = s.shutdown.LimitTimeout(j.ClientTimeout, arrived, s.shutdownAt.Load())
 	// The core's goroutine must not wait for a client: the answer has a place of its own.
 	final := make(chan dispatcher.Response, 1)
-	j.ReceivedAt, j.Payload, j.Respond, j.ClientGone = arrived, m, func(a dispatcher.Response) { final <- a }, conn.gone
-	ahead := conn.ahead
+	j.ReceivedAt, j.Payload, j.Respond, j.ClientGone = arrived, m, func(a dispatcher.Response) { final <- a }, conn.peerClosed
+	ahead := conn.pipelined
 	select {
 	case <-ahead:
-		if conn.gone() { // with this request unread
+		if conn.peerClosed() { // with this request unread
 			panic(http.ErrAbortHandler)
 		}
 	default:
@@ -69,17 +81,17 @@
 			s.write(w, a)
 			return
 		case <-ahead:
-			tick := time.NewTicker(lookEvery)
+			tick := time.NewTicker(peerCheckInterval)
 			defer tick.Stop()
 			ahead, look = nil, tick.C
 			continue
 		case <-look:
-			if !conn.gone() {
+			if !conn.peerClosed() {
 				continue
 			}
 		case <-left:
 		}
-		conn.end("CLIENT_LEFT")
+		conn.noteCloseReason(reasonClientAborted)
 		s.dispatcher.Cancel(j)
 		// A plain return would be answered with an empty 200, which no target made.
 		panic(http.ErrAbortHandler)
@@ -88,7 +100,7 @@
 
 func (s *Server) ready(w http.ResponseWriter) {
 	switch {
-	case s.left.Load() != nil:
+	case s.shutdownAt.Load() != nil:
 		http.Error(w, "leaving", http.StatusServiceUnavailable)
 	case s.options.Ready != nil && !s.options.Ready():
 		http.Error(w, "no list of targets yet", http.StatusServiceUnavailable)
@@ -100,28 +112,28 @@
 // refuseBad answers what could not be taken, before what is left of its body, and then reads that away for a while. None
 // of these is a 429 or 503: a repeat would fare no better.
 func refuseBad(w http.ResponseWriter, r *http.Request, conn *clientConn, f *RequestError) {
-	conn.claim()
+	conn.claimRequest()
 	rc := http.NewResponseController(w)
 	// Without it net/http would first wait for the body, which may never come.
 	rc.EnableFullDuplex()
 	w.Header().Set("Connection", "close")
 	http.Error(w, f.Message, f.Status)
 	flushed := rc.Flush() == nil
-	conn.phase.CompareAndSwap(active, spent)
-	if flushed && f.Status != http.StatusRequestTimeout && rc.SetReadDeadline(time.Now().Add(drainFor)) == nil {
-		io.CopyBuffer(struct{ io.Writer }{io.Discard}, io.LimitReader(r.Body, drainMost), make([]byte, 16<<10))
+	conn.state.CompareAndSwap(stateInFlight, stateRejected)
+	if flushed && f.Status != http.StatusRequestTimeout && rc.SetReadDeadline(time.Now().Add(bodyDrainTimeout)) == nil {
+		io.CopyBuffer(struct{ io.Writer }{io.Discard}, io.LimitReader(r.Body, maxDrainedBytes), make([]byte, 16<<10))
 	}
 }
 
 // write gives the one final answer. Its length is told ahead, so that a cut one shows.
 func (s *Server) write(w http.ResponseWriter, a dispatcher.Response) {
-	if s.ending.Load() {
+	if s.closeAfterResponse.Load() {
 		w.Header().Set("Connection", "close")
 	}
 	switch a.Status {
 	case dispatcher.Served:
 		body, _ := a.Payload.([]byte)
-		http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeWithin))
+		http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
 		h := w.Header()
 		h.Set("Content-Type", "application/octet-stream")
 		h.Set("Content-Length", strconv.Itoa(len(body)))
--- a/internal/clienthttp/holdup_test.go
+++ b/internal/clienthttp/holdup_test.go
@@ -76,22 +76,22 @@
 // Symptom: a request that was read had its connection closed with no answer.
 // Sequence: a connection is closed to make room for another, or at the end of a shutdown, when its request has been read
 // whole and the handler has not come to claim it yet.
-// Cause: the table of connections knows only that some of a request was read, and took one in that phase for a client that
+// Cause: the table of connections knows only that some of a request was read, and took one in that state for a client that
 // is slow with its request, however lately its bytes had come.
 // Settled by this test: claim found the connection evicted and ended the handler.
 func TestWholeRequestIsNotEvicted(t *testing.T) {
 	for name, closing := range map[string]func(*Server){
 		"to make room": func(s *Server) {
-			s.conns.mu.Lock()
-			defer s.conns.mu.Unlock()
+			s.conns.mutex.Lock()
+			defer s.conns.mutex.Unlock()
 			for c := range s.conns.open {
-				c.since = c.since.Add(-time.Minute) // it has said nothing for long
+				c.idleSince = c.idleSince.Add(-time.Minute) // it has said nothing for long
 			}
-			if c, phase := s.conns.leastNeeded(nil, true); c != nil {
-				s.conns.evict(c, phase, "CAP")
+			if c, state := s.conns.evictionCandidate(nil, true); c != nil {
+				s.conns.evict(c, state, reasonConnectionLimit)
 			}
 		},
-		"at the end": func(s *Server) { s.conns.endUnasked(true) },
+		"at the end": func(s *Server) { s.conns.closeIdle(true) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			wantServed(t, heldUpFront(t, time.Minute, closing), goodRead, 1)
@@ -110,7 +110,7 @@
 	heldUp := false
 	addr := heldUpFront(t, time.Minute, func(s *Server) {
 		if heldUp { // after the first answer, before the second request's handler
-			s.conns.endUnasked(false)
+			s.conns.closeIdle(false)
 		}
 		heldUp = true
 	})
@@ -121,7 +121,7 @@
 // that it is owed. net/http gave it the 4.8 s of an idle connection, which is what the reading of four bytes is bounded by.
 func TestStopsInTheFirstBytes(t *testing.T) {
 	const owed = 3 * time.Second
-	addr := heldUpFront(t, requestWithin, func(*Server) {})
+	addr := heldUpFront(t, requestTimeout, func(*Server) {})
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
@@ -152,12 +152,12 @@
 	in.SetWriteDeadline(time.Time{})
 	table := newConnTable(8, 8, slog.New(slog.DiscardHandler))
 	c := table.add(in)
-	c.phase.Store(reading)
+	c.state.Store(stateReceiving)
 	closed := make(chan bool, 1)
 	go func() {
-		table.mu.Lock()
-		defer table.mu.Unlock()
-		closed <- table.evict(c, reading, "CAP")
+		table.mutex.Lock()
+		defer table.mutex.Unlock()
+		closed <- table.evict(c, stateReceiving, reasonConnectionLimit)
 	}()
 	select {
 	case ok := <-closed:
@@ -188,7 +188,7 @@
 // connection is closed over it.
 // Cause: the look and the end were apart: the look is a system call after which other goroutines run, and the end came at the
 // close of the connection, steps later.
-// Settled by the log: a gap of 0.18 s, then "connection ended" reason=CAP phase=EVICTED for connections that were used
+// Settled by the log: a gap of 0.18 s, then "connection ended" reason=CONNECTION_LIMIT state=CLOSED for connections that were used
 // before, one of them the client's; no line has the request.
 func TestEvictionEndsWithItsLook(t *testing.T) {
 	client, in := connPair(t)
@@ -197,9 +197,9 @@
 	c := table.add(slowToClose{in.(*net.TCPConn), goOn})
 	closed := make(chan bool, 1)
 	go func() {
-		table.mu.Lock()
-		defer table.mu.Unlock()
-		closed <- table.evict(c, quiet, "CAP")
+		table.mutex.Lock()
+		defer table.mutex.Unlock()
+		closed <- table.evict(c, stateIdle, reasonConnectionLimit)
 	}()
 	client.SetReadDeadline(time.Now().Add(2 * time.Second))
 	if _, err := client.Read(make([]byte, 1)); err != io.EOF {
--- a/internal/clienthttp/server.go
+++ b/internal/clienthttp/server.go
@@ -1,4 +1,8 @@
-// Package front is the platform's HTTP/1.1 side: it accepts, parses and answers, and decides nothing.
+// Package clienthttp serves clients over HTTP/1.1: it accepts connections, parses requests, hands them to the dispatcher
+// and writes its responses. It takes no scheduling decision.
+//
+// A request is never lost between its arrival and its response: a connection is closed only after a check, in one step with
+// the close, that nothing is unread on it. See connState for the states of a connection, and connTable for their limits.
 package clienthttp
 
 import (
@@ -13,90 +17,102 @@
 )
 
 const (
-	maxHead = 16 << 10
-	// requestWithin is how long a request, head and body, may take to come: from its first byte, or from the
-	// connection's start. A client that is slower, or says nothing, is owed an end within 3 s.
-	requestWithin = 2 * time.Second
-	// stopWithin is how long a client may stop in the middle of a request: past requestWithin, which ends most of them with a
-	// word on what is missing.
-	stopWithin = requestWithin + 400*time.Millisecond
-	// idleFor is how long a connection is kept for a next request, but while the program leaves. Clients count it among
-	// the few they may hold.
-	idleFor = 2 * time.Second
-	// drainFor and drainMost bound what is read of a refused body, to be thrown away: the client must be able to
-	// read its answer before a reset takes it.
-	drainFor  = 3 * time.Second
-	drainMost = 64 << 20
-	// endEvery is how often an end that is under way looks for connections without a request.
-	endEvery = 10 * time.Millisecond
-	// lookEvery is how often a client that sent more than one request at a time is looked for: nothing may be sent on for
-	// it 0.1 s after it has gone.
-	lookEvery = 25 * time.Millisecond
-	// writeWithin is how long a client may take to read its answer.
-	writeWithin = 5 * time.Second
+	// maxHeaderBytes is the size of the largest request head.
+	maxHeaderBytes = 16 << 10
+	// requestTimeout is how long a request, head and body, may take to arrive, from its first byte or, for the first one,
+	// from the connection's start. A client that is slower, or sends nothing, has to see an end within 3 s.
+	requestTimeout = 2 * time.Second
+	// partialRequestTimeout is how long a client may pause within a request. It is longer than requestTimeout, which
+	// ends most such requests with a response that says what is missing.
+	partialRequestTimeout = requestTimeout + 400*time.Millisecond
+	// keepAliveTimeout is how long a connection is kept idle after a response, except during shutdown. Clients count
+	// idle connections among the few that they may open.
+	keepAliveTimeout = 2 * time.Second
+	// timeoutCheckInterval is how often connections are checked for partialRequestTimeout and keepAliveTimeout.
+	timeoutCheckInterval = keepAliveTimeout / 8
 )
 
-// Options set up the front.
+// Options configure a Server.
 type Options struct {
-	Classes      map[string]bool
-	Plans        map[string]bool
-	MaxConns     int           // clients' connections at a time
-	MaxIdleConns int           // of these, how many may be without a request
-	MaxDeadline  time.Duration // that any client waits
-	Ready        func() bool   // whether requests can be sent on; nil: from the start
-	HealthOnly   bool          // requests come in by another front
+	Classes      map[string]bool // classes of requests that are served
+	Plans        map[string]bool // plans that are known
+	MaxConns     int             // client connections at a time
+	MaxIdleConns int             // of these, how many may be without a request in flight
+	MaxDeadline  time.Duration   // the longest timeout of any client
+	Ready        func() bool     // whether requests can be forwarded; nil: always
+	HealthOnly   bool            // serve the readiness check alone: requests arrive over another protocol
 	Logger       *slog.Logger
 }
 
-// Core is what the front needs of the core.
+// Dispatcher owns each request from Submit until its response.
 type Dispatcher interface {
+	// Submit hands a request over. False rejects it for lack of capacity, and Call.Respond is not called.
 	Submit(*dispatcher.Call) bool
+	// Cancel tells that the client of a submitted request has closed its connection.
 	Cancel(*dispatcher.Call)
 }
 
-// Server is the front.
+var _ Dispatcher = (*dispatcher.Dispatcher)(nil)
+
+// Server serves clients over HTTP/1.1.
 type Server struct {
-	options    Options
-	dispatcher Dispatcher
-	http       http.Server
-	listener   atomic.Pointer[net.Listener]
-	conns      *connTable
-	shutdown   dispatcher.ShutdownSchedule
-	left       atomic.Pointer[time.Time] // when Stop was called
-	ending     atomic.Bool               // each answer is its connection's last
+	options            Options
+	dispatcher         Dispatcher
+	http               http.Server
+	listener           atomic.Pointer[net.Listener] // set by Serve, read by Shutdown
+	conns              *connTable
+	shutdown           dispatcher.ShutdownSchedule
+	shutdownAt         atomic.Pointer[time.Time] // when Shutdown was called; nil: it was not
+	closeAfterResponse atomic.Bool               // set late in Shutdown: each response closes its connection
 }
 
-// New returns a front for the core.
-func New(c Dispatcher, opt Options) *Server {
-	s := &Server{options: opt, dispatcher: c, conns: newConnTable(opt.MaxConns, opt.MaxIdleConns, opt.Logger),
-		shutdown: dispatcher.NewShutdownSchedule(opt.MaxDeadline)}
-	s.http = http.Server{Handler: s, ReadTimeout: requestWithin, IdleTimeout: idleFor + idleFor/2 + s.shutdown.ServeConnsFor, MaxHeaderBytes: maxHead,
-		ConnState: s.conns.state, ConnContext: withConn, ErrorLog: slog.NewLogLogger(opt.Logger.Handler(), slog.LevelWarn)}
+// New returns a server that hands its requests to the dispatcher.
+func New(d Dispatcher, options Options) *Server {
+	s := &Server{
+		options:    options,
+		dispatcher: d,
+		conns:      newConnTable(options.MaxConns, options.MaxIdleConns, options.Logger),
+		shutdown:   dispatcher.NewShutdownSchedule(options.MaxDeadline),
+	}
+	// The table closes idle connections, after a check that nothing is unread. net/http's own timeout, which checks nothing,
+	// is longer than the table's and than the time for which a shutdown keeps connections.
+	netHTTPIdleTimeout := keepAliveTimeout + keepAliveTimeout/2 + s.shutdown.ServeConnsFor
+	s.http = http.Server{
+		Handler:        s,
+		ReadTimeout:    requestTimeout,
+		IdleTimeout:    netHTTPIdleTimeout,
+		MaxHeaderBytes: maxHeaderBytes,
+		ConnState:      s.conns.onConnState,
+		ConnContext:    contextWithConn,
+		ErrorLog:       slog.NewLogLogger(options.Logger.Handler(), slog.LevelWarn),
+	}
 	return s
 }
 
-// Serve accepts until Stop.
+// Serve accepts and serves connections until Shutdown, and returns nil then. Otherwise it returns the permanent error of the
+// listener that ended it.
 func (s *Server) Serve(l net.Listener) error {
 	s.listener.Store(&l)
 	ended := make(chan struct{})
 	defer close(ended)
-	go func() {
-		tick := time.NewTicker(idleFor / 8)
-		defer tick.Stop()
-		for {
-			select {
-			case <-ended:
-				return
-			case <-tick.C:
-				s.conns.endIdle(idleFor, stopWithin)
-			}
-		}
-	}()
+	go s.closeTimedOutConns(ended)
 	err := s.http.Serve(&listener{Listener: l, table: s.conns})
-	if errors.Is(err, http.ErrServerClosed) || s.left.Load() != nil {
+	if errors.Is(err, http.ErrServerClosed) || s.shutdownAt.Load() != nil {
 		return nil
 	}
 	return err
 }
 
-var _ Dispatcher = (*dispatcher.Dispatcher)(nil)
+// closeTimedOutConns closes connections whose time is over, until the channel is closed.
+func (s *Server) closeTimedOutConns(ended <-chan struct{}) {
+	ticker := time.NewTicker(timeoutCheckInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ended:
+			return
+		case <-ticker.C:
+			s.conns.closeTimedOut(keepAliveTimeout, partialRequestTimeout)
+		}
+	}
+}
--- a/internal/clienthttp/server_test.go
+++ b/internal/clienthttp/server_test.go
@@ -265,7 +265,7 @@
 				j = <-b.jobs
 			}
 			if i%8 == 0 {
-				time.Sleep(2 * lookEvery)
+				time.Sleep(2 * peerCheckInterval)
 			}
 			j.Respond(dispatcher.Response{Payload: []byte("x")})
 			resp, err := http.ReadResponse(in, nil)
@@ -336,7 +336,7 @@
 		}
 	})
 	j := <-b.jobs
-	time.Sleep(requestWithin + 200*time.Millisecond)
+	time.Sleep(requestTimeout + 200*time.Millisecond)
 	j.Respond(dispatcher.Response{Payload: []byte("x")})
 	wait.Wait()
 	if len(b.jobs)+len(b.gone) > 0 {
@@ -395,7 +395,7 @@
 			defer c.Close()
 			io.WriteString(c, raw)
 		}
-		time.Sleep(5 * silentFor)
+		time.Sleep(5 * silentTimeout)
 		go func() {
 			for range 7 {
 				(<-b.jobs).Respond(dispatcher.Response{Payload: []byte("x")})
@@ -418,9 +418,9 @@
 // that count them among their own would never meet. Those with a request may use all of it.
 func TestIdleMakeRoomEarly(t *testing.T) {
 	s, b, addr := newFront(t, 8)
-	s.conns.mu.Lock()
-	s.conns.easy = 3
-	s.conns.mu.Unlock()
+	s.conns.mutex.Lock()
+	s.conns.maxIdle = 3
+	s.conns.mutex.Unlock()
 	go func() {
 		for range 6 {
 			(<-b.jobs).Respond(dispatcher.Response{Payload: []byte("x")})
@@ -428,13 +428,13 @@
 	}()
 	for range 6 {
 		ask(t, addr, good)
-		time.Sleep(2 * unusedFor)
+		time.Sleep(2 * unusedTimeout)
 	}
-	s.conns.mu.Lock()
+	s.conns.mutex.Lock()
 	if n := len(s.conns.open); n > 3 {
 		t.Errorf("%d connections without a request are kept, want 3", n)
 	}
-	s.conns.mu.Unlock()
+	s.conns.mutex.Unlock()
 	for i := range 8 {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
@@ -454,14 +454,14 @@
 // has gone out, so a client may be ahead of it.
 func awaitQuiet(s *Server, n int) {
 	for found := -1; found != n; time.Sleep(time.Millisecond) {
-		s.conns.mu.Lock()
+		s.conns.mutex.Lock()
 		found = 0
 		for c := range s.conns.open {
-			if c.phase.Load() == quiet {
+			if c.state.Load() == stateIdle {
 				found++
 			}
 		}
-		s.conns.mu.Unlock()
+		s.conns.mutex.Unlock()
 	}
 }
 
@@ -526,7 +526,7 @@
 	j := <-b.jobs
 	stopped := make(chan error, 1)
 	go func() { stopped <- s.Shutdown(context.Background()) }()
-	for s.left.Load() == nil {
+	for s.shutdownAt.Load() == nil {
 		time.Sleep(time.Millisecond)
 	}
 	resp, _, kept := ask(t, addr, ready)
@@ -582,17 +582,17 @@
 	defer fresh.Close()
 	stopped := make(chan error, 1)
 	go func() { stopped <- s.Shutdown(context.Background()) }()
-	for s.left.Load() == nil {
+	for s.shutdownAt.Load() == nil {
 		time.Sleep(time.Millisecond)
 	}
-	dispatcher.WaitUntil(context.Background(), s.left.Load().Add(s.shutdown.ServeConnsFor-requestWithin/4))
+	dispatcher.WaitUntil(context.Background(), s.shutdownAt.Load().Add(s.shutdown.ServeConnsFor-requestTimeout/4))
 	for _, c := range []net.Conn{used, fresh} {
 		io.WriteString(c, good[:len(good)/2])
 	}
-	for !s.ending.Load() {
+	for !s.closeAfterResponse.Load() {
 		time.Sleep(time.Millisecond)
 	}
-	time.Sleep(4 * endEvery)
+	time.Sleep(4 * shutdownPollInterval)
 	for name, c := range map[string]net.Conn{"used": used, "new": fresh} {
 		resp, _, _ := say(t, c, good[len(good)/2:])
 		if resp.StatusCode != 200 || !resp.Close {
@@ -642,18 +642,18 @@
 	table := newConnTable(8, 8, slog.New(slog.DiscardHandler))
 	c := table.add(in)
 	evict := func() bool {
-		table.mu.Lock()
-		defer table.mu.Unlock()
-		return table.evict(c, quiet, "CAP")
+		table.mutex.Lock()
+		defer table.mutex.Unlock()
+		return table.evict(c, stateIdle, reasonConnectionLimit)
 	}
 	closed := false
-	c.raw = afterRead{c.raw, func() { closed = evict() }}
+	c.rawConn = afterRead{c.rawConn, func() { closed = evict() }}
 	io.WriteString(client, "G")
 	if n, err := c.Read(make([]byte, 8)); n != 1 || err != nil || closed {
 		t.Errorf("read %d, %v; closed over it: %v", n, err, closed)
 	}
-	c.phase.Store(quiet)
-	c.raw = afterRead{c.raw.(afterRead).RawConn, func() {}}
+	c.state.Store(stateIdle)
+	c.rawConn = afterRead{c.rawConn.(afterRead).RawConn, func() {}}
 	if !evict() {
 		t.Error("a quiet connection was not closed")
 	}
@@ -682,8 +682,8 @@
 	_, in := connPair(t)
 	table := newConnTable(8, 8, slog.New(slog.DiscardHandler))
 	c := table.add(in)
-	read := inRead{c.raw, make(chan bool), make(chan bool)}
-	c.raw = read
+	read := inRead{c.rawConn, make(chan bool), make(chan bool)}
+	c.rawConn = read
 	ended, closed := make(chan error, 1), make(chan bool, 1)
 	go func() {
 		_, err := c.Read(make([]byte, 8))
@@ -691,11 +691,11 @@
 	}()
 	<-read.begun
 	go func() {
-		table.mu.Lock()
-		defer table.mu.Unlock()
-		closed <- table.evict(c, quiet, "CAP")
+		table.mutex.Lock()
+		defer table.mutex.Unlock()
+		closed <- table.evict(c, stateIdle, reasonConnectionLimit)
 	}()
-	for c.phase.Load() != evicted {
+	for c.state.Load() != stateClosed {
 		time.Sleep(time.Millisecond)
 	}
 	read.on <- true
--- a/internal/faulttest/regression_test.go
+++ b/internal/faulttest/regression_test.go
@@ -217,7 +217,7 @@
 // Sequence: a client opens a connection and sends its first request just before the 2 s that it has for that are over, while the
 // initiator is held up. It goes on after the 2 s.
 // Cause: the time-out ended the connection by the clock, with no look at what had come by then.
-// Settled by this test: the clients' connections are reset, and the log has them as SILENT.
+// Settled by this test: the clients' connections are reset, and the log has them as IDLE_TIMEOUT.
 func TestRequestAtTheReadTimeoutIsAnswered(t *testing.T) {
 	w := newWorld(t, serveAtOnce)
 	begun := time.Now()
