--- a/internal/clienthttp/conn.go
+++ b/internal/clienthttp/conn.go
@@ -238,6 +238,16 @@
 	return c.Conn != nil && socket.IsPeerClosed(c.Conn)
 }
 
+// isPipelined tells whether more than one request has arrived at a time.
+func (c *clientConn) isPipelined() bool {
+	select {
+	case <-c.pipelined:
+		return true
+	default:
+		return false
+	}
+}
+
 // claimRequest marks the request that has been read as in flight. It aborts the handler if the connection was closed in
 // the meantime.
 func (c *clientConn) claimRequest() {
--- a/internal/clienthttp/handler.go
+++ b/internal/clienthttp/handler.go
@@ -1,6 +1,7 @@
 package clienthttp
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"io"
@@ -9,9 +10,12 @@
 	"time"
 
 	"dapplegate/internal/dispatcher"
+	"dapplegate/internal/httpmsg"
 )
 
 const (
+	// readinessPath is where the platform asks whether clients may be sent here.
+	readinessPath = "/-/ready"
 	// peerCheckInterval is how often a client that sent more than one request at a time is checked for a close: nothing may
 	// be forwarded for it 0.1 s after it has closed.
 	peerCheckInterval = 25 * time.Millisecond
@@ -21,84 +25,50 @@
 	// can read the response before a reset.
 	bodyDrainTimeout = 3 * time.Second
 	maxDrainedBytes  = 64 << 20
+	// drainBufferSize is in bytes.
+	drainBufferSize = 16 << 10
 )
 
+// ServeHTTP implements http.Handler: it reads a request, hands it to the dispatcher and writes the response.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	conn := connFromContext(r.Context())
-	arrived := conn.receivedAt()
-	if ready := r.URL.Path == "/-/ready"; ready || s.options.HealthOnly || conn.overLimit {
+	receivedAt := conn.receivedAt()
+	if r.URL.Path == readinessPath || s.options.HealthOnly || conn.overLimit {
 		conn.claimRequest()
-		switch {
-		case ready:
-			s.ready(w)
-		case s.options.HealthOnly:
-			http.NotFound(w, r)
-		default:
-			w.Header().Set("Connection", "close")
-			s.write(w, dispatcher.Overloaded)
-		}
+		s.respondLocally(w, r)
 		return
 	}
-	j, m, f := s.parseHead(r)
-	if f == nil {
-		m.Body, f = readBody(r)
-	}
-	if f != nil {
-		refuseBad(w, r, conn, f)
+	call, message, requestError := s.readRequest(r)
+	if requestError != nil {
+		rejectMalformed(w, r, conn, requestError)
 		return
 	}
-	conn.openRequestID.Store(&j.ClientRequestID)
+	conn.openRequestID.Store(&call.ClientRequestID)
 	conn.claimRequest()
-	if len(m.Body) > 0 {
-		arrived = conn.receivedAt()
-	}
-	// The time for the request to come must not run out on it while it is open.
-	if err := http.NewResponseController(w).SetReadDeadline(time.Time{}); err != nil && !errors.Is(err, http.ErrNotSupported) {
-		panic(http.ErrAbortHandler)
-	}
-	j.ClientTimeout = s.shutdown.LimitTimeout(j.ClientTimeout, arrived, s.shutdownAt.Load())
-	// The core's goroutine must not wait for a client: the answer has a place of its own.
-	final := make(chan dispatcher.Response, 1)
-	j.ReceivedAt, j.Payload, j.Respond, j.ClientGone = arrived, m, func(a dispatcher.Response) { final <- a }, conn.peerClosed
-	ahead := conn.pipelined
-	select {
-	case <-ahead:
-		if conn.peerClosed() { // with this request unread
-			panic(http.ErrAbortHandler)
-		}
-	default:
+	if len(message.Body) > 0 {
+		receivedAt = conn.receivedAt()
 	}
-	if !s.dispatcher.Submit(j) {
-		// Nothing of it was taken or sent: a repeat is harmless.
-		s.write(w, dispatcher.Overloaded)
-		return
-	}
-	left := r.Context().Done()
-	var look <-chan time.Time
-	for {
-		select {
-		case a := <-final:
-			s.write(w, a)
-			return
-		case <-ahead:
-			tick := time.NewTicker(peerCheckInterval)
-			defer tick.Stop()
-			ahead, look = nil, tick.C
-			continue
-		case <-look:
-			if !conn.peerClosed() {
-				continue
-			}
-		case <-left:
-		}
-		conn.noteCloseReason(reasonClientAborted)
-		s.dispatcher.Cancel(j)
-		// A plain return would be answered with an empty 200, which no target made.
-		panic(http.ErrAbortHandler)
+	liftReadDeadline(w)
+	call.ReceivedAt = receivedAt
+	call.ClientTimeout = s.shutdown.LimitTimeout(call.ClientTimeout, receivedAt, s.shutdownAt.Load())
+	call.ClientGone = conn.peerClosed
+	s.dispatch(w, r, conn, call)
+}
+
+// respondLocally responds to a request that does not go to the dispatcher.
+func (s *Server) respondLocally(w http.ResponseWriter, r *http.Request) {
+	switch {
+	case r.URL.Path == readinessPath:
+		s.respondReadiness(w)
+	case s.options.HealthOnly:
+		http.NotFound(w, r)
+	default: // the connection is over the limit
+		w.Header().Set("Connection", "close")
+		s.writeResponse(w, dispatcher.Overloaded)
 	}
 }
 
-func (s *Server) ready(w http.ResponseWriter) {
+func (s *Server) respondReadiness(w http.ResponseWriter) {
 	switch {
 	case s.shutdownAt.Load() != nil:
 		http.Error(w, "leaving", http.StatusServiceUnavailable)
@@ -109,39 +79,117 @@
 	}
 }
 
-// refuseBad answers what could not be taken, before what is left of its body, and then reads that away for a while. None
-// of these is a 429 or 503: a repeat would fare no better.
-func refuseBad(w http.ResponseWriter, r *http.Request, conn *clientConn, f *RequestError) {
+// readRequest reads the head and the body of a request.
+func (s *Server) readRequest(r *http.Request) (*dispatcher.Call, *httpmsg.Request, *RequestError) {
+	call, message, err := s.parseHead(r)
+	if err != nil {
+		return nil, nil, err
+	}
+	message.Body, err = readBody(r)
+	if err != nil {
+		return nil, nil, err
+	}
+	call.Payload = message
+	return call, message, nil
+}
+
+// liftReadDeadline lifts the deadline for the request to arrive, which must not end the connection while the request is in
+// flight.
+func liftReadDeadline(w http.ResponseWriter) {
+	err := http.NewResponseController(w).SetReadDeadline(time.Time{})
+	if err != nil && !errors.Is(err, http.ErrNotSupported) {
+		panic(http.ErrAbortHandler)
+	}
+}
+
+// dispatch submits the call, and writes its response or cancels it when the client closes.
+func (s *Server) dispatch(w http.ResponseWriter, r *http.Request, conn *clientConn, call *dispatcher.Call) {
+	// The buffer keeps the dispatcher's goroutine from waiting for this one.
+	responses := make(chan dispatcher.Response, 1)
+	call.Respond = func(response dispatcher.Response) { responses <- response }
+	if conn.isPipelined() && conn.peerClosed() {
+		// The client closed while this request waited unread behind another.
+		panic(http.ErrAbortHandler)
+	}
+	if !s.dispatcher.Submit(call) {
+		s.writeResponse(w, dispatcher.Overloaded)
+		return
+	}
+	response, ok := awaitResponse(r.Context(), conn, responses)
+	if !ok {
+		conn.noteCloseReason(reasonClientAborted)
+		s.dispatcher.Cancel(call)
+		// After a plain return net/http would write an empty 200, a response that no target gave.
+		panic(http.ErrAbortHandler)
+	}
+	s.writeResponse(w, response)
+}
+
+// awaitResponse waits for the response, or until the client closes the connection: ok is false then.
+//
+// It guards against forwarding requests of a client that has closed: once a pipelined request has arrived, net/http stops its
+// background reads and never cancels the context. From then on the connection itself is checked.
+func awaitResponse(ctx context.Context, conn *clientConn, responses <-chan dispatcher.Response) (response dispatcher.Response, ok bool) {
+	pipelined := conn.pipelined
+	var peerCheck <-chan time.Time
+	for {
+		select {
+		case response := <-responses:
+			return response, true
+		case <-pipelined:
+			ticker := time.NewTicker(peerCheckInterval)
+			defer ticker.Stop()
+			peerCheck = ticker.C
+			pipelined = nil
+		case <-peerCheck:
+			if conn.peerClosed() {
+				return dispatcher.Response{}, false
+			}
+		case <-ctx.Done():
+			return dispatcher.Response{}, false
+		}
+	}
+}
+
+// rejectMalformed responds to a request that cannot be accepted, before the rest of its body, and then reads and discards
+// that for a while. None of these responses is a 429 or 503: a retry would have the same result.
+func rejectMalformed(w http.ResponseWriter, r *http.Request, conn *clientConn, requestError *RequestError) {
 	conn.claimRequest()
-	rc := http.NewResponseController(w)
-	// Without it net/http would first wait for the body, which may never come.
-	rc.EnableFullDuplex()
+	controller := http.NewResponseController(w)
+	// Without full duplex net/http would first wait for the body, which may never come.
+	_ = controller.EnableFullDuplex()
 	w.Header().Set("Connection", "close")
-	http.Error(w, f.Message, f.Status)
-	flushed := rc.Flush() == nil
+	http.Error(w, requestError.Message, requestError.Status)
+	flushed := controller.Flush() == nil
 	conn.state.CompareAndSwap(stateInFlight, stateRejected)
-	if flushed && f.Status != http.StatusRequestTimeout && rc.SetReadDeadline(time.Now().Add(bodyDrainTimeout)) == nil {
-		io.CopyBuffer(struct{ io.Writer }{io.Discard}, io.LimitReader(r.Body, maxDrainedBytes), make([]byte, 16<<10))
+	if !flushed || requestError.Status == http.StatusRequestTimeout {
+		return
 	}
+	if controller.SetReadDeadline(time.Now().Add(bodyDrainTimeout)) == nil {
+		drainBody(r.Body)
+	}
+}
+
+// drainBody reads and discards a body, up to the read deadline and maxDrainedBytes.
+//
+// It guards against a reset over unread bytes, which would take the response from a client that is still sending.
+func drainBody(body io.Reader) {
+	discard := struct{ io.Writer }{io.Discard} // hides io.Discard's ReadFrom, which would not use the buffer
+	_, _ = io.CopyBuffer(discard, io.LimitReader(body, maxDrainedBytes), make([]byte, drainBufferSize))
 }
 
-// write gives the one final answer. Its length is told ahead, so that a cut one shows.
-func (s *Server) write(w http.ResponseWriter, a dispatcher.Response) {
+// writeResponse writes the final response of a request. A failed write shows in the connection's close reason.
+func (s *Server) writeResponse(w http.ResponseWriter, response dispatcher.Response) {
 	if s.closeAfterResponse.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	switch a.Status {
+	switch response.Status {
 	case dispatcher.Served:
-		body, _ := a.Payload.([]byte)
-		http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
-		h := w.Header()
-		h.Set("Content-Type", "application/octet-stream")
-		h.Set("Content-Length", strconv.Itoa(len(body)))
-		w.WriteHeader(http.StatusOK)
-		w.Write(body)
+		body, _ := response.Payload.([]byte)
+		writeBody(w, body)
 	case dispatcher.Rejected:
-		if a.RetryAfter > 0 {
-			w.Header().Set("Retry-After", fmt.Sprintf("%.3f", a.RetryAfter.Seconds()))
+		if response.RetryAfter > 0 {
+			w.Header().Set("Retry-After", fmt.Sprintf("%.3f", response.RetryAfter.Seconds()))
 		}
 		http.Error(w, "refused: trying again is harmless", http.StatusServiceUnavailable)
 	case dispatcher.Duplicate:
@@ -151,3 +199,12 @@
 		http.Error(w, "failed: it may have run", http.StatusBadGateway)
 	}
 }
+
+// writeBody writes a target's data with a Content-Length, so that a client can tell a truncated response from a complete one.
+func writeBody(w http.ResponseWriter, body []byte) {
+	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
+	w.Header().Set("Content-Type", "application/octet-stream")
+	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
+	w.WriteHeader(http.StatusOK)
+	_, _ = w.Write(body)
+}
