--- a/internal/nvme/host.go
+++ b/internal/nvme/host.go
@@ -393,12 +393,12 @@
 	return err
 }
 
-// Alive implements upstream.Session.
-func (s *session) Alive() bool { return s.in.Buffered() == 0 && socket.IsQuiet(s.Conn) }
+// IsIdle implements upstream.Conn.
+func (s *session) IsIdle() bool { return s.in.Buffered() == 0 && socket.IsQuiet(s.Conn) }
 
-// Do carries one read or write. A write's data goes in the capsule where it fits, otherwise when the
+// RoundTrip carries one read or write. A write's data goes in the capsule where it fits, otherwise when the
 // controller asks; until the last byte of it is written, it cannot have begun.
-func (s *session) RoundTrip(a dispatcher.Attempt, first func() bool) (r dispatcher.AttemptResult, reuse bool, reason string) {
+func (s *session) RoundTrip(a dispatcher.Attempt, mayStart func() bool) upstream.RoundTripResult {
 	x := a.Payload.(*IORequest)
 	op := byte(opRead)
 	if x.Write {
@@ -415,32 +415,33 @@
 	}
 	capsule := appendPDU(nil, s.framing, typeCmd, 0, c[:], data)
 	s.SetDeadline(a.Deadline)
-	if !first() {
-		r.Status = scheduler.NotSent
-		return r, false, "NOT_SENT"
+	if !mayStart() {
+		return upstream.NoResponse(scheduler.NotSent, upstream.ReasonNotSent)
 	}
 	if n, err := s.Write(capsule); n < len(capsule) {
-		r.Status = scheduler.ConnectFailed
-		return r, false, "WRITE_" + upstream.ErrorReason(err)
+		return upstream.NoResponse(scheduler.ConnectFailed, upstream.WriteFailed(err))
 	}
 	written := !x.Write || inside
 	st, body, err := s.finish(c, x, &written)
 	if err != nil {
+		outcome := scheduler.ConnectionReset
 		switch {
 		case !written:
-			r.Status = scheduler.ConnectFailed
+			outcome = scheduler.ConnectFailed
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			r.Status = scheduler.DeadlineExceeded
-		default:
-			r.Status = scheduler.ConnectionReset
+			outcome = scheduler.DeadlineExceeded
 		}
 		if errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, net.ErrClosed) {
 			s.from.abort(s.qid, c.cid())
 		}
-		return r, false, "READ_" + upstream.ErrorReason(err)
+		return upstream.NoResponse(outcome, upstream.ReadFailed(err))
 	}
+	var r upstream.RoundTripResult
 	r.Status, r.Payload = outcomeOf(st), body
-	return r, s.SetDeadline(time.Time{}) == nil, "CLOSED"
+	if s.SetDeadline(time.Time{}) != nil {
+		r.CloseReason = upstream.ReasonClosed
+	}
+	return r
 }
 
 // finish plays the controller's side of the command until its completion.
--- a/internal/nvme/nvme_test.go
+++ b/internal/nvme/nvme_test.go
@@ -299,13 +299,13 @@
 		queue := &session{wire: c.io, from: &association{talk: make(chan struct{}, 1)}, inside: inCapsule}
 		always := func() bool { return true }
 		until := time.Now().Add(patient)
-		got, _, reason := queue.RoundTrip(dispatcher.Attempt{Deadline: until, Payload: &IORequest{Write: true, NSID: 1, SLBA: 100, Blocks: 200, Bytes: len(large), Data: large}}, always)
+		got := queue.RoundTrip(dispatcher.Attempt{Deadline: until, Payload: &IORequest{Write: true, NSID: 1, SLBA: 100, Blocks: 200, Bytes: len(large), Data: large}}, always)
 		if got.Status != scheduler.Succeeded {
-			t.Fatalf("large write: %+v, %s", got, reason)
+			t.Fatalf("large write: %+v, %s", got, got.CloseReason)
 		}
-		got, _, reason = queue.RoundTrip(dispatcher.Attempt{Deadline: until, Payload: &IORequest{NSID: 1, SLBA: 100, Blocks: 200, Bytes: len(large)}}, always)
+		got = queue.RoundTrip(dispatcher.Attempt{Deadline: until, Payload: &IORequest{NSID: 1, SLBA: 100, Blocks: 200, Bytes: len(large)}}, always)
 		if body, _ := got.Payload.([]byte); got.Status != scheduler.Succeeded || !bytes.Equal(body, large) {
-			t.Fatalf("large read: %v, %d bytes, %s", got.Status, len(body), reason)
+			t.Fatalf("large read: %v, %d bytes, %s", got.Status, len(body), got.CloseReason)
 		}
 	}
 }
@@ -394,11 +394,11 @@
 		bytesSent <- len(b)
 	}()
 	queue := &session{wire: &wire{Conn: near}, from: &association{talk: make(chan struct{}, 1), inUse: map[uint16]bool{}}}
-	r, reuse, _ := queue.RoundTrip(dispatcher.Attempt{Deadline: time.Now().Add(patient), Payload: &IORequest{NSID: 1, Blocks: 1, Bytes: blockSize}},
+	r := queue.RoundTrip(dispatcher.Attempt{Deadline: time.Now().Add(patient), Payload: &IORequest{NSID: 1, Blocks: 1, Bytes: blockSize}},
 		func() bool { return false })
 	queue.Close()
-	if n := <-bytesSent; r.Status != scheduler.NotSent || reuse || n != 0 {
-		t.Errorf("code %v, kept %v, %d bytes sent; want it not sent", r.Status, reuse, n)
+	if n := <-bytesSent; r.Status != scheduler.NotSent || r.Reusable() || n != 0 {
+		t.Errorf("code %v, kept %v, %d bytes sent; want it not sent", r.Status, r.Reusable(), n)
 	}
 }
 
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -29,7 +29,7 @@
 func (t *target) attempt(y *try, c *conn) {
 	r := dispatcher.AttemptResult{Status: scheduler.ConnectFailed}
 	var again *conn
-	reason, used := "CONNECT_FAILED", 0
+	reason, used := ReasonConnectFailed, 0
 	if c != nil {
 		c = t.awaitRest(y, c)
 	}
@@ -67,11 +67,11 @@
 		return c
 	case <-wait.C:
 	}
-	if c.Alive() {
+	if c.IsIdle() {
 		return c
 	}
 	c.Close()
-	t.logEnd(c.used, "TARGET_CLOSED_IDLE", "")
+	t.logEnd(c.used, ReasonClosedWhileIdle, "")
 	return nil
 }
 
@@ -113,7 +113,7 @@
 }
 
 // exchange has the attempt carried out on c, and returns c if it can be used again.
-func (t *target) exchange(y *try, c *conn, r *dispatcher.AttemptResult) (*conn, string) {
+func (t *target) exchange(y *try, c *conn, r *dispatcher.AttemptResult) (*conn, CloseReason) {
 	if !y.hold(c.Conn) || y.clientGone() {
 		r.Status = scheduler.NotSent
 		return c, ""
@@ -121,26 +121,28 @@
 	c.used++
 	t.opt.Logger.LogAttrs(y.ctx, slog.LevelDebug, "attempt begins", slog.String("request", y.ClientRequestID), slog.Int("attempt", y.Number),
 		slog.String("peer", t.id), slog.Int("requests", c.used), slog.Duration("rested", c.rested()))
-	var reuse bool
-	var reason string
-	*r, reuse, reason = c.RoundTrip(y.Attempt, func() bool { return t.mayBegin(y, c) })
+	result := c.RoundTrip(y.Attempt, func() bool { return t.mayBegin(y, c) })
+	*r = result.AttemptResult
 	if y.calledOff() {
 		switch r.Status {
 		case scheduler.Succeeded, scheduler.NotSent, scheduler.ConnectFailed:
+			if result.Reusable() {
+				return nil, ReasonClosed
+			}
 		default:
-			r.Status, reason = scheduler.Cancelled, "CANCELLED"
+			r.Status, result.CloseReason = scheduler.Cancelled, ReasonCancelled
 		}
-		return nil, reason
+		return nil, result.CloseReason
 	}
-	if !reuse {
-		return nil, reason
+	if !result.Reusable() {
+		return nil, result.CloseReason
 	}
 	return c, ""
 }
 
 // mayBegin is the last look before the first byte of an attempt. What has come on its connection by then is not its answer.
 func (t *target) mayBegin(y *try, c *conn) bool {
-	if !c.Alive() || !open(&t.state) || !y.StartBy.IsZero() && !time.Now().Before(y.StartBy) {
+	if !c.IsIdle() || !open(&t.state) || !y.StartBy.IsZero() && !time.Now().Before(y.StartBy) {
 		return false
 	}
 	return !y.clientGone()
--- /dev/null
+++ b/internal/upstream/closereason.go
@@ -0,0 +1,53 @@
+package upstream
+
+import (
+	"errors"
+	"io"
+	"net"
+	"os"
+	"syscall"
+)
+
+// CloseReason says in the log why a connection to a target ended.
+type CloseReason string
+
+// Reasons that an attempt or the pool closes a connection for. Failed reads and writes have further ones: see ReadFailed
+// and WriteFailed.
+const (
+	ReasonConnectFailed    CloseReason = "CONNECT_FAILED"
+	ReasonNotSent          CloseReason = "NOT_SENT"
+	ReasonCancelled        CloseReason = "CANCELLED"
+	ReasonResponseStalled  CloseReason = "READ_STALLED"
+	ReasonResponseTooLarge CloseReason = "RESPONSE_TOO_LARGE"
+	ReasonConnectionClose  CloseReason = "CONNECTION_CLOSE" // the target announced it, or sent more than its response
+	ReasonClosed           CloseReason = "CLOSED"           // closed on this side while the attempt ended
+	ReasonClosedWhileIdle  CloseReason = "CLOSED_WHILE_IDLE"
+	ReasonIdleTimeout      CloseReason = "IDLE_TIMEOUT"
+	ReasonTargetDraining   CloseReason = "TARGET_DRAINING"
+	ReasonTargetRemoved    CloseReason = "TARGET_REMOVED"
+	ReasonAddressChanged   CloseReason = "ADDRESS_CHANGED"
+)
+
+// ReadFailed returns the reason for closing a connection on which a read ended with the error.
+func ReadFailed(err error) CloseReason { return "READ_" + errorReason(err) }
+
+// WriteFailed returns the reason for closing a connection on which a write ended with the error.
+func WriteFailed(err error) CloseReason { return "WRITE_" + errorReason(err) }
+
+func errorReason(err error) CloseReason {
+	switch {
+	case errors.Is(err, os.ErrDeadlineExceeded):
+		return "TIMEOUT"
+	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF):
+		return "EOF"
+	case errors.Is(err, syscall.ECONNRESET), errors.Is(err, syscall.EPIPE):
+		return "RESET"
+	case errors.Is(err, net.ErrClosed):
+		return "CLOSED"
+	case errors.Is(err, errBodyTooLarge):
+		return "TOO_LARGE"
+	case errors.Is(err, errMemoryBudget):
+		return "MEMORY_BUDGET"
+	}
+	return "MALFORMED"
+}
--- a/internal/upstream/http.go
+++ b/internal/upstream/http.go
@@ -12,7 +12,6 @@
 	"strconv"
 	"strings"
 	"sync/atomic"
-	"syscall"
 	"time"
 
 	"dapplegate/internal/dispatcher"
@@ -82,19 +81,17 @@
 // Do writes the request and reads the answer. The outcome is judged by the bytes written: short of the last
 // one the target cannot have begun, after it the attempt may have run. Write, head and body are all bounded
 // by the attempt's time.
-func (c *httpSession) RoundTrip(a dispatcher.Attempt, first func() bool) (r dispatcher.AttemptResult, reuse bool, reason string) {
+func (c *httpSession) RoundTrip(a dispatcher.Attempt, mayStart func() bool) RoundTripResult {
 	c.SetDeadline(a.Deadline)
 	m := a.Payload.(*httpmsg.Request)
 	wait := max(time.Until(a.Deadline).Milliseconds(), 1)
 	whole := append(appendHead(make([]byte, 0, 256+len(m.Body)), m, c.host, wait), m.Body...)
 	// The last look before the first byte: news may have come while the connection was being made.
-	if !first() {
-		r.Status = scheduler.NotSent
-		return r, false, "NOT_SENT"
+	if !mayStart() {
+		return NoResponse(scheduler.NotSent, ReasonNotSent)
 	}
 	if n, err := c.Write(whole); n < len(whole) {
-		r.Status = scheduler.ConnectFailed
-		return r, false, "WRITE_" + ErrorReason(err)
+		return NoResponse(scheduler.ConnectFailed, WriteFailed(err))
 	}
 	parts := &stallReader{Conn: c.Conn, until: a.Deadline}
 	limit := &io.LimitedReader{R: parts}
@@ -114,28 +111,32 @@
 		return err
 	})
 	if err != nil {
-		r.Status = scheduler.ConnectionReset
 		switch late := errors.Is(err, os.ErrDeadlineExceeded); {
 		case late && parts.begun && time.Now().Before(a.Deadline):
-			return r, false, "READ_STALLED"
+			return NoResponse(scheduler.ConnectionReset, ReasonResponseStalled)
 		case late:
-			r.Status = scheduler.DeadlineExceeded
+			return NoResponse(scheduler.DeadlineExceeded, ReadFailed(err))
 		case limit.N <= 0:
-			return r, false, "ANSWER_TOO_LARGE"
+			return NoResponse(scheduler.ConnectionReset, ReasonResponseTooLarge)
 		}
-		return r, false, "READ_" + ErrorReason(err)
+		return NoResponse(scheduler.ConnectionReset, ReadFailed(err))
 	}
+	var r RoundTripResult
 	r.Status, r.LoadReport, r.VolumeUsage, r.Payload = ans.code(), ans.load, ans.used, ans.body
 	if ans.close || in.Buffered() > 0 {
-		return r, false, "TARGET_CLOSES"
+		r.CloseReason = ReasonConnectionClose
+		return r
 	}
 	// An attempt's time must not outlive it: once past, the next look at the idle connection would fail and
 	// take a healthy connection for a closed one.
-	return r, c.SetDeadline(time.Time{}) == nil, "CLOSED"
+	if c.SetDeadline(time.Time{}) != nil {
+		r.CloseReason = ReasonClosed
+	}
+	return r
 }
 
-// Alive implements Session.
-func (c *httpSession) Alive() bool { return socket.IsQuiet(c.Conn) }
+// IsIdle implements Conn.
+func (c *httpSession) IsIdle() bool { return socket.IsQuiet(c.Conn) }
 
 // appendHead writes the request's head. What is not listed in the protocol is not sent.
 func appendHead(b []byte, m *httpmsg.Request, host string, waitMs int64) []byte {
@@ -178,9 +179,9 @@
 }
 
 var (
-	errTooLarge = errors.New("answer's body is too large")
-	errNoRoom   = errors.New("answers take too much memory together")
-	errInformed = errors.New("too many answers of the kind 1xx")
+	errBodyTooLarge         = errors.New("answer's body is too large")
+	errMemoryBudget         = errors.New("answers take too much memory together")
+	errTooManyInformational = errors.New("too many answers of the kind 1xx")
 )
 
 // readAnswer reads one whole answer, its body within the room there is; await is called before each head and before the
@@ -196,7 +197,7 @@
 		}
 		if resp.StatusCode/100 == 1 && resp.StatusCode != http.StatusSwitchingProtocols {
 			if informed == mostInformed {
-				return nil, errInformed
+				return nil, errTooManyInformational
 			}
 			continue
 		}
@@ -206,7 +207,7 @@
 			a.used = n + 1 // the header is the percentage itself; the module's 0 means not told
 		}
 		if resp.ContentLength > maxAnswer {
-			return nil, errTooLarge
+			return nil, errBodyTooLarge
 		}
 		if err := await(false); err != nil {
 			return nil, err
@@ -217,7 +218,7 @@
 		}
 		defer room.Add(most)
 		if room.Add(-most) < 0 {
-			return nil, errNoRoom
+			return nil, errMemoryBudget
 		}
 		var body bytes.Buffer
 		if resp.ContentLength > 0 {
@@ -226,7 +227,7 @@
 		if n, err := body.ReadFrom(io.LimitReader(resp.Body, maxAnswer+1)); err != nil {
 			return nil, err
 		} else if n > maxAnswer {
-			return nil, errTooLarge
+			return nil, errBodyTooLarge
 		}
 		a.body = body.Bytes()
 		return a, nil
@@ -260,22 +261,3 @@
 	}
 	return l
 }
-
-// Cause is the reason code of a failed read or write.
-func ErrorReason(err error) string {
-	switch {
-	case errors.Is(err, os.ErrDeadlineExceeded):
-		return "TIMEOUT"
-	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF):
-		return "EOF"
-	case errors.Is(err, syscall.ECONNRESET), errors.Is(err, syscall.EPIPE):
-		return "RESET"
-	case errors.Is(err, net.ErrClosed):
-		return "CLOSED"
-	case errors.Is(err, errTooLarge):
-		return "TOO_LARGE"
-	case errors.Is(err, errNoRoom):
-		return "NO_ROOM"
-	}
-	return "MALFORMED"
-}
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -83,11 +83,11 @@
 func (t *target) takeAt(i int) *conn {
 	c := t.idle[i]
 	t.idle = slices.Delete(t.idle, i, i+1)
-	if c.Alive() {
+	if c.IsIdle() {
 		return c
 	}
 	// Closed by the target while idle, or it speaks unasked: no byte of the attempt has been near it.
-	t.drop(c, "TARGET_CLOSED_IDLE")
+	t.drop(c, ReasonClosedWhileIdle)
 	return nil
 }
 
@@ -105,12 +105,12 @@
 // prune closes idle connections that nothing will use: too old, of an old address, of a target that leaves.
 func (t *target) prune() {
 	now, addr := time.Now(), t.address()
-	t.closeIdle("TARGET_LEAVES", func(*conn) bool { return !open(&t.state) })
-	t.closeIdle("TARGET_MOVED", func(c *conn) bool { return c.addr != addr })
-	t.closeIdle("IDLE", func(c *conn) bool { return now.Sub(c.idleAt) >= t.opt.IdleTimeout })
+	t.closeIdle(ReasonTargetDraining, func(*conn) bool { return !open(&t.state) })
+	t.closeIdle(ReasonAddressChanged, func(c *conn) bool { return c.addr != addr })
+	t.closeIdle(ReasonIdleTimeout, func(c *conn) bool { return now.Sub(c.idleAt) >= t.opt.IdleTimeout })
 }
 
-func (t *target) closeIdle(reason string, which func(*conn) bool) {
+func (t *target) closeIdle(reason CloseReason, which func(*conn) bool) {
 	kept := t.idle[:0]
 	for _, c := range t.idle {
 		if which(c) {
@@ -134,7 +134,7 @@
 }
 
 // drop closes a connection that no attempt is on.
-func (t *target) drop(c *conn, reason string) {
+func (t *target) drop(c *conn, reason CloseReason) {
 	c.Close()
 	t.count(-1)
 	t.logEnd(c.used, reason, "")
--- a/internal/upstream/target.go
+++ b/internal/upstream/target.go
@@ -93,7 +93,7 @@
 		}
 		spare = msgs
 	}
-	t.closeIdle("TARGET_GONE", func(*conn) bool { return true })
+	t.closeIdle(ReasonTargetRemoved, func(*conn) bool { return true })
 }
 
 // start gives the attempt a connection, an idle one that is still whole or a new one.
@@ -135,7 +135,7 @@
 }
 
 // logEnd logs why a connection ended, and the request that was on it; empty: none was.
-func (t *target) logEnd(used int, reason, request string) {
+func (t *target) logEnd(used int, reason CloseReason, request string) {
 	t.opt.Logger.Info("connection ended", slog.String("side", "target"), slog.String("peer", t.id),
-		slog.String("reason", reason), slog.Int("requests", used), slog.String("request", request))
+		slog.String("reason", string(reason)), slog.Int("requests", used), slog.String("request", request))
 }
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -443,10 +443,10 @@
 // served is a connection on which every attempt is.
 type served struct{}
 
-func (served) RoundTrip(dispatcher.Attempt, func() bool) (dispatcher.AttemptResult, bool, string) {
-	return dispatcher.AttemptResult{Status: scheduler.Succeeded}, true, ""
+func (served) RoundTrip(dispatcher.Attempt, func() bool) RoundTripResult {
+	return RoundTripResult{AttemptResult: dispatcher.AttemptResult{Status: scheduler.Succeeded}}
 }
-func (served) Alive() bool  { return true }
+func (served) IsIdle() bool { return true }
 func (served) Close() error { return nil }
 
 // TestLateConnectionIsKept has connections come up later than their attempts wait: the first goes on, one at a time, and
