--- /dev/null
+++ b/internal/upstream/loadreport.go
@@ -0,0 +1,38 @@
+package upstream
+
+import (
+	"strconv"
+	"strings"
+
+	"dapplegate/scheduler"
+)
+
+// maxReportedRequests is more than a target ever holds: a report from there on is ignored.
+const maxReportedRequests = 1e5
+
+// notReported marks a quantity that a load report does not tell.
+const notReported = -1
+
+// parseLoadReport reads a load report such as "inflight=7,queue=2", in requests. Fields that it does not know or cannot
+// use are passed over; nil if none is left.
+func parseLoadReport(header string) *scheduler.LoadReport {
+	report := &scheduler.LoadReport{QueueDepth: notReported, InFlight: notReported}
+	for field := range strings.SplitSeq(header, ",") {
+		name, text, _ := strings.Cut(strings.TrimSpace(field), "=")
+		value, err := strconv.ParseFloat(text, 64)
+		usable := err == nil && value >= 0 && value < maxReportedRequests // false for NaN
+		if !usable {
+			continue
+		}
+		switch name {
+		case "queue":
+			report.QueueDepth = value
+		case "inflight":
+			report.InFlight = value
+		}
+	}
+	if report.QueueDepth == notReported && report.InFlight == notReported {
+		return nil
+	}
+	return report
+}
--- /dev/null
+++ b/internal/upstream/memorybudget.go
@@ -0,0 +1,27 @@
+package upstream
+
+import "sync/atomic"
+
+// memoryBudget bounds the memory that all connections of a dialer hold at a time, in bytes. It is safe for concurrent
+// use.
+type memoryBudget struct {
+	free atomic.Int64
+}
+
+func newMemoryBudget(bytes int64) *memoryBudget {
+	budget := &memoryBudget{}
+	budget.free.Store(bytes)
+	return budget
+}
+
+// acquire takes bytes from the budget, or none if there are fewer.
+func (b *memoryBudget) acquire(bytes int64) bool {
+	if b.free.Add(-bytes) < 0 {
+		b.free.Add(bytes)
+		return false
+	}
+	return true
+}
+
+// release returns bytes that were acquired.
+func (b *memoryBudget) release(bytes int64) { b.free.Add(bytes) }
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -127,7 +127,7 @@
 	c := &deadlineConn{Conn: near}
 	var r dispatcher.AttemptResult
 	y := &try{ctx: t.Context(), Attempt: dispatcher.Attempt{Deadline: time.Now().Add(time.Minute), Payload: &httpmsg.Request{Method: "GET", URI: "/"}}}
-	if again, reason := tg.exchange(y, &conn{Conn: &httpSession{c, "", NewHTTPDialer(0).room}}, &r); again == nil || !c.at.IsZero() {
+	if again, reason := tg.exchange(y, &conn{Conn: newTestHTTPConn(c)}, &r); again == nil || !c.at.IsZero() {
 		t.Errorf("kept %v (%s), deadline left %v; want it kept with none", again, reason, c.at)
 	}
 }
@@ -177,8 +177,8 @@
 		{"stops in its body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nx", spoilt, 2},
 		{"head without end", "HTTP/1.1 200 OK\r\n" + strings.Repeat("A: b\r\n", 5<<20), spoilt, 2},
 		{"claims 3 GB", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx", spoilt, 2},
-		{"1xx in front", strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", mostInformed) + good, ok, 1},
-		{"1xx without end", strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", mostInformed+1) + good, spoilt, 2},
+		{"1xx in front", strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", maxInformational) + good, ok, 1},
+		{"1xx without end", strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", maxInformational+1) + good, spoilt, 2},
 		{"a second copy", good + good, ok, 2},
 		{"reports that cannot be read", strings.Replace(good, "Cont", "Server-Load: inflight=x,queue=1e99\r\nVolume-Load: -7\r\nCont", 1), ok, 1},
 	} {
@@ -254,13 +254,13 @@
 		whole := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 		for part := range slices.Chunk([]byte(whole), 100<<10) {
 			conn.Write(part)
-			time.Sleep(stallAfter / 3)
+			time.Sleep(stallTimeout / 3)
 		}
 		return true
 	})
 	b := newBench(s.Addr().String())
 	wire := NewHTTPDialer(0)
-	wire.room.Store(500 << 10)
+	wire.budget.free.Store(500 << 10)
 	b.opt.Dialer = wire
 	b.Apply([]Endpoint{{ID: "n"}}, false)
 	b.Apply([]Endpoint{{ID: "m", Addr: s.Addr().String()}}, true)
@@ -277,7 +277,7 @@
 	if one, two := b.result(t), b.result(t); one.Status != scheduler.ConnectionReset || two.Status != scheduler.Succeeded {
 		t.Errorf("two at a time, with room for one: codes %v and %v", one.Status, two.Status)
 	}
-	if left := wire.room.Load(); left != 500<<10 {
+	if left := wire.budget.free.Load(); left != 500<<10 {
 		t.Errorf("%d bytes of room are left afterwards", left)
 	}
 }
@@ -366,7 +366,7 @@
 	defer far.Close()
 	var r dispatcher.AttemptResult
 	y := &try{ctx: t.Context(), Attempt: dispatcher.Attempt{Deadline: time.Now().Add(time.Minute), Payload: &httpmsg.Request{Method: "GET", URI: "/"}}}
-	if again, _ := tg.exchange(y, &conn{Conn: &httpSession{near, "", NewHTTPDialer(0).room}}, &r); again != nil || r.Status != scheduler.NotSent {
+	if again, _ := tg.exchange(y, &conn{Conn: newTestHTTPConn(near)}, &r); again != nil || r.Status != scheduler.NotSent {
 		t.Errorf("first byte: code %v, want it not sent", r.Status)
 	}
 }
@@ -560,11 +560,26 @@
 	var r dispatcher.AttemptResult
 	y := &try{Attempt: dispatcher.Attempt{Deadline: time.Now().Add(time.Minute), Payload: &httpmsg.Request{Method: "PUT", URI: "/",
 		Body: make([]byte, 1000)}}}
-	if again, _ := tg.exchange(y, &conn{Conn: &httpSession{near, "", NewHTTPDialer(0).room}}, &r); again != nil || r.Status != scheduler.ConnectFailed {
+	if again, _ := tg.exchange(y, &conn{Conn: newTestHTTPConn(near)}, &r); again != nil || r.Status != scheduler.ConnectFailed {
 		t.Errorf("code %v, want no connection", r.Status)
 	}
 }
 
+// neverLate is a connection without deadlines.
+type neverLate struct{ io.Reader }
+
+func (neverLate) SetReadDeadline(time.Time) error { return nil }
+
+// readResponse reads a response to a GET from what a target sent before it closed the connection.
+func readResponse(sent string) (*response, error) {
+	in := neverLate{strings.NewReader(sent)}
+	return newResponseReader(in, time.Now().Add(time.Minute), newMemoryBudget(2*maxBodyBytes)).read("GET")
+}
+
+func newTestHTTPConn(c net.Conn) *httpConn {
+	return &httpConn{Conn: c, budget: newMemoryBudget(2 * maxBodyBytes)}
+}
+
 // TestAnswerCuts cuts valid answers anywhere and feeds garbage: no cut of an answer with a length passes for
 // a whole one, and nothing makes the parser fail otherwise than by an error.
 func TestAnswerCuts(t *testing.T) {
@@ -572,16 +587,16 @@
 		body := rapid.StringN(0, 200, 300).Draw(t, "body")
 		whole := fmt.Sprintf("HTTP/1.1 200 OK\r\nServer-Load: inflight=3\r\nVolume-Load: 85\r\nContent-Length: %d\r\n\r\n%s",
 			len(body), body)
-		a, err := readAnswer(bufio.NewReader(strings.NewReader(whole)), "GET", NewHTTPDialer(0).room, func(bool) error { return nil })
-		if err != nil || string(a.body) != body || a.used != 86 || a.load.InFlight != 3 {
+		a, err := readResponse(whole)
+		if err != nil || string(a.body) != body || a.volumeUsage != 86 || a.loadReport.InFlight != 3 {
 			t.Fatalf("whole answer: %+v, %v", a, err)
 		}
 		cut := rapid.IntRange(0, len(whole)-1).Draw(t, "cut")
-		if a, err := readAnswer(bufio.NewReader(strings.NewReader(whole[:cut])), "GET", NewHTTPDialer(0).room, func(bool) error { return nil }); err == nil {
+		if a, err := readResponse(whole[:cut]); err == nil {
 			t.Fatalf("cut at %d passed for whole: %+v", cut, a)
 		}
 		garbage := rapid.SliceOf(rapid.Byte()).Draw(t, "garbage")
-		readAnswer(bufio.NewReader(strings.NewReader(string(garbage))), "GET", NewHTTPDialer(0).room, func(bool) error { return nil })
-		parseLoad(string(garbage))
+		readResponse(string(garbage))
+		parseLoadReport(string(garbage))
 	})
 }
