--- a/internal/faulttest/regression_test.go
+++ b/internal/faulttest/regression_test.go
@@ -126,7 +126,7 @@
 // at once. The copy comes between the look at the connection and the first byte of that request, and is read as its answer.
 // Cause: the rest of 10 ms that a connection has after an answer was not kept once there were four connections, and the look
 // at the connection was taken before the attempt was handed to the goroutine that writes it.
-// Settled by the log of such a request: "attempt begins" with rested below 10 ms.
+// Settled by the log of such a request: "attempt begins" with idle below 10 ms.
 func TestSecondAnswerServesNoOtherRequest(t *testing.T) {
 	w := newWorld(t, func(rng *rand.Rand) Behaviour {
 		return Behaviour{Delay: time.Duration(rng.IntN(3000)) * time.Microsecond,
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -10,168 +10,196 @@
 	"dapplegate/scheduler"
 )
 
-// lateDials is how many times as long as an attempt waits for it a connection may take to come up at all.
-const lateDials = 8
+// maxDialFactor is how many times Options.DialTimeout a dial may take, if it outlasts its attempt.
+const maxDialFactor = 8
 
-// try is one attempt under way.
-type try struct {
+// inFlightAttempt is an attempt between its start and its result.
+type inFlightAttempt struct {
 	dispatcher.Attempt
-	ctx    context.Context
-	stop   context.CancelFunc
-	mu     sync.Mutex
-	conn   Conn
-	called bool // called off
-	slow   bool // its dial goes on without it
+	stop     context.CancelFunc
+	leftDial bool // its dial goes on in the background; set by the attempt, read once it has ended
+
+	mu        sync.Mutex
+	conn      Conn // nil until it has one
+	cancelled bool
 }
 
-// attempt carries one attempt through connect and exchange and reports its outcome. Where it ends early, the
-// connection is closed first: one attempt out at a time.
-func (t *target) attempt(y *try, c *conn) {
-	r := dispatcher.AttemptResult{Status: scheduler.ConnectFailed}
-	var again *conn
-	reason, used := ReasonConnectFailed, 0
-	if c != nil {
-		c = t.awaitRest(y, c)
+// cancel ends the attempt early: whatever it waits for fails at once.
+func (a *inFlightAttempt) cancel() {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.cancelled = true
+	a.stop()
+	if a.conn != nil {
+		_ = a.conn.Close() // the attempt sees to the rest
 	}
-	if c == nil {
-		c = t.dial(y)
+}
+
+// attach lets cancel close the connection. It returns false if the attempt was cancelled before.
+func (a *inFlightAttempt) attach(conn Conn) bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.conn = conn
+	return !a.cancelled
+}
+
+func (a *inFlightAttempt) isCancelled() bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.cancelled
+}
+
+// clientGone asks the client's connection. The dispatcher cancels the attempt too when the client goes, but that may be
+// on its way still.
+func (a *inFlightAttempt) clientGone() bool { return a.ClientGone != nil && a.ClientGone() }
+
+// runAttempt carries an attempt through connect and exchange and reports its result. A connection that cannot be used
+// again is closed before that: when the scheduler hears of the result, nothing of the attempt is in flight any more.
+func (t *target) runAttempt(ctx context.Context, a *inFlightAttempt, idle *pooledConn) {
+	result := NoResponse(scheduler.ConnectFailed, ReasonConnectFailed)
+	uses := 0
+	conn := t.connect(ctx, a, idle)
+	if conn != nil {
+		result = t.exchange(ctx, a, conn)
+		uses = conn.uses
 	}
-	if c != nil {
-		used = c.used + 1
-		if again, reason = t.exchange(y, c, &r); again == nil {
-			c.Close()
+	if !result.Reusable() {
+		if conn != nil {
+			conn.abandon()
+			conn = nil
 		}
+		t.log.closed(uses, result.CloseReason, a.ClientRequestID)
 	}
-	if again == nil {
-		t.logEnd(used, reason, y.ClientRequestID)
+	if result.Status == scheduler.ConnectFailed && a.isCancelled() {
+		result.Status = scheduler.NotSent // that the client left tells nothing of the target
 	}
-	if r.Status == scheduler.ConnectFailed && y.calledOff() {
-		r.Status = scheduler.NotSent // its client left: that tells nothing of the target
+	result.RequestID = a.RequestID
+	result.Number = a.Number
+	result.Target = t.id
+	// The pool hears first, so that an attempt which the scheduler starts on this result finds the connection there.
+	t.mailbox.Put(attemptEnded{attempt: a, conn: conn})
+	t.report(result.AttemptResult)
+}
+
+// connect returns the idle connection once it is out of quarantine, or a new one if there is none or the target closed
+// it; nil if no connection came up in time.
+func (t *target) connect(ctx context.Context, a *inFlightAttempt, idle *pooledConn) *pooledConn {
+	if idle != nil && t.awaitQuarantine(ctx, idle) {
+		return idle
 	}
-	r.RequestID, r.Number, r.Target = y.RequestID, y.Number, t.id
-	// The pool hears first, so that a send decided on this outcome finds the connection.
-	t.box.Put(done{y, again})
-	t.report(r)
+	return t.dial(ctx, a)
 }
 
-// awaitRest waits until the connection has rested; nil: the target closed it meanwhile, or spoke unasked.
-func (t *target) awaitRest(y *try, c *conn) *conn {
-	left := c.restLeft()
+// awaitQuarantine waits until the connection is out of quarantine, or the attempt ends. It returns false, and closes the
+// connection, if the target has closed it meanwhile or has sent something.
+func (t *target) awaitQuarantine(ctx context.Context, c *pooledConn) bool {
+	left := c.quarantineLeft()
 	if left <= 0 {
-		return c
+		return true
 	}
-	wait := time.NewTimer(left)
-	defer wait.Stop()
+	timer := time.NewTimer(left)
+	defer timer.Stop()
 	select {
-	case <-y.ctx.Done():
-		return c
-	case <-wait.C:
+	case <-ctx.Done():
+		return true
+	case <-timer.C:
 	}
 	if c.IsIdle() {
-		return c
+		return true
 	}
-	c.Close()
-	t.logEnd(c.used, ReasonClosedWhileIdle, "")
-	return nil
+	c.abandon()
+	t.log.closed(c.uses, ReasonClosedWhileIdle, "")
+	return false
 }
 
-// dial opens a connection for the attempt. One that takes longer than the attempt waits goes on, and the next attempt
-// finds it in the pool: its handshake is paid for, and a new one may take as long.
-func (t *target) dial(y *try) *conn {
-	ctx, stop := context.WithTimeout(context.Background(), lateDials*t.opt.DialTimeout)
-	came := make(chan *conn, 1)
-	go func() {
-		addr := t.address()
-		s, err := t.opt.Dialer.Dial(ctx, addr)
-		if err != nil {
-			came <- nil
-			return
-		}
-		came <- &conn{Conn: s, addr: addr}
-	}()
-	wait := time.NewTimer(t.opt.DialTimeout)
-	defer wait.Stop()
+// dial opens a connection for the attempt; nil if it fails or takes longer than Options.DialTimeout. A dial that takes
+// longer goes on in the background, one at a time, and the next attempt finds its connection in the pool: another dial
+// might take as long.
+func (t *target) dial(ctx context.Context, a *inFlightAttempt) *pooledConn {
+	dialCtx, stopDial := context.WithTimeout(context.Background(), maxDialFactor*t.options.DialTimeout)
+	dialed := t.startDial(dialCtx)
+	timer := time.NewTimer(t.options.DialTimeout)
+	defer timer.Stop()
 	select {
-	case c := <-came:
-		stop()
+	case c := <-dialed:
+		stopDial()
 		return c
-	case <-wait.C:
-	case <-y.ctx.Done():
+	case <-timer.C:
+	case <-ctx.Done():
 	}
-	if y.slow = t.slow.CompareAndSwap(false, true); !y.slow {
-		stop()
-		if c := <-came; c != nil {
-			c.Close()
+	a.leftDial = t.dialsInBackground.CompareAndSwap(false, true)
+	if !a.leftDial {
+		stopDial()
+		if c := <-dialed; c != nil {
+			c.abandon()
 		}
 		return nil
 	}
 	go func() {
-		defer stop()
-		t.box.Put(late{<-came})
+		defer stopDial()
+		t.mailbox.Put(backgroundDialEnded{conn: <-dialed})
 	}()
 	return nil
 }
 
-// exchange has the attempt carried out on c, and returns c if it can be used again.
-func (t *target) exchange(y *try, c *conn, r *dispatcher.AttemptResult) (*conn, CloseReason) {
-	if !y.hold(c.Conn) || y.clientGone() {
-		r.Status = scheduler.NotSent
-		return c, ""
-	}
-	c.used++
-	t.opt.Logger.LogAttrs(y.ctx, slog.LevelDebug, "attempt begins", slog.String("request", y.ClientRequestID), slog.Int("attempt", y.Number),
-		slog.String("peer", t.id), slog.Int("requests", c.used), slog.Duration("rested", c.rested()))
-	result := c.RoundTrip(y.Attempt, func() bool { return t.mayBegin(y, c) })
-	*r = result.AttemptResult
-	if y.calledOff() {
-		switch r.Status {
-		case scheduler.Succeeded, scheduler.NotSent, scheduler.ConnectFailed:
-			if result.Reusable() {
-				return nil, ReasonClosed
-			}
-		default:
-			r.Status, result.CloseReason = scheduler.Cancelled, ReasonCancelled
+// startDial dials the target. The channel gets the connection, or nil if that failed.
+func (t *target) startDial(ctx context.Context) <-chan *pooledConn {
+	dialed := make(chan *pooledConn, 1)
+	go func() {
+		address := t.address()
+		conn, err := t.options.Dialer.Dial(ctx, address)
+		if err != nil {
+			dialed <- nil
+			return
 		}
-		return nil, result.CloseReason
-	}
-	if !result.Reusable() {
-		return nil, result.CloseReason
-	}
-	return c, ""
+		dialed <- &pooledConn{Conn: conn, address: address}
+	}()
+	return dialed
 }
 
-// mayBegin is the last look before the first byte of an attempt. What has come on its connection by then is not its answer.
-func (t *target) mayBegin(y *try, c *conn) bool {
-	if !c.IsIdle() || !open(&t.state) || !y.StartBy.IsZero() && !time.Now().Before(y.StartBy) {
-		return false
+// exchange carries the attempt on a connection, unless the attempt was cancelled or its client went before the first byte:
+// the connection stays usable then.
+func (t *target) exchange(ctx context.Context, a *inFlightAttempt, c *pooledConn) RoundTripResult {
+	if !a.attach(c.Conn) || a.clientGone() {
+		return NoResponse(scheduler.NotSent, "")
 	}
-	return !y.clientGone()
-}
-
-// clientGone asks the client's socket: the news of its departure may still be on its way to callOff.
-func (y *try) clientGone() bool { return y.ClientGone != nil && y.ClientGone() }
-
-// callOff ends an attempt from outside: whatever it waits for fails at once.
-func (y *try) callOff() {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	y.called = true
-	y.stop()
-	if y.conn != nil {
-		y.conn.Close()
+	c.uses++
+	t.options.Logger.LogAttrs(ctx, slog.LevelDebug, "attempt begins",
+		slog.String("request", a.ClientRequestID),
+		slog.Int("attempt", a.Number),
+		slog.String("peer", t.id),
+		slog.Int("requests", c.uses),
+		slog.Duration("idle", c.idleTime()))
+	result := c.RoundTrip(a.Attempt, func() bool { return t.mayStart(a, c) })
+	if !a.isCancelled() {
+		return result
 	}
+	return cancelledResult(result)
 }
 
-// hold notes the connection for callOff; false when it came too late.
-func (y *try) hold(c Conn) bool {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	y.conn = c
-	return !y.called
+// cancelledResult is the result of an attempt that was cancelled during its round trip. Its connection was closed by
+// that. A response that was complete before stays one, and what was not sent cannot have executed.
+func cancelledResult(result RoundTripResult) RoundTripResult {
+	switch result.Status {
+	case scheduler.Succeeded, scheduler.NotSent, scheduler.ConnectFailed:
+		if result.Reusable() {
+			result.CloseReason = ReasonClosed
+		}
+	default:
+		result.Status = scheduler.Cancelled
+		result.CloseReason = ReasonCancelled
+	}
+	return result
 }
 
-func (y *try) calledOff() bool {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	return y.called
+// mayStart is the last check before the first byte of an attempt. Whatever has arrived on the connection by then is not
+// its response.
+func (t *target) mayStart(a *inFlightAttempt, c *pooledConn) bool {
+	if !c.IsIdle() || !t.isServing() {
+		return false
+	}
+	if !a.StartBy.IsZero() && !time.Now().Before(a.StartBy) {
+		return false
+	}
+	return !a.clientGone()
 }
--- /dev/null
+++ b/internal/upstream/connlog.go
@@ -0,0 +1,20 @@
+package upstream
+
+import "log/slog"
+
+// connLog logs how the connections to one target end.
+type connLog struct {
+	logger   *slog.Logger
+	targetID string
+}
+
+// closed logs why a connection ended, after how many attempts, and the client's ID of the request that was on it; empty
+// if none was.
+func (l connLog) closed(uses int, reason CloseReason, clientRequestID string) {
+	l.logger.Info("connection ended",
+		slog.String("side", "target"),
+		slog.String("peer", l.targetID),
+		slog.String("reason", string(reason)),
+		slog.Int("requests", uses),
+		slog.String("request", clientRequestID))
+}
--- a/internal/upstream/registry.go
+++ b/internal/upstream/registry.go
@@ -1,4 +1,8 @@
-// Package upstream carries attempts to targets over net.Conn: an actor per target owns its connections.
+// Package upstream carries attempts to targets.
+//
+// The Registry has an actor for each target of the endpoint list (target.go), which owns a pool of connections to it
+// (connpool.go) and runs each attempt on one of them (attempt.go). What is spoken on a connection is behind the
+// interfaces Dialer and Conn; this package has HTTP/1.1 (http.go).
 package upstream
 
 import (
@@ -11,104 +15,130 @@
 	"dapplegate/scheduler"
 )
 
-// Target is what discovery says of one target.
+// Endpoint is a target as the endpoint list tells it.
 type Endpoint struct {
 	ID    string
-	Addr  string
+	Addr  string // host:port; empty: as before
 	State scheduler.TargetState
 }
 
-// Options are the bounds of every connection.
+// Options are the bounds of all connections.
 type Options struct {
 	Dialer            Dialer
-	DialTimeout       time.Duration // for a connection to come up
-	IdleTimeout       time.Duration // an unused connection is closed after that
-	MaxConnsPerTarget int           // connections to one target
-	MaxConns          int           // connections to all targets together
+	DialTimeout       time.Duration // how long an attempt waits for its connection
+	IdleTimeout       time.Duration // after that an unused connection is closed
+	MaxConnsPerTarget int           // open connections to one target, those being dialed included
+	MaxConns          int           // open connections to all targets together
 	Logger            *slog.Logger
 }
 
-// Registry holds the targets' actors. The list actor applies news to it before the module hears of them, so
-// that a send decided on an older list still meets the newer state at its first byte.
+// Registry holds the targets' actors. Endpoint changes are applied to it before the scheduler hears of them, so that an
+// attempt decided on an older list still meets the newer state at its first byte. It is safe for concurrent use.
 type Registry struct {
-	opt     Options
-	report  func(dispatcher.AttemptResult)
+	options   Options
+	report    func(dispatcher.AttemptResult)
+	openConns atomic.Int64 // to all targets, those being dialed included
+
 	mu      sync.Mutex
 	targets map[string]*target
-	gone    map[*target]bool // off the list, with something out still
-	conns   atomic.Int64     // of all targets, those being made included
+	retired map[*target]bool // removed from the list, but with something in flight
 }
 
-// NewRegistry returns an empty registry; results go to report.
-func NewRegistry(opt Options, report func(dispatcher.AttemptResult)) *Registry {
-	return &Registry{opt: opt, report: report, targets: map[string]*target{}, gone: map[*target]bool{}}
+var _ dispatcher.Upstream = (*Registry)(nil)
+
+// NewRegistry returns a registry without targets. It calls report, from any goroutine, with the result of each attempt.
+func NewRegistry(options Options, report func(dispatcher.AttemptResult)) *Registry {
+	return &Registry{options: options, report: report, targets: map[string]*target{}, retired: map[*target]bool{}}
 }
 
-// Apply takes over entries of the list; with whole, a target that is absent is gone.
-func (g *Registry) Apply(list []Endpoint, whole bool) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	named := make(map[string]bool, len(list))
-	for _, x := range list {
-		named[x.ID] = true
-		t := g.targets[x.ID]
-		if t == nil {
-			if x.State == scheduler.Removed {
-				continue
-			}
-			t = newTarget(x.ID, g.opt, &g.conns, g.report)
-			g.targets[x.ID] = t
-			go func() {
-				t.run()
-				g.mu.Lock()
-				delete(g.gone, t)
-				g.mu.Unlock()
-			}()
-		}
-		t.set(x.Addr, x.State)
+// Apply takes over entries of the endpoint list. If the list is complete, a target that it does not name is removed.
+func (r *Registry) Apply(list []Endpoint, complete bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	listed := make(map[string]bool, len(list))
+	for _, endpoint := range list {
+		listed[endpoint.ID] = true
+		r.applyOne(endpoint)
 	}
-	for id, t := range g.targets {
-		if whole && !named[id] {
-			t.set("", scheduler.Removed)
+	for id, t := range r.targets {
+		if complete && !listed[id] {
+			t.update("", scheduler.Removed)
+		}
+		if t.currentState() == scheduler.Removed {
+			r.retire(t)
 		}
-		// An actor of a target that is gone ends once nothing is out at it.
-		if t.state.Load() == int32(scheduler.Removed) {
-			delete(g.targets, id)
-			g.gone[t] = true
-			t.box.Put(retire{})
+	}
+}
+
+func (r *Registry) applyOne(endpoint Endpoint) {
+	t := r.targets[endpoint.ID]
+	if t == nil {
+		if endpoint.State == scheduler.Removed {
+			return
 		}
+		t = r.add(endpoint.ID)
 	}
+	t.update(endpoint.Addr, endpoint.State)
+}
+
+// add starts the actor of a target.
+func (r *Registry) add(id string) *target {
+	t := newTarget(id, r.options, &r.openConns, r.report)
+	r.targets[id] = t
+	go func() {
+		t.run()
+		r.mu.Lock()
+		delete(r.retired, t)
+		r.mu.Unlock()
+	}()
+	return t
+}
+
+// retire lets the actor of a removed target end once nothing of it is in flight.
+func (r *Registry) retire(t *target) {
+	delete(r.targets, t.id)
+	r.retired[t] = true
+	t.mailbox.Put(retire{})
 }
 
 // Send starts an attempt; one result follows.
-func (g *Registry) Send(a dispatcher.Attempt) {
-	g.mu.Lock()
-	t := g.targets[a.Target]
-	if t != nil {
-		t.box.Put(a)
+func (r *Registry) Send(attempt dispatcher.Attempt) {
+	if r.deliver(attempt) {
+		return
 	}
-	g.mu.Unlock()
+	// The target left the list between the decision and now.
+	r.report(dispatcher.AttemptResult{
+		RequestID: attempt.RequestID,
+		Number:    attempt.Number,
+		Target:    attempt.Target,
+		Status:    scheduler.NotSent,
+	})
+}
+
+// deliver hands an attempt to its target's actor; false if there is none.
+func (r *Registry) deliver(attempt dispatcher.Attempt) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	t := r.targets[attempt.Target]
 	if t == nil {
-		// Not sent: the target left the list between the decision and now.
-		g.report(dispatcher.AttemptResult{RequestID: a.RequestID, Number: a.Number, Target: a.Target, Status: scheduler.NotSent})
+		return false
 	}
+	t.mailbox.Put(startAttempt{attempt})
+	return true
 }
 
-// Cancel calls an attempt off; its connection is closed before its result is reported.
-func (g *Registry) Cancel(node, request string) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if t := g.targets[node]; t != nil {
-		t.box.Put(cancel{request})
+// Cancel ends the attempt of a request at a target early, if it is in flight; its connection is closed before its result
+// is reported.
+func (r *Registry) Cancel(targetID, requestID string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if t := r.targets[targetID]; t != nil {
+		t.mailbox.Put(cancelAttempt{requestID})
 	}
-	for t := range g.gone { // it may have been sent there before the target left the list
-		if t.id == node {
-			t.box.Put(cancel{request})
+	// The attempt may have started before the target was removed, and perhaps listed anew.
+	for t := range r.retired {
+		if t.id == targetID {
+			t.mailbox.Put(cancelAttempt{requestID})
 		}
 	}
 }
-
-// open tells whether something new may still go to the target.
-func open(state *atomic.Int32) bool { return state.Load() == int32(scheduler.Serving) }
-
-var _ dispatcher.Upstream = (*Registry)(nil)
--- a/internal/upstream/target.go
+++ b/internal/upstream/target.go
@@ -11,131 +11,160 @@
 	"dapplegate/scheduler"
 )
 
-// Messages of a target's actor, beside core.Attempt.
-type (
-	cancel struct{ request string }
-	moved  struct{}
-	retire struct{}
-	done   struct {
-		try  *try
-		conn *conn // to be used again; nil: closed, or not up yet
-	}
-	// late ends a dial that its attempt did not wait for.
-	late struct {
-		conn *conn // nil: it never came up
-	}
+const (
+	// prunesPerIdleTimeout is how often idle connections are looked at within Options.IdleTimeout.
+	prunesPerIdleTimeout = 8
+	// minPruneInterval bounds the cost of that.
+	minPruneInterval = 50 * time.Millisecond
 )
 
-// target is the actor of one target. Only its goroutine touches idle, busy and conns; state and addr are
-// written by the list and read by every attempt at its first byte.
+// target is the actor of one target: its goroutine, in run, handles one message at a time. Each attempt runs on a
+// goroutine of its own and comes back with a message.
 type target struct {
-	id     string
-	opt    Options
-	report func(dispatcher.AttemptResult)
-	box    *mailbox.Box[any]
-	state  atomic.Int32
-	addr   atomic.Pointer[string]
-
-	idle  []*conn
-	busy  map[string]*try
-	conns int
-	all   *atomic.Int64 // conns of all targets
-	slow  atomic.Bool   // a dial goes on that its attempt did not wait for; one at a time
+	id      string
+	options Options
+	report  func(dispatcher.AttemptResult)
+	log     connLog
+	mailbox *mailbox.Box[message]
+
+	// The registry writes these; attempts read them right before their first byte.
+	state atomic.Int32 // a scheduler.TargetState
+	addr  atomic.Pointer[string]
+
+	// An attempt sets this for a dial that outlasts it, one at a time; the actor clears it.
+	dialsInBackground atomic.Bool
+
+	// Only the actor's goroutine uses these.
+	pool     connPool
+	inFlight map[string]*inFlightAttempt // by request ID
+	retired  bool
 }
 
-func newTarget(id string, opt Options, all *atomic.Int64, report func(dispatcher.AttemptResult)) *target {
-	return &target{id: id, opt: opt, all: all, report: report, box: mailbox.New[any](), busy: map[string]*try{}}
+// newTarget returns an actor that is yet to be run. totalOpen counts the connections to all targets.
+func newTarget(id string, options Options, totalOpen *atomic.Int64, report func(dispatcher.AttemptResult)) *target {
+	log := connLog{logger: options.Logger, targetID: id}
+	return &target{
+		id:       id,
+		options:  options,
+		report:   report,
+		log:      log,
+		mailbox:  mailbox.New[message](),
+		pool:     connPool{options: options, log: log, totalOpen: totalOpen},
+		inFlight: map[string]*inFlightAttempt{},
+	}
 }
 
-// set takes over what the list says; at once for attempts about to write, in turn for the pool.
-func (t *target) set(addr string, state scheduler.TargetState) {
-	if addr != "" {
-		t.addr.Store(&addr)
+// update takes over what the endpoint list says; an empty address leaves it as it is. Attempts about to write see it at
+// once, the pool in its turn.
+func (t *target) update(address string, state scheduler.TargetState) {
+	if address != "" {
+		t.addr.Store(&address)
 	}
 	if before := scheduler.TargetState(t.state.Swap(int32(state))); before != state {
-		t.opt.Logger.LogAttrs(context.Background(), slog.LevelDebug, "target changed", slog.String("peer", t.id),
-			slog.String("from", before.String()), slog.String("to", state.String()))
+		t.options.Logger.LogAttrs(context.Background(), slog.LevelDebug, "target changed",
+			slog.String("peer", t.id), slog.String("from", before.String()), slog.String("to", state.String()))
 	}
-	t.box.Put(moved{})
+	t.mailbox.Put(endpointChanged{})
+}
+
+// isServing reports whether a new attempt may go to the target.
+func (t *target) isServing() bool { return t.currentState() == scheduler.Serving }
+
+func (t *target) currentState() scheduler.TargetState { return scheduler.TargetState(t.state.Load()) }
+
+// address is where the target listens; empty if that is not known.
+func (t *target) address() string {
+	if address := t.addr.Load(); address != nil {
+		return *address
+	}
+	return ""
 }
 
+// run handles messages until the actor is retired and nothing of it is in flight.
 func (t *target) run() {
-	var spare []any
-	tick := time.NewTicker(max(t.opt.IdleTimeout/8, 50*time.Millisecond))
-	defer tick.Stop()
-	retired := false
-	for !retired || len(t.busy) > 0 || t.slow.Load() {
+	var spare []message
+	ticker := time.NewTicker(max(t.options.IdleTimeout/prunesPerIdleTimeout, minPruneInterval))
+	defer ticker.Stop()
+	for !t.hasEnded() {
 		select {
-		case <-t.box.Wake():
-		case <-tick.C:
+		case <-ticker.C:
 			t.prune()
-			continue
-		}
-		msgs := t.box.Take(spare)
-		for _, m := range msgs {
-			switch m := m.(type) {
-			case dispatcher.Attempt:
-				t.start(m)
-			case cancel:
-				if a := t.busy[m.request]; a != nil {
-					a.callOff()
-				}
-			case done:
-				t.finish(m)
-			case late:
-				t.slow.Store(false)
-				t.pool(m.conn)
-			case moved:
-				t.prune()
-			case retire:
-				retired = true // a move came before it
+		case <-t.mailbox.Wake():
+			messages := t.mailbox.Take(spare)
+			for _, m := range messages {
+				t.handle(m)
 			}
+			spare = messages
+		}
+	}
+	t.pool.closeAll(ReasonTargetRemoved)
+}
+
+func (t *target) hasEnded() bool {
+	return t.retired && len(t.inFlight) == 0 && !t.dialsInBackground.Load()
+}
+
+func (t *target) handle(m message) {
+	switch m := m.(type) {
+	case startAttempt:
+		t.start(m.attempt)
+	case cancelAttempt:
+		if attempt := t.inFlight[m.requestID]; attempt != nil {
+			attempt.cancel()
 		}
-		spare = msgs
+	case attemptEnded:
+		t.finish(m)
+	case backgroundDialEnded:
+		t.dialsInBackground.Store(false)
+		t.returnConn(m.conn)
+	case endpointChanged:
+		t.prune()
+	case retire:
+		t.retired = true
 	}
-	t.closeIdle(ReasonTargetRemoved, func(*conn) bool { return true })
 }
 
-// start gives the attempt a connection, an idle one that is still whole or a new one.
+// start runs an attempt on an idle connection or on a new one. An attempt that cannot start is reported at once.
 func (t *target) start(a dispatcher.Attempt) {
-	r := dispatcher.AttemptResult{RequestID: a.RequestID, Number: a.Number, Target: t.id}
-	if !open(&t.state) {
-		r.Status = scheduler.NotSent
-		t.report(r)
+	if !t.isServing() {
+		t.reportStatus(a, scheduler.NotSent)
 		return
 	}
-	c, found := t.choose()
-	if !found {
-		r.Status = scheduler.ConnectFailed
-		t.report(r)
+	conn, ok := t.pool.acquire()
+	if !ok {
+		t.reportStatus(a, scheduler.ConnectFailed)
 		return
 	}
 	ctx, stop := context.WithDeadline(context.Background(), a.Deadline)
-	y := &try{Attempt: a, ctx: ctx, stop: stop}
-	t.busy[a.RequestID] = y
-	go t.attempt(y, c)
+	attempt := &inFlightAttempt{Attempt: a, stop: stop}
+	t.inFlight[a.RequestID] = attempt
+	go t.runAttempt(ctx, attempt, conn)
 }
 
-func (t *target) finish(m done) {
-	m.try.stop()
-	// A later attempt of the same request may have begun here since; its entry is not this one's.
-	if t.busy[m.try.RequestID] == m.try {
-		delete(t.busy, m.try.RequestID)
+func (t *target) reportStatus(a dispatcher.Attempt, status scheduler.AttemptStatus) {
+	t.report(dispatcher.AttemptResult{RequestID: a.RequestID, Number: a.Number, Target: t.id, Status: status})
+}
+
+func (t *target) finish(m attemptEnded) {
+	m.attempt.stop()
+	// A later attempt of the same request may have started here since: the entry is its own then.
+	if t.inFlight[m.attempt.RequestID] == m.attempt {
+		delete(t.inFlight, m.attempt.RequestID)
 	}
-	if !m.try.slow {
-		t.pool(m.conn)
+	// A dial in the background still counts as open; backgroundDialEnded follows.
+	if !m.attempt.leftDial {
+		t.returnConn(m.conn)
 	}
 }
 
-func (t *target) address() string {
-	if p := t.addr.Load(); p != nil {
-		return *p
+// returnConn puts a connection back into the pool; nil if it was closed or never came up.
+func (t *target) returnConn(c *pooledConn) {
+	if c == nil {
+		t.pool.unreserve()
+		return
 	}
-	return ""
+	t.pool.put(c)
+	t.prune()
 }
 
-// logEnd logs why a connection ended, and the request that was on it; empty: none was.
-func (t *target) logEnd(used int, reason CloseReason, request string) {
-	t.opt.Logger.Info("connection ended", slog.String("side", "target"), slog.String("peer", t.id),
-		slog.String("reason", string(reason)), slog.Int("requests", used), slog.String("request", request))
-}
+func (t *target) prune() { t.pool.prune(t.isServing(), t.address()) }
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -118,17 +118,16 @@
 // the look at the idle connection fail, and nearly every request paid for a handshake.
 func TestConnectionOutlivesAttempt(t *testing.T) {
 	tg := newTarget("n", Options{Logger: slog.New(slog.DiscardHandler)}, nil, func(dispatcher.AttemptResult) {})
-	tg.set("a:1", scheduler.Serving)
+	tg.update("a:1", scheduler.Serving)
 	near, far := net.Pipe()
 	go func() {
 		http.ReadRequest(bufio.NewReader(far))
 		say(far, "200 OK", "x")
 	}()
 	c := &deadlineConn{Conn: near}
-	var r dispatcher.AttemptResult
-	y := &try{ctx: t.Context(), Attempt: dispatcher.Attempt{Deadline: time.Now().Add(time.Minute), Payload: &httpmsg.Request{Method: "GET", URI: "/"}}}
-	if again, reason := tg.exchange(y, &conn{Conn: newTestHTTPConn(c)}, &r); again == nil || !c.at.IsZero() {
-		t.Errorf("kept %v (%s), deadline left %v; want it kept with none", again, reason, c.at)
+	y := &inFlightAttempt{Attempt: dispatcher.Attempt{Deadline: time.Now().Add(time.Minute), Payload: &httpmsg.Request{Method: "GET", URI: "/"}}}
+	if r := tg.exchange(t.Context(), y, &pooledConn{Conn: newTestHTTPConn(c)}); !r.Reusable() || !c.at.IsZero() {
+		t.Errorf("kept %v (%s), deadline left %v; want it kept with none", r.Reusable(), r.CloseReason, c.at)
 	}
 }
 
@@ -202,7 +201,7 @@
 			if took := time.Since(begun); took > 5*time.Second {
 				t.Errorf("%s: waited for %v", c.name, took)
 			}
-			time.Sleep(restFor + 5*time.Millisecond) // for what comes after the answer
+			time.Sleep(quarantineTime + 5*time.Millisecond) // for what comes after the answer
 		}
 		if n := said.Load(); n > 20<<20 {
 			t.Errorf("%s: %d bytes were taken for two attempts", c.name, n)
@@ -261,7 +260,7 @@
 	b := newBench(s.Addr().String())
 	wire := NewHTTPDialer(0)
 	wire.budget.free.Store(500 << 10)
-	b.opt.Dialer = wire
+	b.options.Dialer = wire
 	b.Apply([]Endpoint{{ID: "n"}}, false)
 	b.Apply([]Endpoint{{ID: "m", Addr: s.Addr().String()}}, true)
 	send := func(request string) {
@@ -341,7 +340,7 @@
 		b.Apply(nil, true)
 		for left := true; left; time.Sleep(time.Millisecond) { // until the actors have ended
 			b.mu.Lock()
-			left = len(b.gone) > 0
+			left = len(b.retired) > 0
 			b.mu.Unlock()
 		}
 	}
@@ -360,13 +359,12 @@
 		t.Errorf("draining: code %v, %d requests reached the target; want none after the first", r.Status, s.asked.Load())
 	}
 	// The same at the last look, with the connection in hand.
-	tg := newTarget("n", b.opt, &b.conns, b.report)
-	tg.set(s.Addr().String(), scheduler.Draining)
+	tg := newTarget("n", b.options, &b.openConns, b.report)
+	tg.update(s.Addr().String(), scheduler.Draining)
 	near, far := net.Pipe()
 	defer far.Close()
-	var r dispatcher.AttemptResult
-	y := &try{ctx: t.Context(), Attempt: dispatcher.Attempt{Deadline: time.Now().Add(time.Minute), Payload: &httpmsg.Request{Method: "GET", URI: "/"}}}
-	if again, _ := tg.exchange(y, &conn{Conn: newTestHTTPConn(near)}, &r); again != nil || r.Status != scheduler.NotSent {
+	y := &inFlightAttempt{Attempt: dispatcher.Attempt{Deadline: time.Now().Add(time.Minute), Payload: &httpmsg.Request{Method: "GET", URI: "/"}}}
+	if r := tg.exchange(t.Context(), y, &pooledConn{Conn: newTestHTTPConn(near)}); r.Reusable() || r.Status != scheduler.NotSent {
 		t.Errorf("first byte: code %v, want it not sent", r.Status)
 	}
 }
@@ -401,8 +399,8 @@
 		b.send(10 * time.Second)
 		b.result(t)
 	}
-	if n := plain.accepted.Load(); n > enoughConns {
-		t.Errorf("%d connections for requests one after another, want %d at most", n, enoughConns)
+	if n := plain.accepted.Load(); n > maxConnsForQuarantine {
+		t.Errorf("%d connections for requests one after another, want %d at most", n, maxConnsForQuarantine)
 	}
 }
 
@@ -470,7 +468,7 @@
 	n := b.targets["n"]
 	b.mu.Unlock()
 	w.up <- true
-	for n.slow.Load() {
+	for n.dialsInBackground.Load() {
 		time.Sleep(time.Millisecond)
 	}
 	b.send(10 * time.Second)
@@ -481,7 +479,7 @@
 	b.Send(dispatcher.Attempt{RequestID: "x", Target: "m", Deadline: time.Now().Add(time.Minute)})
 	b.result(t)
 	b.Apply(nil, true) // with a dial of its under way
-	for b.conns.Load() > 0 {
+	for b.openConns.Load() > 0 {
 		time.Sleep(time.Millisecond) // until that has had its time
 	}
 }
@@ -505,7 +503,7 @@
 	b.mu.Lock()
 	n := b.targets["n"]
 	b.mu.Unlock()
-	for n.slow.Load() {
+	for n.dialsInBackground.Load() {
 		time.Sleep(time.Millisecond)
 	}
 	b.send(time.Minute)
@@ -554,13 +552,12 @@
 // TestPartWritten checks that an attempt which ends short of its last byte cannot have run.
 func TestPartWritten(t *testing.T) {
 	tg := newTarget("n", Options{Logger: slog.New(slog.DiscardHandler)}, nil, func(dispatcher.AttemptResult) {})
-	tg.set("a:1", scheduler.Serving)
+	tg.update("a:1", scheduler.Serving)
 	near, far := net.Pipe()
 	go func() { io.ReadFull(far, make([]byte, 20)); far.Close() }()
-	var r dispatcher.AttemptResult
-	y := &try{Attempt: dispatcher.Attempt{Deadline: time.Now().Add(time.Minute), Payload: &httpmsg.Request{Method: "PUT", URI: "/",
+	y := &inFlightAttempt{Attempt: dispatcher.Attempt{Deadline: time.Now().Add(time.Minute), Payload: &httpmsg.Request{Method: "PUT", URI: "/",
 		Body: make([]byte, 1000)}}}
-	if again, _ := tg.exchange(y, &conn{Conn: newTestHTTPConn(near)}, &r); again != nil || r.Status != scheduler.ConnectFailed {
+	if r := tg.exchange(t.Context(), y, &pooledConn{Conn: newTestHTTPConn(near)}); r.Reusable() || r.Status != scheduler.ConnectFailed {
 		t.Errorf("code %v, want no connection", r.Status)
 	}
 }
