--- a/cmd/initiator/serve.go
+++ b/cmd/initiator/serve.go
@@ -116,7 +116,7 @@
 	go c.Run(work)
 	var spread time.Duration
 	if cfg.Scheduler.PollEndpoints {
-		spread = time.Duration(cfg.Scheduler.Initiators) * discovery.ExpectedCallTime
+		spread = time.Duration(cfg.Scheduler.Initiators) * discovery.ExpectedPollTime
 	}
 	list := discovery.New(cfg.Discovery, cfg.KnownEndpoints, spread, tell, log)
 	go list.Run(work)
--- /dev/null
+++ b/internal/discovery/watcher.go
@@ -0,0 +1,214 @@
+// Package discovery keeps the endpoint list up to date: a Watcher watches the discovery service, StartTimes places the
+// targets' starts on the initiator's own clock.
+package discovery
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"log/slog"
+	"math/rand/v2"
+	"net/http"
+	"time"
+
+	"dapplegate/internal/endpoints"
+	"dapplegate/internal/mailbox"
+)
+
+const (
+	// ExpectedPollTime is about what one poll takes of a discovery that serves all initiators in turn. Polls given up in
+	// its queue take that too: a fleet that polled at once, or again soon after a failure, would never be served.
+	ExpectedPollTime = 100 * time.Millisecond
+	// maxSpread bounds the pause before a first poll and after a failed one, whatever the size of the fleet: a change
+	// counts as told 6 s after discovery could be reached, and the poll itself may take queueTimeout.
+	maxSpread = 3 * time.Second
+	// retryPause is the pause after a failed poll, before any spread.
+	retryPause = 100 * time.Millisecond
+	// noVersion is the version where there is no list that changes could be applied to.
+	noVersion = -1
+)
+
+// Watcher watches discovery and passes on what it tells, in order. Polling has a goroutine of its own: the next poll must
+// come within 200 ms of the last response, or the watch ends, so it waits for nobody.
+type Watcher struct {
+	address   string // at the start
+	spread    time.Duration
+	notify    func(*endpoints.List)
+	log       *slog.Logger
+	client    http.Client
+	lists     *mailbox.Box[*endpoints.List]
+	addresses *mailbox.Box[string]
+
+	// Only the polling goroutine uses these once Run has begun.
+	version        int64 // the latest one; noVersion: the complete list is needed
+	failures       int   // polls failed in a row at this address
+	desynchronized bool  // the next poll comes at a random moment, apart from those of the other initiators
+}
+
+// New returns a watcher of discovery at an address. It notifies of the list known from before first, if there is one,
+// however old; then of what discovery tells. Where one discovery serves all initiators, spread is the time over which
+// their first polls, and those after a failure, are distributed at random; 0: it serves this initiator alone.
+func New(address string, known *endpoints.List, spread time.Duration, notify func(*endpoints.List), log *slog.Logger) *Watcher {
+	w := &Watcher{
+		address:   address,
+		spread:    min(spread, maxSpread),
+		notify:    notify,
+		log:       log,
+		client:    newClient(),
+		lists:     mailbox.New[*endpoints.List](),
+		addresses: mailbox.New[string](),
+		version:   noVersion,
+	}
+	if known != nil {
+		complete := *known
+		complete.Complete = true
+		w.lists.Put(&complete)
+		w.version = *known.Version
+	}
+	return w
+}
+
+// SetAddress has discovery polled at another address from now on, for the complete list first. A poll of the former one is
+// given up.
+func (w *Watcher) SetAddress(address string) { w.addresses.Put(address) }
+
+// Run notifies until the context ends.
+func (w *Watcher) Run(ctx context.Context) {
+	go w.watch(ctx)
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-w.lists.Wake():
+			for _, list := range w.lists.Take(nil) {
+				w.notify(list)
+			}
+		}
+	}
+}
+
+// watch polls discovery until the context ends, at one address after another.
+func (w *Watcher) watch(ctx context.Context) {
+	pause(ctx, randomWithin(w.spread))
+	w.desynchronized = true
+	address := w.address
+	for ctx.Err() == nil {
+		address = w.watchUntilMoved(ctx, address)
+		w.version = noVersion
+		w.desynchronized = false
+		w.client.CloseIdleConnections()
+	}
+}
+
+// watchUntilMoved polls discovery at an address until another one is set, which it returns, or the context ends.
+func (w *Watcher) watchUntilMoved(ctx context.Context, address string) string {
+	watchCtx, stop := context.WithCancel(ctx)
+	stopped := make(chan struct{})
+	go func() {
+		defer close(stopped)
+		w.watchAt(watchCtx, address)
+	}()
+	next := address
+	select {
+	case <-ctx.Done():
+	case <-w.addresses.Wake():
+		for _, latest := range w.addresses.Take(nil) {
+			next = latest
+		}
+	}
+	stop()
+	<-stopped // a list from this address must not come after one from the next
+	return next
+}
+
+// watchAt polls discovery at one address until the context ends. After a success the next poll follows at once, since the
+// watch ends otherwise.
+func (w *Watcher) watchAt(ctx context.Context, address string) {
+	w.failures = 0
+	for ctx.Err() == nil {
+		request := w.nextPoll()
+		begun := time.Now()
+		list, err := w.poll(ctx, address, request)
+		if ctx.Err() != nil {
+			return
+		}
+		if err != nil {
+			w.pollFailed(err)
+			pause(ctx, w.retryDelay(request, time.Since(begun)))
+			continue
+		}
+		w.accept(list)
+	}
+}
+
+// nextPoll goes on from the version that is held, also after a failure, since a complete list costs discovery the most.
+// After a failure it asks for no wait, so that another silence is noticed soon.
+func (w *Watcher) nextPoll() pollRequest {
+	request := pollRequest{after: w.version}
+	if w.version != noVersion && w.failures == 0 {
+		request.wait = watchWait
+	}
+	return request
+}
+
+// poll returns a list that applies to the version held, or is complete.
+func (w *Watcher) poll(ctx context.Context, address string, request pollRequest) (*endpoints.List, error) {
+	list, err := w.fetch(ctx, "http://"+address+request.path(), request.timeout(w.spread > 0))
+	if err != nil {
+		return nil, err
+	}
+	if !list.Complete && (w.version == noVersion || *list.Version < w.version) {
+		return nil, fmt.Errorf("%w: a change to version %d where %d is held", errUnusableList, *list.Version, w.version)
+	}
+	return list, nil
+}
+
+// accept takes over a list and passes it on if it says anything.
+func (w *Watcher) accept(list *endpoints.List) {
+	if w.failures > 0 {
+		w.log.Info("endpoint poll recovered", slog.Int("failures", w.failures))
+	}
+	w.failures = 0
+	w.desynchronized = false
+	w.version = *list.Version
+	if list.Complete || len(list.Entries) > 0 {
+		w.lists.Put(list)
+	}
+}
+
+// pollFailed logs the first failure in a row. After a list that cannot be used it is not known what the next change would
+// apply to: the complete list is needed.
+func (w *Watcher) pollFailed(err error) {
+	w.failures++
+	if w.failures == 1 {
+		w.log.Warn("endpoint poll failed", slog.String("reason", "POLL_FAILED"), slog.Any("error", err))
+	}
+	if errors.Is(err, errUnusableList) {
+		w.version = noVersion
+	}
+}
+
+// retryDelay is the pause after a failed poll, which took so long. The first failure after a success draws a random part of
+// the spread, since the whole fleet may fail at once; later ones wait for all of it, which keeps the initiators apart.
+// Where a watch has stayed silent for all of its wait there is no time left for that, and no need: watches began apart.
+func (w *Watcher) retryDelay(request pollRequest, took time.Duration) time.Duration {
+	if w.desynchronized {
+		return retryPause + w.spread
+	}
+	if request.wait > 0 && took >= request.wait {
+		return retryPause
+	}
+	w.desynchronized = true
+	return retryPause + randomWithin(w.spread)
+}
+
+// randomWithin returns a random part of the span.
+func randomWithin(span time.Duration) time.Duration { return rand.N(max(span, 1)) }
+
+// pause waits for a time, or until the context ends.
+func pause(ctx context.Context, d time.Duration) {
+	select {
+	case <-ctx.Done():
+	case <-time.After(d):
+	}
+}
