--- a/cmd/initiator/initiator.go
+++ b/cmd/initiator/initiator.go
@@ -125,7 +125,7 @@
 	if !cfg.Scheduler.PollEndpoints {
 		return 0
 	}
-	return time.Duration(cfg.Scheduler.Initiators) * discovery.ExpectedCallTime
+	return time.Duration(cfg.Scheduler.Initiators) * discovery.ExpectedPollTime
 }
 
 // newServers returns the clients' servers. With NVMe over TCP the HTTP server answers health checks alone, since all
