--- a/internal/discovery/starttimes.go
+++ b/internal/discovery/starttimes.go
@@ -6,12 +6,13 @@
 	"dapplegate/internal/endpoints"
 )
 
-// minClockStep is by how much the wall clock must move against the monotonic clock to count as stepped. Gradual
-// adjustments are slower than that.
+// minClockStep is by how much the wall clock must move against the monotonic clock to count as stepped.
+// Gradual adjustments are slower than that.
 const minClockStep = 50 * time.Millisecond
 
-// StartTimes maps the starts of targets, which the endpoint list tells in wall-clock time, onto a monotonic clock: a step
-// of the wall clock must not change how long a target seems to have run. It is not safe for concurrent use.
+// StartTimes maps the starts of targets, which the endpoint list tells in wall-clock time, onto a monotonic
+// clock: a step of the wall clock must not change how long a target seems to have run. It is not safe for
+// concurrent use.
 type StartTimes struct {
 	wallClock      func() time.Time
 	monotonicClock func() time.Duration
@@ -26,8 +27,8 @@
 	monotonic time.Duration
 }
 
-// NewStartTimes returns an empty map between two clocks. The monotonic one began at the wall clock's time since the Unix
-// epoch.
+// NewStartTimes returns an empty map between two clocks. The monotonic one began at the wall clock's time
+// since the Unix epoch.
 func NewStartTimes(wallClock func() time.Time, monotonicClock func() time.Duration) *StartTimes {
 	return &StartTimes{wallClock: wallClock, monotonicClock: monotonicClock, known: map[string]startTime{}}
 }
@@ -75,9 +76,10 @@
 	}
 }
 
-// place finds a start on the monotonic clock. The target may have started before the last step of the wall clock or after
-// it: of the two places the later one counts, unless it is in the future. A target that seems older than it is may get more
-// load than it can take after its start; one that seems younger only gets less for a while.
+// place finds a start on the monotonic clock. The target may have started before the last step of the wall
+// clock or after it: of the two places the later one counts, unless it is in the future. A target that seems
+// older than it is may get more load than it can take after its start; one that seems younger only gets less
+// for a while.
 func (s *StartTimes) place(wallMs int64, now time.Duration) time.Duration {
 	if wallMs == 0 {
 		return 0
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -1,5 +1,5 @@
-// Package discovery keeps the endpoint list up to date: a Watcher watches the discovery service, StartTimes places the
-// targets' starts on the initiator's own clock.
+// Package discovery keeps the endpoint list up to date: a Watcher watches the discovery service, StartTimes
+// places the targets' starts on the initiator's own clock.
 package discovery
 
 import (
@@ -16,11 +16,13 @@
 )
 
 const (
-	// ExpectedPollTime is about what one poll takes of a discovery that serves all initiators in turn. Polls given up in
-	// its queue take that too: a fleet that polled at once, or again soon after a failure, would never be served.
+	// ExpectedPollTime is about what one poll takes of a discovery that serves all initiators in turn. Polls
+	// given up in its queue take that too: a fleet that polled at once, or again soon after a failure, would
+	// never be served.
 	ExpectedPollTime = 100 * time.Millisecond
-	// maxSpread bounds the pause before a first poll and after a failed one, whatever the size of the fleet: a change
-	// counts as told 6 s after discovery could be reached, and the poll itself may take queueTimeout.
+	// maxSpread bounds the pause before a first poll and after a failed one, whatever the size of the fleet:
+	// a change counts as told 6 s after discovery could be reached, and the poll itself may take
+	// queueTimeout.
 	maxSpread = 3 * time.Second
 	// retryPause is the pause after a failed poll, before any spread.
 	retryPause = 100 * time.Millisecond
@@ -28,8 +30,8 @@
 	noVersion = -1
 )
 
-// Watcher watches discovery and passes on what it tells, in order. Polling has a goroutine of its own: the next poll must
-// come within 200 ms of the last response, or the watch ends, so it waits for nobody.
+// Watcher watches discovery and passes on what it tells, in order. Polling has a goroutine of its own: the
+// next poll must come within 200 ms of the last response, or the watch ends, so it waits for nobody.
 type Watcher struct {
 	address   string // at the start
 	spread    time.Duration
@@ -45,10 +47,12 @@
 	desynchronized bool  // the next poll comes at a random moment, apart from those of the other initiators
 }
 
-// New returns a watcher of discovery at an address. It notifies of the list known from before first, if there is one,
-// however old; then of what discovery tells. Where one discovery serves all initiators, spread is the time over which
-// their first polls, and those after a failure, are distributed at random; 0: it serves this initiator alone.
-func New(address string, known *endpoints.List, spread time.Duration, notify func(*endpoints.List), log *slog.Logger) *Watcher {
+// New returns a watcher of discovery at an address. It notifies of the list known from before first, if there
+// is one, however old; then of what discovery tells. Where one discovery serves all initiators, spread is the
+// time over which their first polls, and those after a failure, are distributed at random; 0: it serves this
+// initiator alone.
+func New(address string, known *endpoints.List, spread time.Duration, notify func(*endpoints.List),
+	log *slog.Logger) *Watcher {
 	w := &Watcher{
 		address:   address,
 		spread:    min(spread, maxSpread),
@@ -68,8 +72,8 @@
 	return w
 }
 
-// SetAddress has discovery polled at another address from now on, for the complete list first. A poll of the former one is
-// given up.
+// SetAddress has discovery polled at another address from now on, for the complete list first. A poll of the
+// former one is given up.
 func (w *Watcher) SetAddress(address string) { w.addresses.Put(address) }
 
 // Run notifies until the context ends.
@@ -100,7 +104,8 @@
 	}
 }
 
-// watchUntilMoved polls discovery at an address until another one is set, which it returns, or the context ends.
+// watchUntilMoved polls discovery at an address until another one is set, which it returns, or the context
+// ends.
 func (w *Watcher) watchUntilMoved(ctx context.Context, address string) string {
 	watchCtx, stop := context.WithCancel(ctx)
 	stopped := make(chan struct{})
@@ -121,8 +126,8 @@
 	return next
 }
 
-// watchAt polls discovery at one address until the context ends. After a success the next poll follows at once, since the
-// watch ends otherwise.
+// watchAt polls discovery at one address until the context ends. After a success the next poll follows at
+// once, since the watch ends otherwise.
 func (w *Watcher) watchAt(ctx context.Context, address string) {
 	w.failures = 0
 	for ctx.Err() == nil {
@@ -141,8 +146,8 @@
 	}
 }
 
-// nextPoll goes on from the version that is held, also after a failure, since a complete list costs discovery the most.
-// After a failure it asks for no wait, so that another silence is noticed soon.
+// nextPoll goes on from the version that is held, also after a failure, since a complete list costs discovery
+// the most. After a failure it asks for no wait, so that another silence is noticed soon.
 func (w *Watcher) nextPoll() pollRequest {
 	request := pollRequest{after: w.version}
 	if w.version != noVersion && w.failures == 0 {
@@ -176,8 +181,8 @@
 	}
 }
 
-// pollFailed logs the first failure in a row. After a list that cannot be used it is not known what the next change would
-// apply to: the complete list is needed.
+// pollFailed logs the first failure in a row. After a list that cannot be used it is not known what the next
+// change would apply to: the complete list is needed.
 func (w *Watcher) pollFailed(err error) {
 	w.failures++
 	if w.failures == 1 {
@@ -188,9 +193,10 @@
 	}
 }
 
-// retryDelay is the pause after a failed poll, which took so long. The first failure after a success draws a random part of
-// the spread, since the whole fleet may fail at once; later ones wait for all of it, which keeps the initiators apart.
-// Where a watch has stayed silent for all of its wait there is no time left for that, and no need: watches began apart.
+// retryDelay is the pause after a failed poll, which took so long. The first failure after a success draws a
+// random part of the spread, since the whole fleet may fail at once; later ones wait for all of it, which
+// keeps the initiators apart. Where a watch has stayed silent for all of its wait there is no time left for
+// that, and no need: watches began apart.
 func (w *Watcher) retryDelay(request pollRequest, took time.Duration) time.Duration {
 	if w.desynchronized {
 		return retryPause + w.spread
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -19,10 +19,11 @@
 
 // The limits of the acceptance runs that the polls must keep to.
 const (
-	// maxPollGap is how far apart two polls of one initiator may begin: a change counts as told 6 s after discovery could
-	// be reached, and a poll may take queueTimeout.
+	// maxPollGap is how far apart two polls of one initiator may begin: a change counts as told 6 s after
+	// discovery could be reached, and a poll may take queueTimeout.
 	maxPollGap = 6*time.Second - queueTimeout
-	// maxSilentWatch is how long a silent watch may stay open: what it misses counts as told 2 s after its wait.
+	// maxSilentWatch is how long a silent watch may stay open: what it misses counts as told 2 s after its
+	// wait.
 	maxSilentWatch = watchWait + 1800*time.Millisecond
 )
 
@@ -75,8 +76,9 @@
 	}
 }
 
-// TestWatch plays discovery's responses in turn and checks polls and notifications. A watch goes on from the last version,
-// the known one at first, and also after a poll that failed. After a list that cannot be used the complete one is polled.
+// TestWatch plays discovery's responses in turn and checks polls and notifications. A watch goes on from the
+// last version, the known one at first, and also after a poll that failed. After a list that cannot be used
+// the complete one is polled.
 func TestWatch(t *testing.T) {
 	responses := []struct {
 		status int
@@ -146,31 +148,18 @@
 
 // TestFleetPollsSpread
 //
-// Many initiators start at once on one discovery that serves them in turn. If all polled at once, nearly all polls would
-// be given up in its queue, and these would take all of its time again and again. The first polls, and those after a
-// failure, come spread out; but no two of one initiator are further apart than maxPollGap.
+// Many initiators start at once on one discovery that serves them in turn. If all polled at once, nearly all
+// polls would be given up in its queue, and these would take all of its time again and again. The first
+// polls, and those after a failure, come spread out; but no two of one initiator are further apart than
+// maxPollGap.
 func TestFleetPollsSpread(t *testing.T) {
 	const fleet = 300
 	const seconds = 60
 	for _, fail := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			ctx, stop := context.WithCancel(withTestStart(context.Background()))
-			known := decodeList(t, listJSON(0, true, entryJSON))
-			recorders := make([]*pollRecorder, fleet)
-			for i := range recorders {
-				recorders[i] = &pollRecorder{fail: fail}
-				w, _ := newTestWatcher("127.0.0.1:1", known, fleet*ExpectedPollTime)
-				w.client.Transport = recorders[i]
-				go w.Run(ctx)
-			}
-			time.Sleep(seconds * time.Second)
-			stop()
-			synctest.Wait()
-
 			pollsBySecond := map[int]int{}
 			total := 0
-			for i, recorder := range recorders {
-				begins := recorder.begins
+			for i, begins := range runFleet(t, fleet, seconds*time.Second, fail) {
 				if len(begins) == 0 || begins[0] > maxPollGap {
 					t.Fatalf("initiator %d polled at %v, want a first poll within %v", i, begins, maxPollGap)
 				}
@@ -196,6 +185,27 @@
 	}
 }
 
+// runFleet starts so many initiators at once for a time, and returns when each of them polled.
+func runFleet(t *testing.T, size int, span time.Duration, fail bool) [][]time.Duration {
+	ctx, stop := context.WithCancel(withTestStart(context.Background()))
+	known := decodeList(t, listJSON(0, true, entryJSON))
+	recorders := make([]*pollRecorder, size)
+	for i := range recorders {
+		recorders[i] = &pollRecorder{fail: fail}
+		w, _ := newTestWatcher("127.0.0.1:1", known, time.Duration(size)*ExpectedPollTime)
+		w.client.Transport = recorders[i]
+		go w.Run(ctx)
+	}
+	time.Sleep(span)
+	stop()
+	synctest.Wait()
+	begins := make([][]time.Duration, size)
+	for i, recorder := range recorders {
+		begins[i] = recorder.begins
+	}
+	return begins
+}
+
 // TestSilentPoll guards against a discovery that is down and keeps the connection open: the poll is given up.
 func TestSilentPoll(t *testing.T) {
 	address := startServer(t, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
@@ -205,8 +215,8 @@
 	}
 }
 
-// silentWatches is a discovery whose polls fall silent where they may wait for a change. It notes when each of these is
-// given up.
+// silentWatches is a discovery whose polls fall silent where they may wait for a change. It notes when each
+// of these is given up.
 type silentWatches struct{ ends []time.Duration }
 
 func (s *silentWatches) RoundTrip(r *http.Request) (*http.Response, error) {
@@ -219,8 +229,8 @@
 	return nil, r.Context().Err()
 }
 
-// TestSilentWatch guards against waiting on for a watch that has fallen silent: no watch stays open for more than
-// maxSilentWatch, also where polls are spread over a fleet, and the next one has begun by then.
+// TestSilentWatch guards against waiting on for a watch that has fallen silent: no watch stays open for more
+// than maxSilentWatch, also where polls are spread over a fleet, and the next one has begun by then.
 func TestSilentWatch(t *testing.T) {
 	for _, spread := range []time.Duration{0, time.Minute} {
 		synctest.Test(t, func(t *testing.T) {
@@ -269,8 +279,8 @@
 	return address, polled
 }
 
-// TestSetAddress has discovery move twice while a watch waits: the complete list is polled at once at the last address,
-// also where its version is an earlier one, and the first address is not polled again.
+// TestSetAddress has discovery move twice while a watch waits: the complete list is polled at once at the
+// last address, also where its version is an earlier one, and the first address is not polled again.
 func TestSetAddress(t *testing.T) {
 	first, polledFirst := startRecorded(t, serveUnchanged(9))
 	second, polledSecond := startRecorded(t, serveUnchanged(4))
@@ -290,8 +300,8 @@
 
 // TestSetAddressAtOnce
 //
-// Discovery moves before its first address has been polled. The goroutine that polls read its address while the move wrote
-// it, which only the race detector sees. The list is had from the second address all the same.
+// Discovery moves before its first address has been polled. The goroutine that polls read its address while
+// the move wrote it, which only the race detector sees. The list is had from the second address all the same.
 func TestSetAddressAtOnce(t *testing.T) {
 	address := startServer(t, serveUnchanged(4))
 	for range 20 {
--- a/internal/endpoints/endpoints.go
+++ b/internal/endpoints/endpoints.go
@@ -1,4 +1,5 @@
-// Package endpoints decodes the endpoint list. Discovery's names for its fields are mapped to the code's terms here.
+// Package endpoints decodes the endpoint list. Discovery's names for its fields are mapped to the code's
+// terms here.
 package endpoints
 
 import (
@@ -57,8 +58,8 @@
 
 var errMissing = errors.New("missing")
 
-// Decode decodes a list and checks it: of a list with any entry that cannot be used, nothing is used. Its error is a
-// FieldError if the JSON is sound.
+// Decode decodes a list and checks it: of a list with any entry that cannot be used, nothing is used. Its
+// error is a FieldError if the JSON is sound.
 func Decode(data []byte) (*List, error) {
 	var list List
 	if err := jsoniter.ConfigCompatibleWithStandardLibrary.Unmarshal(data, &list); err != nil {
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -49,12 +49,13 @@
 	return a.cancelled
 }
 
-// clientGone asks the client's connection. The dispatcher cancels the attempt too when the client goes, but that may be
-// on its way still.
+// clientGone asks the client's connection. The dispatcher cancels the attempt too when the client goes, but
+// that may be on its way still.
 func (a *inFlightAttempt) clientGone() bool { return a.ClientGone != nil && a.ClientGone() }
 
-// runAttempt carries an attempt through connect and exchange and reports its result. A connection that cannot be used
-// again is closed before that: when the scheduler hears of the result, nothing of the attempt is in flight any more.
+// runAttempt carries an attempt through connect and exchange and reports its result. A connection that cannot
+// be used again is closed before that: when the scheduler hears of the result, nothing of the attempt is in
+// flight any more.
 func (t *target) runAttempt(ctx context.Context, a *inFlightAttempt, idle *pooledConn) {
 	result := NoResponse(scheduler.ConnectFailed, ReasonConnectFailed)
 	uses := 0
@@ -76,13 +77,14 @@
 	result.RequestID = a.RequestID
 	result.Number = a.Number
 	result.Target = t.id
-	// The pool hears first, so that an attempt which the scheduler starts on this result finds the connection there.
+	// The pool hears first, so that an attempt which the scheduler starts on this result finds the connection
+	// there.
 	t.mailbox.Put(attemptEnded{attempt: a, conn: conn})
 	t.report(result.AttemptResult)
 }
 
-// connect returns the idle connection once it is out of quarantine, or a new one if there is none or the target closed
-// it; nil if no connection came up in time.
+// connect returns the idle connection once it is out of quarantine, or a new one if there is none or the
+// target closed it; nil if no connection came up in time.
 func (t *target) connect(ctx context.Context, a *inFlightAttempt, idle *pooledConn) *pooledConn {
 	if idle != nil && t.awaitQuarantine(ctx, idle) {
 		return idle
@@ -90,8 +92,8 @@
 	return t.dial(ctx, a)
 }
 
-// awaitQuarantine waits until the connection is out of quarantine, or the attempt ends. It returns false, and closes the
-// connection, if the target has closed it meanwhile or has sent something.
+// awaitQuarantine waits until the connection is out of quarantine, or the attempt ends. It returns false, and
+// closes the connection, if the target has closed it meanwhile or has sent something.
 func (t *target) awaitQuarantine(ctx context.Context, c *pooledConn) bool {
 	left := c.quarantineLeft()
 	if left <= 0 {
@@ -112,9 +114,9 @@
 	return false
 }
 
-// dial opens a connection for the attempt; nil if it fails or takes longer than Options.DialTimeout. A dial that takes
-// longer goes on in the background, one at a time, and the next attempt finds its connection in the pool: another dial
-// might take as long.
+// dial opens a connection for the attempt; nil if it fails or takes longer than Options.DialTimeout. A dial
+// that takes longer goes on in the background, one at a time, and the next attempt finds its connection in
+// the pool: another dial might take as long.
 func (t *target) dial(ctx context.Context, a *inFlightAttempt) *pooledConn {
 	dialCtx, stopDial := context.WithTimeout(context.Background(), maxDialFactor*t.options.DialTimeout)
 	dialed := t.startDial(dialCtx)
@@ -157,8 +159,8 @@
 	return dialed
 }
 
-// exchange carries the attempt on a connection, unless the attempt was cancelled or its client went before the first byte:
-// the connection stays usable then.
+// exchange carries the attempt on a connection, unless the attempt was cancelled or its client went before
+// the first byte: the connection stays usable then.
 func (t *target) exchange(ctx context.Context, a *inFlightAttempt, c *pooledConn) RoundTripResult {
 	if !a.attach(c.Conn) || a.clientGone() {
 		return NoResponse(scheduler.NotSent, "")
@@ -177,8 +179,8 @@
 	return cancelledResult(result)
 }
 
-// cancelledResult is the result of an attempt that was cancelled during its round trip. Its connection was closed by
-// that. A response that was complete before stays one, and what was not sent cannot have executed.
+// cancelledResult is the result of an attempt that was cancelled during its round trip. Its connection was
+// closed by that. A response that was complete before stays one, and what was not sent cannot have executed.
 func cancelledResult(result RoundTripResult) RoundTripResult {
 	switch result.Status {
 	case scheduler.Succeeded, scheduler.NotSent, scheduler.ConnectFailed:
@@ -192,8 +194,8 @@
 	return result
 }
 
-// mayStart is the last check before the first byte of an attempt. Whatever has arrived on the connection by then is not
-// its response.
+// mayStart is the last check before the first byte of an attempt. Whatever has arrived on the connection by
+// then is not its response.
 func (t *target) mayStart(a *inFlightAttempt, c *pooledConn) bool {
 	if !c.IsIdle() || !t.isServing() {
 		return false
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -14,10 +14,13 @@
 // TestCancelWhileDialingIsNotSent
 //
 // Symptom: after some clients had left, requests to a healthy target waited 0.6 s.
-// Sequence: clients leave while the connections for their attempts are being dialed. Each attempt was reported as one
-// that could not connect; after three of them the target counted as an outlier and was ejected for a while.
-// Cause: an attempt that was cancelled before its first byte was reported with how far it had got, not as not sent.
-// Settled by the log: "attempt ended" reason=NO_CONNECTION took=0.4ms, right after "request ended" reason=CLIENT_LEFT.
+// Sequence: clients leave while the connections for their attempts are being dialed. Each attempt was
+// reported as one that could not connect; after three of them the target counted as an outlier and was
+// ejected for a while.
+// Cause: an attempt that was cancelled before its first byte was reported with how far it had got, not as not
+// sent.
+// Settled by the log: "attempt ended" reason=NO_CONNECTION took=0.4ms, right after "request ended"
+// reason=CLIENT_LEFT.
 func TestCancelWhileDialingIsNotSent(t *testing.T) {
 	dialer := newBlockingDialer()
 	registry := newTestRegistryWith(dialer, testTimeout, "a:1")
@@ -33,8 +36,8 @@
 
 // TestCancelledDialIsKept
 //
-// A client leaves while its attempt's connection is being made. Nothing of the attempt is sent, on that connection or on
-// another, and the dial is not wasted: the next attempt has its connection.
+// A client leaves while its attempt's connection is being made. Nothing of the attempt is sent, on that
+// connection or on another, and the dial is not wasted: the next attempt has its connection.
 func TestCancelledDialIsKept(t *testing.T) {
 	server := newFakeTarget(t, respondOK)
 	dialer := &heldDialer{HTTPDialer: NewHTTPDialer(0), connected: make(chan bool), release: make(chan bool)}
@@ -48,18 +51,19 @@
 	close(dialer.release)
 	awaitNoBackgroundDial(registry.targetActor())
 	registry.send(time.Minute)
-	result := registry.result(t)
-	if requests, connections := server.requests.Load(), server.connections.Load(); result.Status != scheduler.Succeeded ||
-		requests != 1 || connections != 1 {
-		t.Errorf("afterwards: status %v, %d requests on %d connections, want one on one", result.Status, requests, connections)
+	if result := registry.result(t); result.Status != scheduler.Succeeded {
+		t.Errorf("afterwards: status %v", result.Status)
+	}
+	if requests, connections := server.requests.Load(), server.connections.Load(); requests != 1 || connections != 1 {
+		t.Errorf("afterwards: %d requests on %d connections, want one on one", requests, connections)
 	}
 }
 
 // TestBackgroundDial
 //
-// Connections come up more slowly than their attempts wait. If each dial were given up with its attempt, no attempt would
-// ever get a connection. The first dial goes on, beside no other, and its connection carries the next attempt. A target
-// that is removed ends with its dial, and nothing stays counted as open.
+// Connections come up more slowly than their attempts wait. If each dial were given up with its attempt, no
+// attempt would ever get a connection. The first dial goes on, beside no other, and its connection carries
+// the next attempt. A target that is removed ends with its dial, and nothing stays counted as open.
 func TestBackgroundDial(t *testing.T) {
 	dialer := newBlockingDialer()
 	registry := newTestRegistryWith(dialer, 250*time.Millisecond, "a:1")
@@ -90,44 +94,36 @@
 
 // TestConnectionClosedBeforeResult
 //
-// A target must not see a retry while the attempt before it is still on its connection. However an attempt ends early, the
-// target sees the connection end; and a cancelled attempt is found also at a target that has been removed meanwhile, or
-// removed and listed anew.
+// A target must not see a retry while the attempt before it is still on its connection. However an attempt
+// ends early, the target sees the connection end; and a cancelled attempt is found also at a target that has
+// been removed meanwhile, or removed and listed anew.
 func TestConnectionClosedBeforeResult(t *testing.T) {
+	remove := func(registry *testRegistry, _ string) { registry.Apply(nil, true) }
+	listAnew := func(registry *testRegistry, addr string) {
+		registry.Apply(nil, true)
+		registry.Apply([]Endpoint{{ID: testTarget, Addr: addr}}, true)
+	}
 	for _, c := range []struct {
-		name              string
-		cancel            bool // or let it time out
-		removed, relisted bool
-		want              scheduler.AttemptStatus
+		name    string
+		timeout time.Duration
+		cancel  bool
+		before  func(registry *testRegistry, addr string) // before it is cancelled; may be nil
+		want    scheduler.AttemptStatus
 	}{
-		{name: "timeout", want: scheduler.DeadlineExceeded},
-		{name: "cancel", cancel: true, want: scheduler.Cancelled},
-		{name: "cancel at a removed target", cancel: true, removed: true, want: scheduler.Cancelled},
-		{name: "cancel at a target removed and listed anew", cancel: true, removed: true, relisted: true, want: scheduler.Cancelled},
+		{"timeout", 2 * time.Second, false, nil, scheduler.DeadlineExceeded},
+		{"cancel", time.Minute, true, nil, scheduler.Cancelled},
+		{"cancel at a removed target", time.Minute, true, remove, scheduler.Cancelled},
+		{"cancel at a target listed anew", time.Minute, true, listAnew, scheduler.Cancelled},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			closed := make(chan bool, 1)
-			received := make(chan bool, 1)
-			server := newFakeTarget(t, func(_ int32, _ *http.Request, conn net.Conn) bool {
-				received <- true
-				_, _ = conn.Read(make([]byte, 1)) // until the initiator closes
-				closed <- true
-				return false
-			})
+			server, received, closed := newSilentTarget(t)
 			registry := newTestRegistry(server.Addr().String())
+			registry.send(c.timeout)
 			if c.cancel {
-				registry.send(time.Minute)
 				<-received
-			} else {
-				registry.send(2 * time.Second)
-			}
-			if c.removed {
-				registry.Apply(nil, true)
-			}
-			if c.relisted {
-				registry.Apply([]Endpoint{{ID: testTarget, Addr: server.Addr().String()}}, true)
-			}
-			if c.cancel {
+				if c.before != nil {
+					c.before(registry, server.Addr().String())
+				}
 				registry.Cancel(testTarget, "1")
 			}
 			if result := registry.result(t); result.Status != c.want {
@@ -144,10 +140,25 @@
 	}
 }
 
+// newSilentTarget returns a target that never answers. The channels tell when a request has arrived, and when its
+// connection was closed.
+func newSilentTarget(t *testing.T) (server *fakeTarget, received, closed chan bool) {
+	t.Helper()
+	received = make(chan bool, 1)
+	closed = make(chan bool, 1)
+	server = newFakeTarget(t, func(_ int32, _ *http.Request, conn net.Conn) bool {
+		received <- true
+		_, _ = conn.Read(make([]byte, 1)) // until the initiator closes
+		closed <- true
+		return false
+	})
+	return server, received, closed
+}
+
 // TestDrainingTargetGetsNoFirstByte
 //
-// An attempt is decided on, or waits for its connection, while the news comes that its target is draining. It must not
-// start there: the check right before the first byte sees the newer state.
+// An attempt is decided on, or waits for its connection, while the news comes that its target is draining. It
+// must not start there: the check right before the first byte sees the newer state.
 func TestDrainingTargetGetsNoFirstByte(t *testing.T) {
 	server := newFakeTarget(t, respondOK)
 	registry := newTestRegistry(server.Addr().String())
@@ -170,7 +181,8 @@
 	}
 }
 
-// TestAttemptPastStartBy has an attempt's connection come up when it may not start any more: nothing of it is sent.
+// TestAttemptPastStartBy has an attempt's connection come up when it may not start any more: nothing of it is
+// sent.
 func TestAttemptPastStartBy(t *testing.T) {
 	server := newFakeTarget(t, respondOK)
 	registry := newTestRegistry(server.Addr().String())
--- a/internal/upstream/closereason.go
+++ b/internal/upstream/closereason.go
@@ -11,8 +11,8 @@
 // CloseReason says in the log why a connection to a target ended.
 type CloseReason string
 
-// Reasons that an attempt or the pool closes a connection for. Failed reads and writes have further ones: see ReadFailed
-// and WriteFailed.
+// Reasons that an attempt or the pool closes a connection for. Failed reads and writes have further ones: see
+// ReadFailed and WriteFailed.
 const (
 	ReasonConnectFailed    CloseReason = "CONNECT_FAILED"
 	ReasonNotSent          CloseReason = "NOT_SENT"
--- a/internal/upstream/connpool.go
+++ b/internal/upstream/connpool.go
@@ -7,9 +7,10 @@
 )
 
 const (
-	// quarantineTime is how long a connection is not used again after a response. Targets send some responses twice, a
-	// few milliseconds apart. A second copy that crossed the next request on its way would pass for the response to it;
-	// one that arrives during the quarantine is seen by IsIdle, and the connection is closed.
+	// quarantineTime is how long a connection is not used again after a response. Targets send some responses
+	// twice, a few milliseconds apart. A second copy that crossed the next request on its way would pass for
+	// the response to it; one that arrives during the quarantine is seen by IsIdle, and the connection is
+	// closed.
 	quarantineTime = 10 * time.Millisecond
 	// maxConnsForQuarantine is how many connections a target may have opened to it because all others are in
 	// quarantine. From there on, an attempt waits for one of them.
@@ -43,8 +44,8 @@
 // abandon closes the connection. An error of Close is of no use: nothing more is expected of the connection.
 func (c *pooledConn) abandon() { _ = c.Close() }
 
-// connPool keeps the connections to one target and counts them. It belongs to the target's actor: it is not safe for
-// concurrent use.
+// connPool keeps the connections to one target and counts them. It belongs to the target's actor: it is not
+// safe for concurrent use.
 type connPool struct {
 	options   Options
 	log       connLog
@@ -53,10 +54,10 @@
 	totalOpen *atomic.Int64 // open of all targets' pools together
 }
 
-// acquire returns an idle connection for an attempt, or nil if the attempt is to dial one, which is counted as open
-// already. In order of preference: an idle one out of quarantine, a new one while there are few, the one whose quarantine
-// ends first, for the attempt to wait for, and a new one. It returns false if there is no connection, nor capacity for a
-// new one.
+// acquire returns an idle connection for an attempt, or nil if the attempt is to dial one, which is counted
+// as open already. In order of preference: an idle one out of quarantine, a new one while there are few, the
+// one whose quarantine ends first, for the attempt to wait for, and a new one. It returns false if there is
+// no connection, nor capacity for a new one.
 func (p *connPool) acquire() (*pooledConn, bool) {
 	if c := p.takeReady(); c != nil {
 		return c, true
@@ -93,8 +94,9 @@
 	return nil
 }
 
-// takeAt takes an idle connection. It returns nil, and closes the connection, if the target has closed it or has sent
-// something that nobody asked for: no byte of an attempt has been near it, so another connection can carry the attempt.
+// takeAt takes an idle connection. It returns nil, and closes the connection, if the target has closed it or
+// has sent something that nobody asked for: no byte of an attempt has been near it, so another connection can
+// carry the attempt.
 func (p *connPool) takeAt(i int) *pooledConn {
 	c := p.idle[i]
 	p.idle = slices.Delete(p.idle, i, i+1)
@@ -111,13 +113,14 @@
 	p.idle = append(p.idle, c)
 }
 
-// prune closes the idle connections that no attempt will use: those to a target that gets nothing new, to a former
-// address, and those idle for too long.
+// prune closes the idle connections that no attempt will use: those to a target that gets nothing new, to a
+// former address, and those idle for too long.
 func (p *connPool) prune(serving bool, address string) {
 	now := time.Now()
+	isTooOld := func(c *pooledConn) bool { return now.Sub(c.returnedAt) >= p.options.IdleTimeout }
 	p.closeIdle(ReasonTargetDraining, func(*pooledConn) bool { return !serving })
 	p.closeIdle(ReasonAddressChanged, func(c *pooledConn) bool { return c.address != address })
-	p.closeIdle(ReasonIdleTimeout, func(c *pooledConn) bool { return now.Sub(c.returnedAt) >= p.options.IdleTimeout })
+	p.closeIdle(ReasonIdleTimeout, isTooOld)
 }
 
 // closeAll closes all idle connections.
@@ -142,8 +145,8 @@
 	p.log.closed(c.uses, reason, "")
 }
 
-// reserve counts one more open connection, unless this target or all together have too many. The bounds keep the process
-// within its file descriptors, whatever the number of targets.
+// reserve counts one more open connection, unless this target or all together have too many. The bounds keep
+// the process within its file descriptors, whatever the number of targets.
 func (p *connPool) reserve() bool {
 	if p.open >= p.options.MaxConnsPerTarget {
 		return false
--- a/internal/upstream/connpool_test.go
+++ b/internal/upstream/connpool_test.go
@@ -25,8 +25,8 @@
 
 // TestDeadlineClearedAfterAttempt
 //
-// Once an attempt's deadline was left on its connection. When it had passed, the check of the idle connection failed, the
-// healthy connection was closed for it, and nearly every request paid for a handshake.
+// Once an attempt's deadline was left on its connection. When it had passed, the check of the idle connection
+// failed, the healthy connection was closed for it, and nearly every request paid for a handshake.
 func TestDeadlineClearedAfterAttempt(t *testing.T) {
 	actor := newTestTarget(scheduler.Serving)
 	near, far := net.Pipe()
@@ -71,9 +71,9 @@
 
 // TestDuplicateResponse
 //
-// A target answers a request twice, the second time when the next request is on its way already. That one must not be
-// served with the copy: the connection is in quarantine when it would be chosen, and another one is opened. Where there
-// are enough connections, quarantine is no reason for a further one.
+// A target answers a request twice, the second time when the next request is on its way already. That one
+// must not be served with the copy: the connection is in quarantine when it would be chosen, and another one
+// is opened. Where there are enough connections, quarantine is no reason for a further one.
 func TestDuplicateResponse(t *testing.T) {
 	next := make(chan bool)
 	server := newFakeTarget(t, func(n int32, _ *http.Request, conn net.Conn) bool {
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -35,7 +35,8 @@
 	requests    atomic.Int32 // received
 }
 
-// requestHandler answers the n-th request, from 1, on its connection. It returns false to close the connection.
+// requestHandler answers the n-th request, from 1, on its connection. It returns false to close the
+// connection.
 type requestHandler func(n int32, request *http.Request, conn net.Conn) bool
 
 func newFakeTarget(t *testing.T, handle requestHandler) *fakeTarget {
@@ -81,7 +82,8 @@
 // respondOK is a requestHandler.
 func respondOK(_ int32, _ *http.Request, conn net.Conn) bool { return respond(conn, "200 OK", "") }
 
-// respond writes a response with a status line, further headers after it, and a body. It returns false if that failed.
+// respond writes a response with a status line, further headers after it, and a body. It returns false if
+// that failed.
 func respond(conn net.Conn, head, body string) bool {
 	_, err := fmt.Fprintf(conn, "HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s", head, len(body), body)
 	return err == nil
--- a/internal/upstream/http.go
+++ b/internal/upstream/http.go
@@ -16,8 +16,8 @@
 	budget *memoryBudget
 }
 
-// NewHTTPDialer returns a dialer whose connections together hold at most bodyBytes of response bodies while they read
-// them. The budget is at least that of two bodies of the largest size.
+// NewHTTPDialer returns a dialer whose connections together hold at most bodyBytes of response bodies while
+// they read them. The budget is at least that of two bodies of the largest size.
 func NewHTTPDialer(bodyBytes int64) HTTPDialer {
 	return HTTPDialer{newMemoryBudget(max(bodyBytes, 2*maxBodyBytes))}
 }
@@ -38,8 +38,9 @@
 	budget *memoryBudget
 }
 
-// RoundTrip implements Conn. How many bytes were written decides the status: short of the last one the target cannot
-// have started, after it the attempt may have executed. Write, head and body are all bounded by the attempt's deadline.
+// RoundTrip implements Conn. How many bytes were written decides the status: short of the last one the target
+// cannot have started, after it the attempt may have executed. Write, head and body are all bounded by the
+// attempt's deadline.
 func (c *httpConn) RoundTrip(attempt dispatcher.Attempt, mayStart func() bool) RoundTripResult {
 	// This fails only on a closed connection, and so does the write then.
 	_ = c.SetDeadline(attempt.Deadline)
@@ -67,8 +68,8 @@
 	if resp.closeAfter || excess {
 		return ReasonConnectionClose
 	}
-	// A deadline left on the connection would make IsIdle fail once it has passed, and a healthy connection would be
-	// closed for it.
+	// A deadline left on the connection would make IsIdle fail once it has passed, and a healthy connection
+	// would be closed for it.
 	if c.SetDeadline(time.Time{}) != nil {
 		return ReasonClosed
 	}
--- a/internal/upstream/http_test.go
+++ b/internal/upstream/http_test.go
@@ -17,7 +17,8 @@
 	"dapplegate/scheduler"
 )
 
-// TestRequestHeadSamples encodes attempts in the form of the protocol page: what is forwarded is forwarded unchanged.
+// TestRequestHeadSamples encodes attempts in the form of the protocol page: what is forwarded is forwarded
+// unchanged.
 func TestRequestHeadSamples(t *testing.T) {
 	const host = "10.1.0.18:8080"
 	write := &httpmsg.Request{Method: "PUT", URI: "/checkout/7f3a9c21e0b4d655?q=1", ID: "9b1f03aa5c7e2d41", Body: []byte("body")}
@@ -65,8 +66,8 @@
 	}
 }
 
-// TestAttemptStatus checks what each kind of response counts as; above all, that Not-Started counts only with 503 and
-// 504, and that an attempt which ends after its last byte may have executed.
+// TestAttemptStatus checks what each kind of response counts as; above all, that Not-Started counts only with
+// 503 and 504, and that an attempt which ends after its last byte may have executed.
 func TestAttemptStatus(t *testing.T) {
 	for _, c := range []struct {
 		name, head string // no head: the target closes the connection instead
@@ -93,9 +94,9 @@
 
 // TestUnusableResponses
 //
-// Targets send what is no usable response. The attempt may have executed, nothing of the response is served, the
-// connection is not used again, and a response that stops midway is not waited for until the deadline. What is only more
-// than was due costs the connection alone.
+// Targets send what is no usable response. The attempt may have executed, nothing of the response is served,
+// the connection is not used again, and a response that stops midway is not waited for until the deadline.
+// What is only more than was due costs the connection alone.
 func TestUnusableResponses(t *testing.T) {
 	const good = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx"
 	const informational = "HTTP/1.1 103 Early Hints\r\n\r\n"
@@ -119,38 +120,43 @@
 		{"a second copy", good + good, ok, 2},
 		{"reports that cannot be used", strings.Replace(good, "Cont", "Server-Load: inflight=x,queue=1e99\r\nVolume-Load: -7\r\nCont", 1), ok, 1},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			var sent atomic.Int64
-			server := newFakeTarget(t, func(_ int32, _ *http.Request, conn net.Conn) bool {
-				sent.Add(sendInParts(conn, c.response))
-				return true
-			})
-			registry := newTestRegistry(server.Addr().String())
-			for range 2 {
-				begun := time.Now()
-				registry.send(10 * time.Second)
-				result := registry.result(t)
-				if result.Status != c.want || result.Status == ok && string(result.Payload.([]byte)) != "x" ||
-					result.LoadReport != nil || result.VolumeUsage != 0 {
-					t.Errorf("%+v, want status %v", result, c.want)
-				}
-				if took := time.Since(begun); took > 5*time.Second {
-					t.Errorf("waited for %v", took)
-				}
-				time.Sleep(quarantineTime + 5*time.Millisecond) // for what comes after the response
-			}
-			if n := sent.Load(); n > 20<<20 {
-				t.Errorf("%d bytes were taken for two attempts", n)
-			}
-			if got := server.connections.Load(); got != c.connections {
-				t.Errorf("%d connections for two attempts, want %d", got, c.connections)
-			}
-		})
+		t.Run(c.name, func(t *testing.T) { testResponse(t, c.response, c.want, c.connections) })
+	}
+}
+
+// testResponse makes two attempts at a target that answers with the response. One that succeeds has the body "x".
+func testResponse(t *testing.T, response string, want scheduler.AttemptStatus, connections int32) {
+	var sent atomic.Int64
+	server := newFakeTarget(t, func(_ int32, _ *http.Request, conn net.Conn) bool {
+		sent.Add(sendInParts(conn, response))
+		return true
+	})
+	registry := newTestRegistry(server.Addr().String())
+	for range 2 {
+		begun := time.Now()
+		registry.send(10 * time.Second)
+		result := registry.result(t)
+		if result.Status != want || result.LoadReport != nil || result.VolumeUsage != 0 {
+			t.Errorf("%+v, want status %v and no reports", result, want)
+		}
+		if result.Status == scheduler.Succeeded && string(result.Payload.([]byte)) != "x" {
+			t.Errorf("body %q, want x", result.Payload)
+		}
+		if took := time.Since(begun); took > 5*time.Second {
+			t.Errorf("waited for %v", took)
+		}
+		time.Sleep(quarantineTime + 5*time.Millisecond) // for what comes after the response
+	}
+	if n := sent.Load(); n > 20<<20 {
+		t.Errorf("%d bytes were taken for two attempts", n)
+	}
+	if got := server.connections.Load(); got != connections {
+		t.Errorf("%d connections for two attempts, want %d", got, connections)
 	}
 }
 
-// sendInParts writes through a small buffer, so that no more is sent than the other side takes, and returns how many
-// bytes that were.
+// sendInParts writes through a small buffer, so that no more is sent than the other side takes, and returns
+// how many bytes that were.
 func sendInParts(conn net.Conn, response string) int64 {
 	_ = conn.(*net.TCPConn).SetWriteBuffer(4 << 10) // without it the count is only higher
 	sent := 0
@@ -161,8 +167,8 @@
 	return int64(sent)
 }
 
-// TestResponseWithoutLength has targets tell no length: such a response is complete where the target closes the
-// connection, and cut where a reset or a stall ends it.
+// TestResponseWithoutLength has targets tell no length: such a response is complete where the target closes
+// the connection, and cut where a reset or a stall ends it.
 func TestResponseWithoutLength(t *testing.T) {
 	closeConn := func(*net.TCPConn) bool { return false }
 	halfClose := func(conn *net.TCPConn) bool { return conn.CloseWrite() == nil }
@@ -201,8 +207,9 @@
 
 // TestLargeResponses
 //
-// A response that is only larger than a request may be, or comes in parts with pauses between them, is served. Two such
-// responses at a time, with memory for one, are not both held: one fails, and the budget is whole again afterwards.
+// A response that is only larger than a request may be, or comes in parts with pauses between them, is
+// served. Two such responses at a time, with memory for one, are not both held: one fails, and the budget is
+// whole again afterwards.
 func TestLargeResponses(t *testing.T) {
 	const budget = 500 << 10
 	body := strings.Repeat("x", 400<<10)
@@ -234,7 +241,8 @@
 	}
 }
 
-// TestPartialWrite checks that an attempt which ends short of its last byte counts as one that cannot have executed.
+// TestPartialWrite checks that an attempt which ends short of its last byte counts as one that cannot have
+// executed.
 func TestPartialWrite(t *testing.T) {
 	actor := newTestTarget(scheduler.Serving)
 	near, far := net.Pipe()
@@ -249,8 +257,8 @@
 	}
 }
 
-// TestTruncatedResponses cuts valid responses anywhere and feeds garbage: no cut of a response with a length passes for a
-// complete one, and the parser fails by an error alone.
+// TestTruncatedResponses cuts valid responses anywhere and feeds garbage: no cut of a response with a length
+// passes for a complete one, and the parser fails by an error alone.
 func TestTruncatedResponses(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		body := rapid.StringN(0, 200, 300).Draw(t, "body")
--- a/internal/upstream/httpresponse.go
+++ b/internal/upstream/httpresponse.go
@@ -25,8 +25,9 @@
 	maxVolumeUsage = 1e6
 	// readBufferBytes is the size of the buffer that a response is read through.
 	readBufferBytes = 4096
-	// stallTimeout is how long a response that has begun may bring nothing. It is far above what a busy initiator is late
-	// by, and ends the wait for a response that stops midway long before the attempt's deadline.
+	// stallTimeout is how long a response that has begun may bring nothing. It is far above what a busy
+	// initiator is late by, and ends the wait for a response that stops midway long before the attempt's
+	// deadline.
 	stallTimeout = 250 * time.Millisecond
 )
 
@@ -56,14 +57,16 @@
 	}
 }
 
-// status is the outcome of the attempt. That the target never started counts only with the two status codes that the
-// protocol has it with: any other attempt may have executed.
+// status is the outcome of the attempt. That the target never started counts only with the two status codes
+// that the protocol has it with: any other attempt may have executed.
 func (r *response) status() scheduler.AttemptStatus {
-	switch {
-	case r.statusCode == http.StatusOK:
+	switch r.statusCode {
+	case http.StatusOK:
 		return scheduler.Succeeded
-	case r.notStarted && (r.statusCode == http.StatusServiceUnavailable || r.statusCode == http.StatusGatewayTimeout):
-		return scheduler.Rejected
+	case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
+		if r.notStarted {
+			return scheduler.Rejected
+		}
 	}
 	return scheduler.Errored
 }
@@ -124,8 +127,8 @@
 	return nil, errTooManyInformational
 }
 
-// awaitHead waits until the deadline for a head to begin. From then on the stall timeout holds, and the head must end
-// within its bound: a head without end would take memory without end.
+// awaitHead waits until the deadline for a head to begin. From then on the stall timeout holds, and the head
+// must end within its bound: a head without end would take memory without end.
 func (r *responseReader) awaitHead() error {
 	r.limit.N = maxHeadBytes
 	r.stream.started = false
@@ -137,8 +140,9 @@
 	return err
 }
 
-// readBody reads the body. Its memory is taken from the budget while it is read; one whose length is not known in
-// advance takes as much as the largest. A body without a length ends with its connection: a reset fails the read.
+// readBody reads the body. Its memory is taken from the budget while it is read; one whose length is not
+// known in advance takes as much as the largest. A body without a length ends with its connection: a reset
+// fails the read.
 func (r *responseReader) readBody(head *http.Response) ([]byte, error) {
 	if head.ContentLength > maxBodyBytes {
 		return nil, errBodyTooLarge
@@ -210,8 +214,8 @@
 	return s.deadlineReader.Read(buffer)
 }
 
-// parseVolumeUsage reads a usage report in percent. The result is a percentage plus one; 0 if there is none that can be
-// used.
+// parseVolumeUsage reads a usage report in percent. The result is a percentage plus one; 0 if there is none
+// that can be used.
 func parseVolumeUsage(header string) int {
 	percent, err := strconv.Atoi(header)
 	if err != nil || percent < 0 || percent >= maxVolumeUsage {
--- a/internal/upstream/loadreport.go
+++ b/internal/upstream/loadreport.go
@@ -13,8 +13,8 @@
 // notReported marks a quantity that a load report does not tell.
 const notReported = -1
 
-// parseLoadReport reads a load report such as "inflight=7,queue=2", in requests. Fields that it does not know or cannot
-// use are passed over; nil if none is left.
+// parseLoadReport reads a load report such as "inflight=7,queue=2", in requests. Fields that it does not know
+// or cannot use are passed over; nil if none is left.
 func parseLoadReport(header string) *scheduler.LoadReport {
 	report := &scheduler.LoadReport{QueueDepth: notReported, InFlight: notReported}
 	for field := range strings.SplitSeq(header, ",") {
--- a/internal/upstream/memorybudget.go
+++ b/internal/upstream/memorybudget.go
@@ -2,8 +2,8 @@
 
 import "sync/atomic"
 
-// memoryBudget bounds the memory that all connections of a dialer hold at a time, in bytes. It is safe for concurrent
-// use.
+// memoryBudget bounds the memory that all connections of a dialer hold at a time, in bytes. It is safe for
+// concurrent use.
 type memoryBudget struct {
 	free atomic.Int64
 }
--- a/internal/upstream/registry.go
+++ b/internal/upstream/registry.go
@@ -1,8 +1,8 @@
 // Package upstream carries attempts to targets.
 //
-// The Registry has an actor for each target of the endpoint list (target.go), which owns a pool of connections to it
-// (connpool.go) and runs each attempt on one of them (attempt.go). What is spoken on a connection is behind the
-// interfaces Dialer and Conn; this package has HTTP/1.1 (http.go).
+// The Registry has an actor for each target of the endpoint list (target.go), which owns a pool of
+// connections to it (connpool.go) and runs each attempt on one of them (attempt.go). What is spoken on a
+// connection is behind the interfaces Dialer and Conn; this package has HTTP/1.1 (http.go).
 package upstream
 
 import (
@@ -32,8 +32,9 @@
 	Logger            *slog.Logger
 }
 
-// Registry holds the targets' actors. Endpoint changes are applied to it before the scheduler hears of them, so that an
-// attempt decided on an older list still meets the newer state at its first byte. It is safe for concurrent use.
+// Registry holds the targets' actors. Endpoint changes are applied to it before the scheduler hears of them,
+// so that an attempt decided on an older list still meets the newer state at its first byte. It is safe for
+// concurrent use.
 type Registry struct {
 	options   Options
 	report    func(dispatcher.AttemptResult)
@@ -46,12 +47,19 @@
 
 var _ dispatcher.Upstream = (*Registry)(nil)
 
-// NewRegistry returns a registry without targets. It calls report, from any goroutine, with the result of each attempt.
+// NewRegistry returns a registry without targets. It calls report, from any goroutine, with the result of
+// each attempt.
 func NewRegistry(options Options, report func(dispatcher.AttemptResult)) *Registry {
-	return &Registry{options: options, report: report, targets: map[string]*target{}, retired: map[*target]bool{}}
+	return &Registry{
+		options: options,
+		report:  report,
+		targets: map[string]*target{},
+		retired: map[*target]bool{},
+	}
 }
 
-// Apply takes over entries of the endpoint list. If the list is complete, a target that it does not name is removed.
+// Apply takes over entries of the endpoint list. If the list is complete, a target that it does not name is
+// removed.
 func (r *Registry) Apply(list []Endpoint, complete bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -127,8 +135,8 @@
 	return true
 }
 
-// Cancel ends the attempt of a request at a target early, if it is in flight; its connection is closed before its result
-// is reported.
+// Cancel ends the attempt of a request at a target early, if it is in flight; its connection is closed before
+// its result is reported.
 func (r *Registry) Cancel(targetID, requestID string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/upstream/target.go
+++ b/internal/upstream/target.go
@@ -18,8 +18,8 @@
 	minPruneInterval = 50 * time.Millisecond
 )
 
-// target is the actor of one target: its goroutine, in run, handles one message at a time. Each attempt runs on a
-// goroutine of its own and comes back with a message.
+// target is the actor of one target: its goroutine, in run, handles one message at a time. Each attempt runs
+// on a goroutine of its own and comes back with a message.
 type target struct {
 	id      string
 	options Options
@@ -41,7 +41,8 @@
 }
 
 // newTarget returns an actor that is yet to be run. totalOpen counts the connections to all targets.
-func newTarget(id string, options Options, totalOpen *atomic.Int64, report func(dispatcher.AttemptResult)) *target {
+func newTarget(id string, options Options, totalOpen *atomic.Int64,
+	report func(dispatcher.AttemptResult)) *target {
 	log := connLog{logger: options.Logger, targetID: id}
 	return &target{
 		id:       id,
@@ -54,8 +55,8 @@
 	}
 }
 
-// update takes over what the endpoint list says; an empty address leaves it as it is. Attempts about to write see it at
-// once, the pool in its turn.
+// update takes over what the endpoint list says; an empty address leaves it as it is. Attempts about to write
+// see it at once, the pool in its turn.
 func (t *target) update(address string, state scheduler.TargetState) {
 	if address != "" {
 		t.addr.Store(&address)
@@ -124,7 +125,8 @@
 	}
 }
 
-// start runs an attempt on an idle connection or on a new one. An attempt that cannot start is reported at once.
+// start runs an attempt on an idle connection or on a new one. An attempt that cannot start is reported at
+// once.
 func (t *target) start(a dispatcher.Attempt) {
 	if !t.isServing() {
 		t.reportStatus(a, scheduler.NotSent)
