--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -26,7 +26,8 @@
 	maxSpread = 3 * time.Second
 	// retryPause is the pause after a failed poll, before any spread.
 	retryPause = 100 * time.Millisecond
-	// noVersion is the version where there is no list that changes could be applied to.
+	// noVersion is the version where there is no list that changes could be applied to. Any version below 0
+	// counts as this one.
 	noVersion = -1
 )
 
@@ -150,7 +151,7 @@
 // the most. After a failure it asks for no wait, so that another silence is noticed soon.
 func (w *Watcher) nextPoll() pollRequest {
 	request := pollRequest{after: w.version}
-	if w.version != noVersion && w.failures == 0 {
+	if request.isWatch() && w.failures == 0 {
 		request.wait = watchWait
 	}
 	return request
@@ -162,8 +163,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if !list.Complete && (w.version == noVersion || *list.Version < w.version) {
-		return nil, fmt.Errorf("%w: a change to version %d where %d is held", errUnusableList, *list.Version, w.version)
+	if !list.Complete && (!request.isWatch() || *list.Version < request.after) {
+		return nil, fmt.Errorf("%w: a change to version %d where %d is held", errUnusableList, *list.Version, request.after)
 	}
 	return list, nil
 }
@@ -193,10 +194,10 @@
 	}
 }
 
-// retryDelay is the pause after a failed poll, which took so long. The first failure after a success draws a
-// random part of the spread, since the whole fleet may fail at once; later ones wait for all of it, which
-// keeps the initiators apart. Where a watch has stayed silent for all of its wait there is no time left for
-// that, and no need: watches began apart.
+// retryDelay is the pause after a poll that failed after the time it took. The first failure after a success
+// draws a random part of the spread, since the whole fleet may fail at once; later ones wait for all of it,
+// which keeps the initiators apart. Where a watch has stayed silent for all of its wait there is no time left
+// for that, and no need: watches began apart.
 func (w *Watcher) retryDelay(request pollRequest, took time.Duration) time.Duration {
 	if w.desynchronized {
 		return retryPause + w.spread
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -163,7 +163,7 @@
 // the first byte: the connection stays usable then.
 func (t *target) exchange(ctx context.Context, a *inFlightAttempt, c *pooledConn) RoundTripResult {
 	if !a.attach(c.Conn) || a.clientGone() {
-		return NoResponse(scheduler.NotSent, "")
+		return NoResponse(scheduler.NotSent, ReasonNone)
 	}
 	c.uses++
 	t.options.Logger.LogAttrs(ctx, slog.LevelDebug, "attempt begins",
@@ -180,7 +180,8 @@
 }
 
 // cancelledResult is the result of an attempt that was cancelled during its round trip. Its connection was
-// closed by that. A response that was complete before stays one, and what was not sent cannot have executed.
+// closed by that. A success that came before stays one, and what was not sent completely cannot have
+// executed.
 func cancelledResult(result RoundTripResult) RoundTripResult {
 	switch result.Status {
 	case scheduler.Succeeded, scheduler.NotSent, scheduler.ConnectFailed:
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -140,8 +140,8 @@
 	}
 }
 
-// newSilentTarget returns a target that never answers. The channels tell when a request has arrived, and when its
-// connection was closed.
+// newSilentTarget returns a target that never answers. The channels tell when a request has arrived, and when
+// its connection was closed.
 func newSilentTarget(t *testing.T) (server *fakeTarget, received, closed chan bool) {
 	t.Helper()
 	received = make(chan bool, 1)
--- a/internal/upstream/closereason.go
+++ b/internal/upstream/closereason.go
@@ -11,6 +11,9 @@
 // CloseReason says in the log why a connection to a target ended.
 type CloseReason string
 
+// ReasonNone is that of a connection which stays open.
+const ReasonNone CloseReason = ""
+
 // Reasons that an attempt or the pool closes a connection for. Failed reads and writes have further ones: see
 // ReadFailed and WriteFailed.
 const (
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -29,12 +29,12 @@
 type RoundTripResult struct {
 	// AttemptResult has neither RequestID, Number nor Target set.
 	dispatcher.AttemptResult
-	// CloseReason says why the connection must be closed; empty if it can carry another attempt.
+	// CloseReason says why the connection must be closed; ReasonNone if it can carry another attempt.
 	CloseReason CloseReason
 }
 
 // Reusable reports whether the connection can carry another attempt.
-func (r *RoundTripResult) Reusable() bool { return r.CloseReason == "" }
+func (r *RoundTripResult) Reusable() bool { return r.CloseReason == ReasonNone }
 
 // NoResponse is the result of an attempt that ended without a response.
 func NoResponse(status scheduler.AttemptStatus, reason CloseReason) RoundTripResult {
--- a/internal/upstream/connpool_test.go
+++ b/internal/upstream/connpool_test.go
@@ -3,15 +3,90 @@
 import (
 	"bufio"
 	"fmt"
+	"log/slog"
 	"net"
 	"net/http"
+	"sync/atomic"
 	"testing"
 	"time"
 
+	"dapplegate/internal/dispatcher"
 	"dapplegate/internal/httpmsg"
 	"dapplegate/scheduler"
 )
 
+// fakeConn is a connection that is idle until the test says otherwise.
+type fakeConn struct{ busy, closed bool }
+
+func (*fakeConn) RoundTrip(dispatcher.Attempt, func() bool) RoundTripResult {
+	panic("no attempt is made in this test")
+}
+func (c *fakeConn) IsIdle() bool { return !c.busy }
+func (c *fakeConn) Close() error { c.closed = true; return nil }
+
+// newTestPool returns a pool of its own that may have so many connections.
+func newTestPool(maxConns int) *connPool {
+	return &connPool{
+		options:   Options{IdleTimeout: time.Minute, MaxConnsPerTarget: maxConns, MaxConns: maxConns},
+		log:       connLog{logger: slog.New(slog.DiscardHandler)},
+		totalOpen: &atomic.Int64{},
+	}
+}
+
+// addIdle adds a connection that has carried an attempt and was returned to the pool some time ago.
+func addIdle(t *testing.T, p *connPool, idleTime time.Duration) *pooledConn {
+	t.Helper()
+	if !p.reserve() {
+		t.Fatal("the pool is full")
+	}
+	c := &pooledConn{Conn: &fakeConn{}, uses: 1}
+	p.put(c)
+	c.returnedAt = time.Now().Add(-idleTime)
+	return c
+}
+
+// expectAcquire checks what the pool gives out: a connection, or nil for one to be dialed.
+func expectAcquire(t *testing.T, p *connPool, want *pooledConn, wantOK bool) {
+	t.Helper()
+	if got, ok := p.acquire(); got != want || ok != wantOK {
+		t.Errorf("acquired %p, %v; want %p, %v", got, ok, want, wantOK)
+	}
+}
+
+// TestAcquireOrder checks which connection an attempt gets: the one used last of those out of quarantine, a
+// new one while there are few, the one longest in quarantine, a new one up to the bound.
+func TestAcquireOrder(t *testing.T) {
+	const inQuarantine = -time.Hour // returned in the future: it stays so, however slow the test
+	pool := newTestPool(maxConnsForQuarantine + 1)
+	older := addIdle(t, pool, time.Hour)
+	newer := addIdle(t, pool, time.Minute)
+	firstReturned := addIdle(t, pool, inQuarantine)
+	expectAcquire(t, pool, newer, true)
+	expectAcquire(t, pool, older, true)
+	expectAcquire(t, pool, nil, true)
+	if pool.open != maxConnsForQuarantine {
+		t.Fatalf("%d connections are open, want %d", pool.open, maxConnsForQuarantine)
+	}
+	expectAcquire(t, pool, firstReturned, true)
+	expectAcquire(t, pool, nil, true)
+	expectAcquire(t, pool, nil, false)
+	if open, total := pool.open, pool.totalOpen.Load(); open != pool.options.MaxConns || total != int64(open) {
+		t.Errorf("%d connections are open, %d in all, want %d", open, total, pool.options.MaxConns)
+	}
+}
+
+// TestAcquireClosesUnusable has a connection that is not idle any more: it is closed and counted no longer.
+func TestAcquireClosesUnusable(t *testing.T) {
+	pool := newTestPool(1)
+	c := addIdle(t, pool, time.Minute)
+	conn := c.Conn.(*fakeConn)
+	conn.busy = true
+	expectAcquire(t, pool, nil, true) // in place of the one closed
+	if !conn.closed || pool.open != 1 || len(pool.idle) != 0 {
+		t.Errorf("closed %v, %d open, %d idle; want it closed, one open, none idle", conn.closed, pool.open, len(pool.idle))
+	}
+}
+
 // deadlineRecorder remembers the deadline set last.
 type deadlineRecorder struct {
 	net.Conn
--- a/internal/upstream/http.go
+++ b/internal/upstream/http.go
@@ -73,7 +73,7 @@
 	if c.SetDeadline(time.Time{}) != nil {
 		return ReasonClosed
 	}
-	return ""
+	return ReasonNone
 }
 
 // IsIdle implements Conn.
--- a/internal/upstream/http_test.go
+++ b/internal/upstream/http_test.go
@@ -124,7 +124,8 @@
 	}
 }
 
-// testResponse makes two attempts at a target that answers with the response. One that succeeds has the body "x".
+// testResponse makes two attempts at a target that answers with the response. One that succeeds has the body
+// "x".
 func testResponse(t *testing.T, response string, want scheduler.AttemptStatus, connections int32) {
 	var sent atomic.Int64
 	server := newFakeTarget(t, func(_ int32, _ *http.Request, conn net.Conn) bool {
