--- a/internal/discovery/poll.go
+++ b/internal/discovery/poll.go
@@ -16,7 +16,7 @@
 	// watchWait is how long discovery may hold a poll that waits for a change.
 	watchWait = 20 * time.Second
 	// responseGrace is how long a response may be overdue before its poll is given up. Discovery keeps
-	// connections open and is silent while it is down, and what it has to tell counts as told 2 s after the
+	// connections open and is silent while it is down, and what it has to report counts as reported 2 s after the
 	// wait: the next poll must have been made by then.
 	responseGrace = 1500 * time.Millisecond
 	// queueTimeout is the least time that a poll is given where one discovery serves all initiators in turn:
--- a/internal/discovery/starttimes.go
+++ b/internal/discovery/starttimes.go
@@ -10,7 +10,7 @@
 // Gradual adjustments are slower than that.
 const minClockStep = 50 * time.Millisecond
 
-// StartTimes maps the starts of targets, which the endpoint list tells in wall-clock time, onto a monotonic
+// StartTimes maps the starts of targets, which the endpoint list has in wall-clock time, onto a monotonic
 // clock: a step of the wall clock must not change how long a target seems to have run. It is not safe for
 // concurrent use.
 type StartTimes struct {
@@ -23,7 +23,7 @@
 
 // startTime is one start of a target, on either clock.
 type startTime struct {
-	wallMs    int64 // as told
+	wallMs    int64 // as listed
 	monotonic time.Duration
 }
 
@@ -33,7 +33,7 @@
 	return &StartTimes{wallClock: wallClock, monotonicClock: monotonicClock, known: map[string]startTime{}}
 }
 
-// Apply takes over what a list tells of starts. A start that is known already stays where it was placed.
+// Apply takes over the starts of a list. A start that is known already stays where it was placed.
 func (s *StartTimes) Apply(list *endpoints.List) {
 	now := s.monotonicClock()
 	s.detectStep(now)
--- a/internal/discovery/starttimes_test.go
+++ b/internal/discovery/starttimes_test.go
@@ -16,7 +16,7 @@
 //
 // Symptom: a target that had just started got all of its traffic at once, or next to none for an hour.
 // Sequence: the wall clock is stepped after the initiator's start, and a target starts. The endpoint list
-// tells its start in wall-clock time.
+// has its start in wall-clock time.
 // Cause: that time was held against a clock that was set by the wall clock once, at the initiator's start, so
 // that the target seemed to have started an hour ago, or to start in an hour.
 // Settled by this test: the age of a target that has just started is wrong by the step.
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -21,7 +21,7 @@
 	// never be served.
 	ExpectedPollTime = 100 * time.Millisecond
 	// maxSpread bounds the pause before a first poll and after a failed one, whatever the size of the fleet:
-	// a change counts as told 6 s after discovery could be reached, and the poll itself may take
+	// a change counts as reported 6 s after discovery could be reached, and the poll itself may take
 	// queueTimeout.
 	maxSpread = 3 * time.Second
 	// retryPause is the pause after a failed poll, before any spread.
@@ -31,7 +31,7 @@
 	noVersion = -1
 )
 
-// Watcher watches discovery and passes on what it tells, in order. Polling has a goroutine of its own: the
+// Watcher watches discovery and passes on its lists, in order. Polling has a goroutine of its own: the
 // next poll must come within 200 ms of the last response, or the watch ends, so it waits for nobody.
 type Watcher struct {
 	address   string // at the start
@@ -49,7 +49,7 @@
 }
 
 // New returns a watcher of discovery at an address. It notifies of the list known from before first, if there
-// is one, however old; then of what discovery tells. Where one discovery serves all initiators, spread is the
+// is one, however old; then of each list from discovery. Where one discovery serves all initiators, spread is the
 // time over which their first polls, and those after a failure, are distributed at random; 0: it serves this
 // initiator alone.
 func New(address string, known *endpoints.List, spread time.Duration, notify func(*endpoints.List),
--- a/internal/endpoints/endpoints.go
+++ b/internal/endpoints/endpoints.go
@@ -20,7 +20,7 @@
 	Entries  []Entry `json:"servers"`
 }
 
-// Entry is a target as the list tells it.
+// Entry is a target as the list has it.
 type Entry struct {
 	ID        string `json:"id"`
 	Addr      string `json:"addr"` // host:port
@@ -39,7 +39,7 @@
 	stateRemoved: scheduler.Removed,
 }
 
-// FieldError tells which field of a list cannot be used, and why.
+// FieldError is a field of a list that cannot be used.
 type FieldError struct {
 	Field string // the path of the field in discovery's JSON, such as servers[0].id
 	Err   error
--- a/internal/endpoints/endpoints_test.go
+++ b/internal/endpoints/endpoints_test.go
@@ -53,7 +53,7 @@
 	}
 }
 
-// TestTruncatedLists cuts a valid list anywhere and feeds garbage: no part passes for the whole.
+// TestTruncatedLists cuts a valid list anywhere and feeds garbage: no part passes for a complete one.
 func TestTruncatedLists(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		complete := listJSON(rapid.IntRange(0, 99).Draw(t, "version"), rapid.Bool().Draw(t, "full"), entryJSON, entryJSON)
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -72,7 +72,7 @@
 		t.log.closed(uses, result.CloseReason, a.ClientRequestID)
 	}
 	if result.Status == scheduler.ConnectFailed && a.isCancelled() {
-		result.Status = scheduler.NotSent // that the client left tells nothing of the target
+		result.Status = scheduler.NotSent // the client left; that says nothing about the target
 	}
 	result.RequestID = a.RequestID
 	result.Number = a.Number
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -140,7 +140,7 @@
 	}
 }
 
-// newSilentTarget returns a target that never answers. The channels tell when a request has arrived, and when
+// newSilentTarget returns a target that never answers. The channels signal when a request has arrived, and when
 // its connection was closed.
 func newSilentTarget(t *testing.T) (server *fakeTarget, received, closed chan bool) {
 	t.Helper()
@@ -157,7 +157,7 @@
 
 // TestDrainingTargetGetsNoFirstByte
 //
-// An attempt is decided on, or waits for its connection, while the news comes that its target is draining. It
+// An attempt is decided on, or waits for its connection, while a list arrives in which its target is draining. It
 // must not start there: the check right before the first byte sees the newer state.
 func TestDrainingTargetGetsNoFirstByte(t *testing.T) {
 	server := newFakeTarget(t, respondOK)
--- a/internal/upstream/http_test.go
+++ b/internal/upstream/http_test.go
@@ -168,7 +168,7 @@
 	return int64(sent)
 }
 
-// TestResponseWithoutLength has targets tell no length: such a response is complete where the target closes
+// TestResponseWithoutLength has targets send no Content-Length: such a response is complete where the target closes
 // the connection, and cut where a reset or a stall ends it.
 func TestResponseWithoutLength(t *testing.T) {
 	closeConn := func(*net.TCPConn) bool { return false }
@@ -210,7 +210,7 @@
 //
 // A response that is only larger than a request may be, or comes in parts with pauses between them, is
 // served. Two such responses at a time, with memory for one, are not both held: one fails, and the budget is
-// whole again afterwards.
+// complete again afterwards.
 func TestLargeResponses(t *testing.T) {
 	const budget = 500 << 10
 	body := strings.Repeat("x", 400<<10)
--- a/internal/upstream/messages.go
+++ b/internal/upstream/messages.go
@@ -22,7 +22,7 @@
 	conn *pooledConn // nil if the dial failed
 }
 
-// endpointChanged tells that the target's state or address may have changed.
+// endpointChanged says that the target's state or address may have changed.
 type endpointChanged struct{}
 
 // retire ends the actor once nothing of it is in flight.
--- a/internal/upstream/registry.go
+++ b/internal/upstream/registry.go
@@ -15,7 +15,7 @@
 	"dapplegate/scheduler"
 )
 
-// Endpoint is a target as the endpoint list tells it.
+// Endpoint is a target as the endpoint list has it.
 type Endpoint struct {
 	ID    string
 	Addr  string // host:port; empty: as before
