--- a/internal/discovery/poll.go
+++ b/internal/discovery/poll.go
@@ -15,12 +15,12 @@
 const (
 	// watchWait is how long discovery may hold a poll that waits for a change.
 	watchWait = 20 * time.Second
-	// responseGrace is how long a response may be overdue before its poll is given up. Discovery keeps connections open
-	// and is silent while it is down, and what it has to tell counts as told 2 s after the wait: the next poll must have
-	// been made by then.
+	// responseGrace is how long a response may be overdue before its poll is given up. Discovery keeps
+	// connections open and is silent while it is down, and what it has to report counts as reported 2 s after the
+	// wait: the next poll must have been made by then.
 	responseGrace = 1500 * time.Millisecond
-	// queueTimeout is the least time that a poll is given where one discovery serves all initiators in turn: it lets polls
-	// queue for 2 s, and one given up before that takes its turn from others.
+	// queueTimeout is the least time that a poll is given where one discovery serves all initiators in turn:
+	// it lets polls queue for 2 s, and one given up before that takes its turn from others.
 	queueTimeout = 2500 * time.Millisecond
 	// dialTimeout bounds the time for a connection to discovery.
 	dialTimeout = time.Second
@@ -39,9 +39,12 @@
 	wait  time.Duration // how long discovery may wait for a change
 }
 
+// isWatch reports whether the request asks for changes, not for the complete list.
+func (p pollRequest) isWatch() bool { return p.after >= 0 }
+
 // path is the request's URI.
 func (p pollRequest) path() string {
-	if p.after == noVersion {
+	if !p.isWatch() {
 		return "/api/targets"
 	}
 	return fmt.Sprintf("/api/targets?after=%d&wait_ms=%d", p.after, p.wait.Milliseconds())
--- a/internal/endpoints/endpoints.go
+++ b/internal/endpoints/endpoints.go
@@ -1,4 +1,5 @@
-// Package endpoints decodes the endpoint list. Discovery's names for its fields are mapped to the code's terms here.
+// Package endpoints decodes the endpoint list. Discovery's names for its fields are mapped to the code's
+// terms here.
 package endpoints
 
 import (
@@ -19,7 +20,7 @@
 	Entries  []Entry `json:"servers"`
 }
 
-// Entry is a target as the list tells it.
+// Entry is a target as the list has it.
 type Entry struct {
 	ID        string `json:"id"`
 	Addr      string `json:"addr"` // host:port
@@ -38,7 +39,7 @@
 	stateRemoved: scheduler.Removed,
 }
 
-// FieldError tells which field of a list cannot be used, and why.
+// FieldError is a field of a list that cannot be used.
 type FieldError struct {
 	Field string // the path of the field in discovery's JSON, such as servers[0].id
 	Err   error
@@ -57,8 +58,8 @@
 
 var errMissing = errors.New("missing")
 
-// Decode decodes a list and checks it: of a list with any entry that cannot be used, nothing is used. Its error is a
-// FieldError if the JSON is sound.
+// Decode decodes a list and checks it: of a list with any entry that cannot be used, nothing is used. Its
+// error is a FieldError if the JSON is sound.
 func Decode(data []byte) (*List, error) {
 	var list List
 	if err := jsoniter.ConfigCompatibleWithStandardLibrary.Unmarshal(data, &list); err != nil {
