--- a/cmd/simadapter/samples_test.go
+++ b/cmd/simadapter/samples_test.go
@@ -83,13 +83,13 @@
 		action scheduler.Action
 		want   string
 	}{
-		{scheduler.Action{Kind: scheduler.Send, RequestID: "r", Target: "target_abuevth", Wait: 80 * time.Millisecond},
+		{scheduler.Action{Kind: scheduler.Send, RequestID: "r", Target: "target_abuevth", Timeout: 80 * time.Millisecond},
 			`{"type":"relay","initiatorId":"initiator_3","rid":"r","target":"target_abuevth","maxWaitUs":80000}`},
-		{scheduler.Action{Kind: scheduler.Reject, RequestID: "r", Wait: 250 * time.Millisecond},
+		{scheduler.Action{Kind: scheduler.Reject, RequestID: "r", RetryAfter: 250 * time.Millisecond},
 			`{"type":"decline","initiatorId":"initiator_3","rid":"r","holdOffUs":250000}`},
 		{scheduler.Action{Kind: scheduler.Reject, RequestID: "r"}, `{"type":"decline","initiatorId":"initiator_3","rid":"r"}`},
 		{scheduler.Action{Kind: scheduler.Fail, RequestID: "r"}, `{"type":"lose","initiatorId":"initiator_3","rid":"r"}`},
-		{scheduler.Action{Kind: scheduler.SetTimer, Wait: 500 * time.Millisecond},
+		{scheduler.Action{Kind: scheduler.SetTimer, After: 500 * time.Millisecond},
 			`{"type":"remind","initiatorId":"initiator_3","keyBack":"step","fromNowUs":500000}`},
 		{scheduler.Action{Kind: scheduler.WatchEndpoints}, `{"type":"streamChanges","initiatorId":"initiator_3","on":true}`},
 	} {
@@ -115,7 +115,7 @@
 	}
 	got, err := o.SchedulerSettings()
 	want := scheduler.Settings{
-		Initiators: 3, Tick: 2 * time.Millisecond, MaxAttempts: 3, MeanUnits: 1.98, MaxUnits: 6, SlowStartBudget: 38,
+		Initiators: 3, Tick: 2 * time.Millisecond, MaxAttempts: 3, MeanUnits: 1.98, MaxUnits: 6,
 		WithinShareFactor: 0.35, BeyondShareFactor: 0.1, UsageReportPeriod: time.Second, PollEndpoints: true,
 		Classes: []scheduler.Class{
 			{Name: "file-read", LatencyObjective: 200 * time.Millisecond, Deadline: 1200 * time.Millisecond, DedupWindow: 5 * time.Second, PriorityWeight: 2},
@@ -125,11 +125,13 @@
 				DedupScope: scheduler.DedupZone, DedupWindow: 5 * time.Second, PriorityWeight: 1},
 		},
 		Plans: []scheduler.Plan{
-			{Name: "standard", ProvisionedRate: 4.1, Reservation: 2, Weight: 1, PriorityFactor: 0.8, Limit: 8, BurstCapacity: 12},
-			{Name: "express", ProvisionedRate: 12, Reservation: 14, Weight: 2, PriorityFactor: 1.5},
+			{Name: "standard", ProvisionedRate: 4.1, Reservation: 2, PriorityFactor: 0.8, Limit: 8, BurstCapacity: 12},
+			{Name: "express", ProvisionedRate: 12, Reservation: 14, PriorityFactor: 1.5},
 		},
-		Rules: scheduler.Rules{SlowStartInitialCapacity: 0.21, SlowStartDuration: 18 * time.Second, SlowStartWindow: 3 * time.Second, SlowStartOverloadFactor: 4,
-			SettleTime: 400 * time.Millisecond, RetryBudget: true, RetryBudgetMinimum: 5, RetryBudgetRatio: 0.2, RetryBudgetWindow: 10 * time.Second},
+		SlowStart: scheduler.SlowStart{Budget: 38, InitialCapacity: 0.21, Duration: 18 * time.Second, Window: 3 * time.Second,
+			OverloadFactor: 4},
+		RetryBudget: scheduler.RetryBudget{Enabled: true, Minimum: 5, Ratio: 0.2, Window: 10 * time.Second},
+		SettleTime:  400 * time.Millisecond,
 	}
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("read as %+v, %v\nwant %+v", got, err, want)
--- a/cmd/simadapter/wire.go
+++ b/cmd/simadapter/wire.go
@@ -199,17 +199,15 @@
 	w := action{InitiatorID: id}
 	switch a.Kind {
 	case scheduler.Send:
-		w.Type, w.Rid, w.Target, w.MaxWaitUs = "relay", a.RequestID, a.Target, a.Wait.Microseconds()
+		w.Type, w.Rid, w.Target, w.MaxWaitUs = "relay", a.RequestID, a.Target, a.Timeout.Microseconds()
 	case scheduler.Reject:
-		w.Type, w.Rid, w.HoldOffUs = "decline", a.RequestID, a.Wait.Microseconds()
+		w.Type, w.Rid, w.HoldOffUs = "decline", a.RequestID, a.RetryAfter.Microseconds()
 	case scheduler.Fail:
 		w.Type, w.Rid = "lose", a.RequestID
 	case scheduler.SetTimer:
-		w.Type, w.KeyBack, w.FromNowUs = "remind", "step", a.Wait.Microseconds()
+		w.Type, w.KeyBack, w.FromNowUs = "remind", "step", a.After.Microseconds()
 	case scheduler.WatchEndpoints:
 		w.Type, w.On = "streamChanges", true
-	case scheduler.Log:
-		w.Type, w.Message = "trace", a.Text
 	}
 	return w
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -1,5 +1,5 @@
-// Package config reads what the program is told (environment, JSON, the operator's file) once, at the
-// start, into the typed values that the rest uses, and refuses what cannot be served, naming the field.
+// Package config reads the process's configuration (environment, JSON, the operator's file) once, at the start, into
+// typed values, and rejects what cannot be served with an error that names the field.
 package config
 
 import (
@@ -10,123 +10,186 @@
 	"dapplegate/scheduler"
 )
 
-// Options is the settings object as the platform writes it, in the simulator's first message and in the
-// configuration alike. Unknown fields are skipped.
+// WireSettings is the settings object as the platform writes it, in the simulator's first message and in the
+// configuration alike. Durations are in microseconds. Unknown fields are skipped. The names that the platform uses
+// stand here alone; SchedulerSettings maps them to the scheduler's.
 type WireSettings struct {
-	PeersTotal *int `json:"peersTotal"`
-	Classes    []struct {
-		Name       string  `json:"name"`
-		PromiseUs  int64   `json:"promiseUs"`
-		DeadlineUs int64   `json:"deadlineUs"`
-		Effect     string  `json:"effect"`
-		Group      string  `json:"group"`
-		WindowUs   int64   `json:"windowUs"`
-		Serial     bool    `json:"serialByKey"`
-		Worth      float64 `json:"worth"`
-	} `json:"classes"`
-	Contracts []struct {
-		Name        string  `json:"name"`
-		UsualRate   float64 `json:"usualRate"`
-		Reservation float64 `json:"reservation"`
-		Parts       float64 `json:"parts"`
-		Pays        float64 `json:"pays"`
-		CeilingRate float64 `json:"ceilingRate"`
-		LimitBurst  float64 `json:"limitBurst"`
-	} `json:"contracts"`
-	Extra struct {
-		ColdBears  float64 `json:"coldBears"`
-		Largest    float64 `json:"largest"`
-		MeanUnits  float64 `json:"meanUnits"`
-		FairWorth  float64 `json:"fairWorth"`
-		IdleWorth  float64 `json:"idleWorth"`
-		MeteringUs int64   `json:"meteringUs"`
-	} `json:"extra"`
-	Limits struct {
-		SendCap       int   `json:"sendCap"`
-		MostHeld      int   `json:"mostHeld"`
-		ConnIdleUs    int64 `json:"connIdleUs"`
-		DialTimeoutUs int64 `json:"dialTimeoutUs"`
-	} `json:"limits"`
-	RegistryMode string `json:"registryMode"`
-	Rules        struct {
-		ColdShare          float64  `json:"coldShare"`
-		WarmWithinUs       int64    `json:"warmWithinUs"`
-		FallUs             int64    `json:"fallUs"`
-		TipMultiple        float64  `json:"tipMultiple"`
-		SettleAfterDoubtUs int64    `json:"settleAfterDoubtUs"`
-		ResendRatio        *float64 `json:"resendRatio"`
-		ExtraFree          float64  `json:"extraFree"`
-		ResendSpanUs       int64    `json:"resendSpanUs"`
-	} `json:"rules"`
-	TickUs int64 `json:"tickUs"`
+	PeersTotal   *int           `json:"peersTotal"` // required
+	Classes      []wireClass    `json:"classes"`
+	Contracts    []wireContract `json:"contracts"`
+	Extra        wireExtra      `json:"extra"`
+	Limits       wireLimits     `json:"limits"`
+	RegistryMode string         `json:"registryMode"`
+	Rules        wireRules      `json:"rules"`
+	TickUs       int64          `json:"tickUs"`
 }
 
+type wireClass struct {
+	Name       string  `json:"name"`
+	PromiseUs  int64   `json:"promiseUs"`
+	DeadlineUs int64   `json:"deadlineUs"`
+	Effect     string  `json:"effect"`
+	Group      string  `json:"group"`
+	WindowUs   int64   `json:"windowUs"`
+	Serial     bool    `json:"serialByKey"`
+	Worth      float64 `json:"worth"`
+}
+
+type wireContract struct {
+	Name        string  `json:"name"`
+	UsualRate   float64 `json:"usualRate"`
+	Reservation float64 `json:"reservation"`
+	Pays        float64 `json:"pays"`
+	CeilingRate float64 `json:"ceilingRate"`
+	LimitBurst  float64 `json:"limitBurst"`
+}
+
+type wireExtra struct {
+	ColdBears  float64 `json:"coldBears"`
+	Largest    float64 `json:"largest"`
+	MeanUnits  float64 `json:"meanUnits"`
+	FairWorth  float64 `json:"fairWorth"`
+	IdleWorth  float64 `json:"idleWorth"`
+	MeteringUs int64   `json:"meteringUs"`
+}
+
+type wireLimits struct {
+	SendCap       int   `json:"sendCap"`
+	MostHeld      int   `json:"mostHeld"`
+	ConnIdleUs    int64 `json:"connIdleUs"`
+	DialTimeoutUs int64 `json:"dialTimeoutUs"`
+}
+
+type wireRules struct {
+	ColdShare          float64  `json:"coldShare"`
+	WarmWithinUs       int64    `json:"warmWithinUs"`
+	FallUs             int64    `json:"fallUs"`
+	TipMultiple        float64  `json:"tipMultiple"`
+	SettleAfterDoubtUs int64    `json:"settleAfterDoubtUs"`
+	ResendRatio        *float64 `json:"resendRatio"` // absent: there is no retry budget
+	ExtraFree          float64  `json:"extraFree"`
+	ResendSpanUs       int64    `json:"resendSpanUs"`
+}
+
+// registryModeOnRequest is the registryMode in which the endpoint list must be requested.
+const registryModeOnRequest = "on_request"
+
 // ErrMissing is wrapped by the errors about absent fields.
 var ErrMissing = errors.New("required field is missing")
 
-// Missing names an absent field.
+// Missing returns an error that names an absent field.
 func Missing(field string) error { return fmt.Errorf("%s: %w", field, ErrMissing) }
 
-// Us turns the platform's microseconds into a duration.
+// Microseconds turns the platform's microseconds into a duration.
 func Microseconds(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
 
-// Module turns the options into the module's settings.
-func (o *WireSettings) SchedulerSettings() (scheduler.Settings, error) {
-	if o.PeersTotal == nil {
+// SchedulerSettings returns the settings in the scheduler's terms. The error names the field that is missing or has an
+// unknown value; what the values must satisfy, scheduler.New checks.
+func (w *WireSettings) SchedulerSettings() (scheduler.Settings, error) {
+	if w.PeersTotal == nil {
 		return scheduler.Settings{}, Missing("options.peersTotal")
 	}
-	s := scheduler.Settings{
-		Initiators:        *o.PeersTotal,
-		Tick:              Microseconds(o.TickUs),
-		MaxAttempts:       o.Limits.SendCap,
-		MeanUnits:         o.Extra.MeanUnits,
-		WithinShareFactor: o.Extra.FairWorth,
-		BeyondShareFactor: o.Extra.IdleWorth,
-		MaxUnits:          o.Extra.Largest,
-		SlowStartBudget:   o.Extra.ColdBears,
-		UsageReportPeriod: Microseconds(o.Extra.MeteringUs),
-		PollEndpoints:     o.RegistryMode == "on_request",
-		Rules: scheduler.Rules{
-			SlowStartInitialCapacity: o.Rules.ColdShare,
-			SlowStartDuration:        Microseconds(o.Rules.WarmWithinUs),
-			SlowStartWindow:          Microseconds(o.Rules.FallUs),
-			SlowStartOverloadFactor:  o.Rules.TipMultiple,
-			SettleTime:               Microseconds(o.Rules.SettleAfterDoubtUs),
-			RetryBudgetMinimum:       o.Rules.ExtraFree,
-			RetryBudgetWindow:        Microseconds(o.Rules.ResendSpanUs),
-		},
+	settings := scheduler.Settings{
+		Initiators:        *w.PeersTotal,
+		Tick:              Microseconds(w.TickUs),
+		MeanUnits:         w.Extra.MeanUnits,
+		MaxUnits:          w.Extra.Largest,
+		MaxAttempts:       w.Limits.SendCap,
+		RetryBudget:       w.Rules.retryBudget(),
+		SlowStart:         w.slowStart(),
+		SettleTime:        Microseconds(w.Rules.SettleAfterDoubtUs),
+		WithinShareFactor: w.Extra.FairWorth,
+		BeyondShareFactor: w.Extra.IdleWorth,
+		UsageReportPeriod: Microseconds(w.Extra.MeteringUs),
+		PollEndpoints:     w.RegistryMode == registryModeOnRequest,
 	}
-	if o.Rules.ResendRatio != nil {
-		s.Rules.RetryBudget, s.Rules.RetryBudgetRatio = true, *o.Rules.ResendRatio
-	}
-	for i, c := range o.Classes {
-		k := scheduler.Class{Name: c.Name, LatencyObjective: Microseconds(c.PromiseUs), Deadline: Microseconds(c.DeadlineUs),
-			DedupWindow: Microseconds(c.WindowUs), Serialized: c.Serial, PriorityWeight: c.Worth}
-		switch c.Effect {
-		case "pure":
-			k.Idempotency = scheduler.Idempotent
-		case "token":
-			k.Idempotency = scheduler.IdempotencyKey
-		case "side_effect":
-			k.Idempotency = scheduler.NonIdempotent
-		default:
-			return s, fmt.Errorf("options.classes[%d].effect: unknown effect %q", i, c.Effect)
-		}
-		switch c.Group {
-		case "", "all":
-			k.DedupScope = scheduler.DedupEverywhere
-		case "zone":
-			k.DedupScope = scheduler.DedupZone
-		case "cell":
-			k.DedupScope = scheduler.DedupShard
-		default:
-			return s, fmt.Errorf("options.classes[%d].group: unknown group %q", i, c.Group)
+	for i, wire := range w.Classes {
+		class, err := wire.class()
+		if err != nil {
+			return settings, fmt.Errorf("options.classes[%d].%w", i, err)
 		}
-		s.Classes = append(s.Classes, k)
+		settings.Classes = append(settings.Classes, class)
+	}
+	for _, wire := range w.Contracts {
+		settings.Plans = append(settings.Plans, wire.plan())
+	}
+	return settings, nil
+}
+
+func (w *WireSettings) slowStart() scheduler.SlowStart {
+	return scheduler.SlowStart{
+		Budget:          w.Extra.ColdBears,
+		InitialCapacity: w.Rules.ColdShare,
+		Duration:        Microseconds(w.Rules.WarmWithinUs),
+		Window:          Microseconds(w.Rules.FallUs),
+		OverloadFactor:  w.Rules.TipMultiple,
 	}
-	for _, p := range o.Contracts {
-		s.Plans = append(s.Plans, scheduler.Plan{Name: p.Name, ProvisionedRate: p.UsualRate, Reservation: p.Reservation,
-			Weight: p.Parts, PriorityFactor: p.Pays, Limit: p.CeilingRate, BurstCapacity: p.LimitBurst})
+}
+
+func (w *wireRules) retryBudget() scheduler.RetryBudget {
+	budget := scheduler.RetryBudget{
+		Minimum: w.ExtraFree,
+		Window:  Microseconds(w.ResendSpanUs),
+	}
+	if w.ResendRatio != nil {
+		budget.Enabled = true
+		budget.Ratio = *w.ResendRatio
+	}
+	return budget
+}
+
+func (w *wireClass) class() (scheduler.Class, error) {
+	idempotency, err := parseIdempotency(w.Effect)
+	if err != nil {
+		return scheduler.Class{}, err
+	}
+	scope, err := parseDedupScope(w.Group)
+	if err != nil {
+		return scheduler.Class{}, err
+	}
+	return scheduler.Class{
+		Name:             w.Name,
+		LatencyObjective: Microseconds(w.PromiseUs),
+		Deadline:         Microseconds(w.DeadlineUs),
+		Idempotency:      idempotency,
+		DedupScope:       scope,
+		DedupWindow:      Microseconds(w.WindowUs),
+		PriorityWeight:   w.Worth,
+		Serialized:       w.Serial,
+	}, nil
+}
+
+func parseIdempotency(effect string) (scheduler.Idempotency, error) {
+	switch effect {
+	case "pure":
+		return scheduler.Idempotent, nil
+	case "token":
+		return scheduler.IdempotencyKey, nil
+	case "side_effect":
+		return scheduler.NonIdempotent, nil
+	}
+	return 0, fmt.Errorf("effect: unknown effect %q", effect)
+}
+
+func parseDedupScope(group string) (scheduler.DedupScope, error) {
+	switch group {
+	case "", "all":
+		return scheduler.DedupEverywhere, nil
+	case "zone":
+		return scheduler.DedupZone, nil
+	case "cell":
+		return scheduler.DedupShard, nil
+	}
+	return 0, fmt.Errorf("group: unknown group %q", group)
+}
+
+func (w *wireContract) plan() scheduler.Plan {
+	return scheduler.Plan{
+		Name:            w.Name,
+		ProvisionedRate: w.UsualRate,
+		Reservation:     w.Reservation,
+		PriorityFactor:  w.Pays,
+		Limit:           w.CeilingRate,
+		BurstCapacity:   w.LimitBurst,
 	}
-	return s, nil
 }
--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -228,9 +228,9 @@
 	e := c.calls[a.RequestID]
 	switch a.Kind {
 	case scheduler.SetTimer:
-		c.setTimer(now.Add(a.Wait))
+		c.setTimer(now.Add(a.After))
 		return
-	case scheduler.WatchEndpoints, scheduler.Log:
+	case scheduler.WatchEndpoints:
 		return // the list is always watched
 	}
 	if e == nil || e.answered || e.inFlight {
@@ -240,15 +240,15 @@
 	case scheduler.Send:
 		e.inFlight, e.target, e.sentAt = true, a.Target, now
 		e.attempts++
-		t := Attempt{RequestID: a.RequestID, ClientRequestID: e.call.ClientRequestID, Number: e.attempts - 1, Target: a.Target, Deadline: now.Add(a.Wait),
+		t := Attempt{RequestID: a.RequestID, ClientRequestID: e.call.ClientRequestID, Number: e.attempts - 1, Target: a.Target, Deadline: now.Add(a.Timeout),
 			ClientGone: e.call.ClientGone, Payload: e.call.Payload}
-		c.logCall("attempt decided", e.call, slog.Int("attempt", t.Number), slog.String("node", t.Target), slog.Duration("wait", a.Wait))
+		c.logCall("attempt decided", e.call, slog.Int("attempt", t.Number), slog.String("node", t.Target), slog.Duration("wait", a.Timeout))
 		if a.StartWithin > 0 {
 			t.StartBy = now.Add(a.StartWithin)
 		}
 		c.upstream.Send(t)
 	case scheduler.Reject:
-		c.respond(e, Response{Status: Rejected, RetryAfter: a.Wait})
+		c.respond(e, Response{Status: Rejected, RetryAfter: a.RetryAfter})
 		c.release(a.RequestID, e)
 	case scheduler.Fail:
 		c.respond(e, Response{Status: Failed})
--- a/internal/dispatcher/dispatcher_test.go
+++ b/internal/dispatcher/dispatcher_test.go
@@ -25,7 +25,7 @@
 		Classes: []scheduler.Class{{Name: "get", LatencyObjective: 400 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 1},
 			{Name: "put", LatencyObjective: 400 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 1, Idempotency: scheduler.NonIdempotent},
 			{Name: "keyed", LatencyObjective: 400 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 1, Idempotency: scheduler.IdempotencyKey, DedupWindow: time.Second}},
-		Plans: []scheduler.Plan{{Name: "std", ProvisionedRate: 1000, Reservation: 1000, Weight: 1, PriorityFactor: 1}}}, 1)
+		Plans: []scheduler.Plan{{Name: "std", ProvisionedRate: 1000, Reservation: 1000, PriorityFactor: 1}}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/nvme/nvme_test.go
+++ b/internal/nvme/nvme_test.go
@@ -121,7 +121,7 @@
 func newRig(t *testing.T, digests bool, aim time.Duration, targets ...string) *rig {
 	t.Helper()
 	module, err := scheduler.New(scheduler.Settings{Initiators: 1, Tick: time.Millisecond, MeanUnits: 1, MaxUnits: 8,
-		MaxAttempts: 3, Plans: []scheduler.Plan{{Name: "std", ProvisionedRate: 1000, Reservation: 1000, Weight: 1, PriorityFactor: 1}},
+		MaxAttempts: 3, Plans: []scheduler.Plan{{Name: "std", ProvisionedRate: 1000, Reservation: 1000, PriorityFactor: 1}},
 		Classes: []scheduler.Class{
 			{Name: "position-read", LatencyObjective: aim, Deadline: patient, PriorityWeight: 3},
 			{Name: "event-write", LatencyObjective: aim, Deadline: patient, PriorityWeight: 2, Idempotency: scheduler.NonIdempotent}}}, 1)
--- a/scheduler/attempts.go
+++ b/scheduler/attempts.go
@@ -11,7 +11,7 @@
 	if s.requests[e.ID] != nil {
 		return
 	}
-	s.firstAttempts = append(trimBefore(s.firstAttempts, s.now-s.settings.Rules.RetryBudgetWindow), s.now)
+	s.firstAttempts = append(trimBefore(s.firstAttempts, s.now-s.settings.RetryBudget.Window), s.now)
 	c, p := s.classes[e.Class], s.plans[e.Plan]
 	if c == nil || p == nil || e.Timeout <= 0 {
 		s.emit(Action{Kind: Reject, RequestID: e.ID})
@@ -78,7 +78,7 @@
 	}
 	doubt := e.Status == DeadlineExceeded || e.Status == ConnectionReset || e.Status == Cancelled
 	if k := s.serialQueues[r.Extent]; k != nil && r.class.Serialized && doubt {
-		k.settleUntil = max(k.settleUntil, s.now+s.settings.Rules.SettleTime)
+		k.settleUntil = max(k.settleUntil, s.now+s.settings.SettleTime)
 	}
 	if e.Status != ConnectFailed && e.Status != NotSent {
 		// An attempt was written: its client is not held back for nothing.
@@ -134,7 +134,7 @@
 		!(r.class.Idempotency == IdempotencyKey && r.class.DedupScope == DedupEverywhere) {
 		kind, wait = Fail, 0
 	}
-	s.emit(Action{Kind: kind, RequestID: r.ID, Wait: wait})
+	s.emit(Action{Kind: kind, RequestID: r.ID, RetryAfter: wait})
 	s.rejected[r.retryKey()] = r
 	s.rejectedInOrder = append(s.rejectedInOrder, r)
 	for old := s.rejectedInOrder[0]; s.now > old.firstAskedAt+old.class.Deadline; old = s.rejectedInOrder[0] {
@@ -209,6 +209,6 @@
 	s.nextWorkAt, next = next, min(next, s.now+s.shortestObjective/timersPerObjective)
 	if next < s.timerAt {
 		s.timerAt = next
-		s.emit(Action{Kind: SetTimer, Wait: max(next-s.now, s.settings.Tick)})
+		s.emit(Action{Kind: SetTimer, After: max(next-s.now, s.settings.Tick)})
 	}
 }
--- a/scheduler/health.go
+++ b/scheduler/health.go
@@ -47,12 +47,12 @@
 			s.targetsByID[x.ID] = n
 			s.targets = append(s.targets, n)
 		}
-		if x.Started != n.Started && s.now-x.Started < s.settings.Rules.SlowStartDuration {
+		if x.Started != n.Started && s.now-x.Started < s.settings.SlowStart.Duration {
 			n.concurrencyLimit, n.consecutiveFailures, n.smoothedLatency = 1, 0, 0
 			// Each of a crowd starts at a moment of its own, so that what was held does not come at once. The
 			// cold guard bounds it to a request each: half a span is enough, half the warm-up idled the node.
 			if s.sharedSlowStart {
-				half := float64(s.settings.Rules.SlowStartWindow / 2)
+				half := float64(s.settings.SlowStart.Window / 2)
 				n.ejectedUntil = s.now + time.Duration(s.rng.Float64()*half)
 			}
 		}
@@ -138,7 +138,7 @@
 			n.concurrencyLimit = 1
 		}
 		n.consecutiveFailures, n.ejectedUntil = 0, 0
-		if s.settings.Rules.SlowStartWindow > 0 {
+		if s.settings.SlowStart.Window > 0 {
 			n.recentlyServed = append(n.recentlyServed, unitSample{s.now, r.Units})
 		}
 		took := e.Latency.Seconds() / s.relativeSize(r.Units)
--- a/scheduler/invariants_test.go
+++ b/scheduler/invariants_test.go
@@ -68,7 +68,7 @@
 
 func ruleSettings(mask int) Settings {
 	set := Settings{Initiators: 3, Tick: 2 * ms, MeanUnits: 2, MaxUnits: 6, UsageReportPeriod: time.Second, MaxAttempts: 4,
-		WithinShareFactor: 0.3, BeyondShareFactor: 0.05, SlowStartBudget: 30,
+		WithinShareFactor: 0.3, BeyondShareFactor: 0.05, SlowStart: SlowStart{Budget: 30},
 		Classes: []Class{
 			{Name: "pure", LatencyObjective: 200 * ms, Deadline: time.Second, PriorityWeight: 3},
 			{Name: "cell", LatencyObjective: 300 * ms, Deadline: 2 * time.Second, PriorityWeight: 2, Idempotency: IdempotencyKey, DedupScope: DedupShard, DedupWindow: 700 * ms},
@@ -76,19 +76,19 @@
 			{Name: "once", LatencyObjective: 300 * ms, Deadline: time.Second, PriorityWeight: 2, Idempotency: NonIdempotent},
 			{Name: "turn", LatencyObjective: 300 * ms, Deadline: time.Second, PriorityWeight: 2, Serialized: mask&1 != 0},
 		},
-		Plans: []Plan{{Name: "p0", ProvisionedRate: 10, Reservation: 5, Weight: 1, PriorityFactor: 1}, {Name: "p1", ProvisionedRate: 20, Weight: 2, PriorityFactor: 1}},
+		Plans: []Plan{{Name: "p0", ProvisionedRate: 10, Reservation: 5, PriorityFactor: 1}, {Name: "p1", ProvisionedRate: 20, PriorityFactor: 1}},
 	}
-	set.Rules.SettleTime = 100 * ms
+	set.SettleTime = 100 * ms
 	if mask&2 != 0 {
-		set.Rules.RetryBudget, set.Rules.RetryBudgetMinimum, set.Rules.RetryBudgetRatio = true, 3, 0.2
-		set.Rules.RetryBudgetWindow = time.Second
+		set.RetryBudget.Enabled, set.RetryBudget.Minimum, set.RetryBudget.Ratio = true, 3, 0.2
+		set.RetryBudget.Window = time.Second
 	}
 	if mask&4 != 0 {
 		set.Plans[0].Limit, set.Plans[0].BurstCapacity = 40, 36
 	}
 	if mask&8 != 0 {
-		set.Rules.SlowStartInitialCapacity, set.Rules.SlowStartDuration, set.Rules.SlowStartWindow = 0.2, 4*time.Second, time.Second
-		set.Rules.SlowStartOverloadFactor = 3
+		set.SlowStart.InitialCapacity, set.SlowStart.Duration, set.SlowStart.Window = 0.2, 4*time.Second, time.Second
+		set.SlowStart.OverloadFactor = 3
 	}
 	return set
 }
@@ -166,7 +166,7 @@
 			continue
 		}
 		i := len(q.sends) - 1
-		over := w.now >= min(q.sentAt[i]+q.sends[i].Wait, q.due)
+		over := w.now >= min(q.sentAt[i]+q.sends[i].Timeout, q.due)
 		if !over && !w.pick(0.1) {
 			continue
 		}
@@ -194,7 +194,7 @@
 
 func (w *world) act(a Action) {
 	if a.Kind == SetTimer {
-		w.timers = append(w.timers, w.now+a.Wait)
+		w.timers = append(w.timers, w.now+a.After)
 	}
 	if a.Kind != Send && a.Kind != Reject && a.Kind != Fail {
 		return
@@ -243,17 +243,17 @@
 			w.fault("rule 2: keyed %s sent outside its group", a.RequestID)
 		}
 	}
-	ru := w.set.Rules
-	if ru.SlowStartWindow > 0 && n.Started > 0 && w.now-n.Started < ru.SlowStartDuration {
+	slowStart, retryBudget := w.set.SlowStart, w.set.RetryBudget
+	if slowStart.Window > 0 && n.Started > 0 && w.now-n.Started < slowStart.Duration {
 		w.cold[a.Target] = append(w.cold[a.Target], drawn{w.now, q.req.Units})
 		sum := 0.0
 		for _, d := range w.cold[a.Target] {
-			if d.at > w.now-ru.SlowStartWindow && d.at >= n.Started {
+			if d.at > w.now-slowStart.Window && d.at >= n.Started {
 				sum += d.units
 			}
 		}
-		grown := ru.SlowStartInitialCapacity + (1-ru.SlowStartInitialCapacity)*(w.now-n.Started).Seconds()/ru.SlowStartDuration.Seconds()
-		if bears := w.set.SlowStartBudget/float64(w.set.Initiators)*grown/ru.SlowStartInitialCapacity + w.servedBy(a.Target); sum > bears+1e-6 {
+		grown := slowStart.InitialCapacity + (1-slowStart.InitialCapacity)*(w.now-n.Started).Seconds()/slowStart.Duration.Seconds()
+		if bears := w.set.SlowStart.Budget/float64(w.set.Initiators)*grown/slowStart.InitialCapacity + w.servedBy(a.Target); sum > bears+1e-6 {
 			w.fault("rule 4: %v units to cold %s, which bears %v of this host", sum, a.Target, bears)
 		}
 	}
@@ -267,22 +267,22 @@
 			}
 		}
 		for _, p := range w.byKey[q.req.Extent] {
-			if p != q && p.doubtAt > 0 && w.now < p.doubtAt+ru.SettleTime {
+			if p != q && p.doubtAt > 0 && w.now < p.doubtAt+w.set.SettleTime {
 				w.fault("rule 5: %s sent while its key rests", a.RequestID)
 			}
 		}
 	}
-	if ru.RetryBudget && len(q.sends) > 0 {
+	if retryBudget.Enabled && len(q.sends) > 0 {
 		w.extra = append(w.extra, w.now)
 		from := func(list []time.Duration) (n float64) {
 			for _, at := range list {
-				if at > w.now-ru.RetryBudgetWindow {
+				if at > w.now-retryBudget.Window {
 					n++
 				}
 			}
 			return n
 		}
-		if from(w.extra) > ru.RetryBudgetMinimum+ru.RetryBudgetRatio*from(w.taken) {
+		if from(w.extra) > retryBudget.Minimum+retryBudget.Ratio*from(w.taken) {
 			w.fault("rule 6: further attempt of %s over the budget", a.RequestID)
 		}
 	}
@@ -303,7 +303,7 @@
 // servedBy is what the node has answered within the span of the cold rule, which it has shown to bear.
 func (w *world) servedBy(node string) (sum float64) {
 	for _, d := range w.served[node] {
-		if d.at > w.now-w.set.Rules.SlowStartWindow {
+		if d.at > w.now-w.set.SlowStart.Window {
 			sum += d.units
 		}
 	}
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -34,7 +34,7 @@
 	if s.isOutlier(n) || n.ejectedUntil > s.now {
 		w += 100 * s.shortestObjective.Seconds()
 	}
-	if n.Started > 0 && s.now-n.Started < s.settings.Rules.SlowStartDuration {
+	if n.Started > 0 && s.now-n.Started < s.settings.SlowStart.Duration {
 		w *= 4
 	}
 	return w
--- a/scheduler/release.go
+++ b/scheduler/release.go
@@ -173,7 +173,7 @@
 		n.lastExtent, n.sequentialRun = r.Extent, 1
 	}
 	if r.attempts > 0 {
-		since := s.now - s.settings.Rules.RetryBudgetWindow - 2*s.settings.Tick
+		since := s.now - s.settings.RetryBudget.Window - 2*s.settings.Tick
 		s.retries = append(trimBefore(s.retries, since), s.now)
 	} else {
 		r.volume.reservationCredit = max(0, s.reservationCredit(r.volume)-r.Units)
@@ -181,7 +181,7 @@
 	if !r.charged {
 		r.volume.limitTokens, r.charged = r.volume.limitTokens-r.Units, true
 	}
-	if s.settings.Rules.SlowStartWindow > 0 {
+	if s.settings.SlowStart.Window > 0 {
 		n.recentlySent = append(n.recentlySent, unitSample{s.now, r.Units})
 	}
 	r.attempts++
@@ -192,7 +192,7 @@
 	n.inFlight = append(n.inFlight, r)
 	wait := s.attemptTimeout(n, r)
 	a := Action{Kind: Send, RequestID: r.ID, Target: n.ID,
-		Wait: min(wait, max(r.deadline-s.now, s.settings.Tick))}
+		Timeout: min(wait, max(r.deadline-s.now, s.settings.Tick))}
 	if r.mayHaveExecuted && r.class.Idempotency == IdempotencyKey {
 		// Its connection may take longer to come up than the repeat may wait.
 		a.StartWithin = r.executedSince + r.class.DedupWindow - s.now
--- a/scheduler/retries.go
+++ b/scheduler/retries.go
@@ -15,14 +15,14 @@
 
 // budgetGate keeps further attempts within the ration, counted against us at both edges.
 func (s *Scheduler) retryBudgetAdmitAt() time.Duration {
-	ru := s.settings.Rules
-	if !ru.RetryBudget {
+	ru := s.settings.RetryBudget
+	if !ru.Enabled {
 		return 0
 	}
-	s.firstAttempts = trimBefore(s.firstAttempts, s.now-ru.RetryBudgetWindow+2*s.settings.Tick)
-	s.retries = trimBefore(s.retries, s.now-ru.RetryBudgetWindow-2*s.settings.Tick)
-	if float64(len(s.retries)+1) <= ru.RetryBudgetMinimum+ru.RetryBudgetRatio*float64(len(s.firstAttempts)) {
+	s.firstAttempts = trimBefore(s.firstAttempts, s.now-ru.Window+2*s.settings.Tick)
+	s.retries = trimBefore(s.retries, s.now-ru.Window-2*s.settings.Tick)
+	if float64(len(s.retries)+1) <= ru.Minimum+ru.Ratio*float64(len(s.firstAttempts)) {
 		return 0
 	}
-	return s.now + ru.RetryBudgetWindow/64
+	return s.now + ru.Window/64
 }
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -1,23 +1,23 @@
 package scheduler
 
 // The scheduler: its settings, and the steps by which it takes events and returns actions. The interface is
-// in api.go; what is kept, in state.go. The decisions are in tagging.go, release.go, health.go, attempts.go,
-// retries.go, guards.go, slowstart.go and placement.go. The mechanism is RFQ as published; a comment that
-// says ours marks what was added.
+// in api.go; what is kept, in state.go. The decisions are in tagging.go, release.go, health.go,
+// attempts.go, retries.go, guards.go, slowstart.go and placement.go. The mechanism is RFQ as published; a
+// comment that says ours marks what was added.
 
 import (
 	"container/heap"
-	"errors"
-	"fmt"
 	"math/rand/v2"
 	"time"
 )
 
 const (
-	// sharedMinConcurrency is the least concurrency limit of a target, of all initiators together; each has one
-	// attempt in any case. Requests differ in size, so responses exceed the base latency with nothing queued.
+	// sharedMinConcurrency is the least concurrency limit of a target, of all initiators together; each has
+	// one attempt in any case. Requests differ in size, so responses exceed the base latency with nothing
+	// queued.
 	sharedMinConcurrency = 4
-	// timersPerObjective is how many timers fit in the shortest objective, so that a pause of the process shows.
+	// timersPerObjective is how many timers fit in the shortest objective, so that a pause of the process
+	// shows.
 	timersPerObjective = 8
 	// idleStateObjectives is for how many shortest objectives idle state is kept.
 	idleStateObjectives = 60
@@ -62,11 +62,8 @@
 
 // New returns a scheduler for the given settings, or an error if they cannot be served.
 func New(set Settings, seed uint64) (*Scheduler, error) {
-	if len(set.Classes) == 0 || len(set.Plans) == 0 {
-		return nil, errors.New("settings need at least one class and one plan")
-	}
-	if set.Initiators < 1 {
-		return nil, fmt.Errorf("settings name %d initiators", set.Initiators)
+	if err := set.validate(); err != nil {
+		return nil, err
 	}
 	s := &Scheduler{
 		settings:          set.clone(),
@@ -87,15 +84,12 @@
 	}
 	s.settings.MeanUnits = max(set.MeanUnits, 1e-3)
 	s.minConcurrency = max(1, sharedMinConcurrency/float64(set.Initiators))
-	s.sharedSlowStart = set.SlowStartBudget < s.settings.MeanUnits*float64(set.Initiators)
+	s.sharedSlowStart = set.SlowStart.Budget < s.settings.MeanUnits*float64(set.Initiators)
 	if set.PollEndpoints {
 		s.nextPoll = 0
 	}
 	for i := range s.settings.Classes {
 		c := &s.settings.Classes[i]
-		if c.LatencyObjective <= 0 || c.Deadline <= 0 {
-			return nil, fmt.Errorf("class %q needs an aim and a deadline", c.Name)
-		}
 		s.classes[c.Name] = c
 		s.shortestObjective = min(s.shortestObjective, c.LatencyObjective)
 		for i := range set.Plans {
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -15,7 +15,7 @@
 	return Settings{
 		Initiators: 1, Tick: ms, MeanUnits: 1, MaxUnits: 1, UsageReportPeriod: time.Second,
 		Classes: []Class{{Name: "get", LatencyObjective: 400 * ms, Deadline: 2 * time.Second, PriorityWeight: 1}},
-		Plans:   []Plan{{Name: "std", ProvisionedRate: 10, Reservation: 10, Weight: 1, PriorityFactor: 1}},
+		Plans:   []Plan{{Name: "std", ProvisionedRate: 10, Reservation: 10, PriorityFactor: 1}},
 	}
 }
 
@@ -356,7 +356,7 @@
 		wait := time.Duration(-1)
 		for _, a := range r.step(Timer{}) {
 			if a.Kind == SetTimer {
-				wait = a.Wait
+				wait = a.After
 			}
 		}
 		if wait < 0 {
@@ -422,8 +422,8 @@
 func TestLongLife(t *testing.T) {
 	for _, budget := range []bool{false, true} {
 		set := plain()
-		set.Rules.RetryBudget, set.Rules.RetryBudgetWindow, set.Rules.RetryBudgetMinimum = budget, time.Second, 3
-		set.Classes[0].Serialized, set.Rules.SettleTime = true, 100*ms
+		set.RetryBudget.Enabled, set.RetryBudget.Window, set.RetryBudget.Minimum = budget, time.Second, 3
+		set.Classes[0].Serialized, set.SettleTime = true, 100*ms
 		r := newRig(t, set, up("n0", 0))
 		for i := range 4000 {
 			if i%10 == 0 {
@@ -536,8 +536,8 @@
 	starts := map[time.Duration]bool{}
 	for seed := range uint64(20) {
 		set := plain()
-		set.Initiators, set.SlowStartBudget = 200, 10
-		set.Rules = Rules{SlowStartInitialCapacity: 0.2, SlowStartDuration: 10 * time.Second, SlowStartWindow: time.Second, SlowStartOverloadFactor: 3}
+		set.Initiators = 200
+		set.SlowStart = SlowStart{Budget: 10, InitialCapacity: 0.2, Duration: 10 * time.Second, Window: time.Second, OverloadFactor: 3}
 		r := newRig(t, set, up("n", 0))
 		r.s, _ = New(set, seed)
 		r.wait(20 * time.Second)
@@ -557,7 +557,7 @@
 			r.wait(15 * ms)
 		}
 		starts[first.Round(100*ms)] = true
-		if first == 0 || first > set.Rules.SlowStartWindow/2+50*ms {
+		if first == 0 || first > set.SlowStart.Window/2+50*ms {
 			t.Errorf("seed %d: first request %v after the start was told", seed, first)
 		}
 		for i := 1; i < len(sent); i++ {
@@ -575,13 +575,13 @@
 // request a span, and never more than half the multiple of what it answered within the span.
 func TestColdNodeThatAnswersGetsMore(t *testing.T) {
 	set := plain()
-	set.Initiators, set.SlowStartBudget = 200, 10
-	set.Rules = Rules{SlowStartInitialCapacity: 0.2, SlowStartDuration: 12 * time.Second, SlowStartWindow: 3 * time.Second, SlowStartOverloadFactor: 4}
+	set.Initiators = 200
+	set.SlowStart = SlowStart{Budget: 10, InitialCapacity: 0.2, Duration: 12 * time.Second, Window: 3 * time.Second, OverloadFactor: 4}
 	r := newRig(t, set, up("n", 0))
 	r.step(EndpointList{Targets: []Target{{ID: "n", Started: r.now}}})
 	n := r.s.targetsByID["n"]
 	var sent, answered []time.Duration
-	since := func(list []time.Duration) int { return len(trimBefore(list, r.now-set.Rules.SlowStartWindow)) }
+	since := func(list []time.Duration) int { return len(trimBefore(list, r.now-set.SlowStart.Window)) }
 	for i := 0; r.now < 12*time.Second; i++ {
 		before := len(r.sends)
 		r.step(req(fmt.Sprint("r", i), "v", 1))
@@ -697,7 +697,7 @@
 	before := r.s.volumes["v"].tokens
 	q.ID, q.Timeout = "b", 900*ms
 	out := r.step(q)
-	if len(r.ends) != 2 || r.ends[1].Kind != Reject || r.ends[1].Wait != 900*ms {
+	if len(r.ends) != 2 || r.ends[1].Kind != Reject || r.ends[1].RetryAfter != 900*ms {
 		t.Fatalf("second try: %v, want it refused at once with a wait of 900ms", out)
 	}
 	if after := r.s.volumes["v"].tokens; after != before {
--- a/scheduler/state.go
+++ b/scheduler/state.go
@@ -164,14 +164,8 @@
 	}
 }
 
-// clone copies what the settings share with their maker.
-func (set Settings) clone() Settings {
-	set.Classes, set.Plans = slices.Clone(set.Classes), slices.Clone(set.Plans)
-	return set
-}
-
-// sweep drops volumes that nothing was asked for since then, their flows and empty lanes, keys at rest, and nodes that
-// are gone.
+// sweep drops volumes without a request since then, their flows, empty shard queues, idle serial queues, and
+// removed targets.
 func (s *Scheduler) sweep(since time.Duration) {
 	idle := func(v *volume) bool { return v.backlog == 0 && v.refilledAt < since && v.localRateAt < since }
 	for _, l := range s.shardQueues {
@@ -183,12 +177,14 @@
 			return drop
 		})
 	}
-	// A lane of a shard that no known node holds, and nothing waits in, is what somebody once asked for in vain.
 	s.shardQueues = slices.DeleteFunc(s.shardQueues, func(l *shardQueue) bool {
-		return len(l.queued)+len(l.flows) == 0 && !slices.ContainsFunc(s.targets, func(n *target) bool { return n.Shard == l.shard })
+		serves := func(n *target) bool { return n.Shard == l.shard }
+		return len(l.queued)+len(l.flows) == 0 && !slices.ContainsFunc(s.targets, serves)
 	})
 	maps.DeleteFunc(s.volumes, func(_ string, v *volume) bool { return idle(v) })
-	maps.DeleteFunc(s.serialQueues, func(_ string, k *serialQueue) bool { return len(k.requests) == 0 && k.settleUntil < since })
+	maps.DeleteFunc(s.serialQueues, func(_ string, k *serialQueue) bool {
+		return len(k.requests) == 0 && k.settleUntil < since
+	})
 	s.targets = slices.DeleteFunc(s.targets, func(n *target) bool {
 		gone := n.State == Removed && len(n.inFlight) == 0 && n.lastHeard < since
 		if gone {
