--- /dev/null
+++ b/scheduler/admission.go
@@ -0,0 +1,21 @@
+package scheduler
+
+import "time"
+
+// admitAt is the one function that every attempt passes; it asks all the rules. It returns the time from
+// which the request may go to the queue's target, or a time at which to ask again. A time that is not after
+// now admits it.
+func (s *Scheduler) admitAt(r *request, q *shardQueue) time.Duration {
+	t := q.target
+	at := max(
+		r.notBefore,
+		t.ejectedUntil,
+		s.orderAdmitAt(r),
+		s.slowStart.admitAt(s.now, t, r.Units),
+		s.rateLimitAdmitAt(r),
+	)
+	if r.attempts > 0 {
+		at = max(at, s.retryAdmitAt(r, t))
+	}
+	return at
+}
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -101,6 +101,11 @@
 	return s != Rejected && s != ConnectFailed && s != NotSent
 }
 
+// mayStillRun tells whether the target may go on executing an attempt with this outcome.
+func (s AttemptStatus) mayStillRun() bool {
+	return s == DeadlineExceeded || s == ConnectionReset || s == Cancelled
+}
+
 // LoadReport is a target's own report of its load. It may be late and noisy. A negative or NaN value is
 // absent.
 type LoadReport struct {
@@ -117,7 +122,7 @@
 	Latency     time.Duration // from the Send action to the end
 	Answered    bool          // the client has its response
 	LoadReport  *LoadReport   // nil: none
-	VolumeUsage int           // 1 + the volume's usage over all initiators, in % of its plan's rate; 0: absent
+	VolumeUsage int           // 1 + usage over all initiators, in % of the provisioned rate; 0: absent
 }
 
 // ResponseStarted reports that the response of the attempt in flight has begun to arrive.
--- /dev/null
+++ b/scheduler/outlier.go
@@ -0,0 +1,98 @@
+package scheduler
+
+import "time"
+
+const (
+	// outlierFailures is the number of failures in a row that makes a target an outlier.
+	outlierFailures = 3
+	// errorForgiveness is the part of a failure that an error response does not count for. A target that
+	// fails a part of its requests quickly still serves the others.
+	errorForgiveness = 0.75
+	// maxEjectionFailures is the number of failures in a row beyond which the ejection grows no longer.
+	maxEjectionFailures = 4
+)
+
+// isOutlier tells whether the target failed several times with no success between, or is silent: an attempt
+// has had no response for the silence timeout, and nothing was heard since it was sent. An outlier gets one
+// attempt at a time.
+func (s *Scheduler) isOutlier(t *target) bool {
+	if t.consecutiveFailures >= outlierFailures {
+		return true
+	}
+	for _, r := range t.inFlight {
+		if s.now-r.sentAt > s.silenceTimeout(t) && t.lastHeard <= r.sentAt {
+			return true
+		}
+	}
+	return false
+}
+
+// recordResult updates what is known of the target from the end of an attempt.
+func (s *Scheduler) recordResult(t *target, r *request, e AttemptEnded) {
+	switch e.Status {
+	case Succeeded:
+		s.recordSuccess(t, r, e.Latency)
+	case Rejected:
+		s.recordRejection(t)
+	case DeadlineExceeded:
+		s.recordTimeout(t, e.Latency)
+	case Errored, ConnectFailed, ConnectionReset:
+		s.recordFailure(t, e.Status)
+	}
+}
+
+func (s *Scheduler) recordSuccess(t *target, r *request, latency time.Duration) {
+	if s.isOutlier(t) {
+		t.concurrencyLimit = 1
+	}
+	t.consecutiveFailures = 0
+	t.ejectedUntil = 0
+	if s.slowStart.Window > 0 {
+		t.recentlyServed.add(s.now, r.Units)
+	}
+	if s.stall > 0 {
+		// The response waited here while the process stood still: its latency is not the target's.
+		t.lastHeard = s.now
+		return
+	}
+	s.recordLatency(t, latency.Seconds()/s.relativeSize(r.Units), r.loadAtSend)
+	s.updateConcurrency(t)
+}
+
+// recordRejection ejects the target for about one latency.
+func (s *Scheduler) recordRejection(t *target) {
+	t.halveConcurrency()
+	t.lastHeard = s.now
+	t.ejectedUntil = s.now + seconds(t.smoothedLatency)
+}
+
+// recordTimeout counts a timeout as a failure, unless it was shorter than the silence timeout.
+//
+// Failure: clients with short timeouts make a healthy target an outlier. Such a timeout tells only that the
+// latency is at least that long.
+func (s *Scheduler) recordTimeout(t *target, latency time.Duration) {
+	if latency < s.silenceTimeout(t) {
+		t.smoothedLatency += max(0, latency.Seconds()-t.smoothedLatency) * smoothingGain
+		return
+	}
+	t.consecutiveFailures++
+	t.halveConcurrency()
+}
+
+func (s *Scheduler) recordFailure(t *target, status AttemptStatus) {
+	t.consecutiveFailures++
+	if status == Errored {
+		t.consecutiveFailures -= errorForgiveness
+	}
+	t.lastHeard = s.now
+	t.ejectedUntil = s.now + s.ejectionTime(t)
+}
+
+// ejectionTime is how long the target gets no attempt after a failure: a quarter of the silence timeout for
+// each failure in a row after the first.
+func (s *Scheduler) ejectionTime(t *target) time.Duration {
+	failures := max(0, min(t.consecutiveFailures, maxEjectionFailures)-1)
+	// Failures are counted in quarters, so this is a whole number.
+	sixteenths := time.Duration(4 * failures)
+	return s.silenceTimeout(t) * sixteenths / 16
+}
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -1,56 +1,71 @@
 package scheduler
 
-// Placement of new objects, which any node may take.
-
 import "math"
 
-// place returns the lane for a request: its shard's, or for a new object the one of least expected wait.
+const (
+	// migrationFactor is how many times shorter the wait at another shard must be for a queued request to
+	// move.
+	migrationFactor = 2
+	// warmingUpFactor multiplies the expected wait at a target that warms up.
+	warmingUpFactor = 4
+	// outlierPenaltyObjectives is added to the expected wait at an outlier or ejected target, in shortest
+	// objectives, so that any other target comes before it.
+	outlierPenaltyObjectives = 100
+)
+
+// selectQueue returns the queue of the request's shard, or for a new object the one with the least expected
+// wait. The search starts at a random queue, so that equal ones are used alike.
 func (s *Scheduler) selectQueue(r *request) *shardQueue {
 	if r.Shard >= 0 || len(s.shardQueues) == 0 {
 		return s.shardQueueFor(max(r.Shard, 0))
 	}
 	var best *shardQueue
-	least, from := math.Inf(1), s.rng.IntN(len(s.shardQueues))
+	leastWait := math.Inf(1)
+	first := s.rng.IntN(len(s.shardQueues))
 	for i := range s.shardQueues {
-		l := s.shardQueues[(from+i)%len(s.shardQueues)]
-		if w := s.expectedWait(l); best == nil || w < least {
-			best, least = l, w
+		q := s.shardQueues[(first+i)%len(s.shardQueues)]
+		if wait := s.expectedWait(q); best == nil || wait < leastWait {
+			best = q
+			leastWait = wait
 		}
 	}
 	return best
 }
 
-// wait estimates how long a request newly put in the lane would take.
-func (s *Scheduler) expectedWait(l *shardQueue) float64 {
-	n := l.target
-	if n == nil {
+// expectedWait is how long a request newly put into the queue would take, in seconds.
+func (s *Scheduler) expectedWait(q *shardQueue) float64 {
+	t := q.target
+	if t == nil {
 		return math.Inf(1)
 	}
-	usual := n.smoothedLatency
-	if usual == 0 { // no answer yet: it would take a connection more, of the few that a node holds
-		usual = s.shortestObjective.Seconds()
+	latency := t.smoothedLatency
+	if latency == 0 {
+		// Failure: each new object goes to one more target without a known latency, and takes up one of the
+		// few connections that a target holds. An unknown latency counts as a whole objective.
+		latency = s.shortestObjective.Seconds()
 	}
-	w := usual * (1 + float64(len(l.queued)+len(n.inFlight))/n.concurrencyLimit)
-	if s.isOutlier(n) || n.ejectedUntil > s.now {
-		w += 100 * s.shortestObjective.Seconds()
+	wait := latency * (1 + float64(len(q.queued)+len(t.inFlight))/t.concurrencyLimit)
+	if s.isOutlier(t) || t.ejectedUntil > s.now {
+		wait += outlierPenaltyObjectives * s.shortestObjective.Seconds()
 	}
-	if n.Started > 0 && s.now-n.Started < s.settings.SlowStart.Duration {
-		w *= 4
+	if s.slowStart.isWarmingUp(t, s.now) {
+		wait *= warmingUpFactor
 	}
-	return w
+	return wait
 }
 
-// replace moves held new objects away from lanes that have become much worse than the best.
+// migrateQueued moves queued new objects away from shards that have become much worse than the best.
 func (s *Scheduler) migrateQueued() {
-	for _, l := range s.shardQueues {
-		for i := 0; i < len(l.queued); i++ {
-			r := l.queued[i]
+	for _, q := range s.shardQueues {
+		for i := 0; i < len(q.queued); i++ {
+			r := q.queued[i]
 			if r.Shard >= 0 || r.mayHaveExecuted {
 				continue
 			}
-			if to := s.selectQueue(r); to != l && 2*s.expectedWait(to) < s.expectedWait(l) {
+			better := s.selectQueue(r)
+			if better != q && migrationFactor*s.expectedWait(better) < s.expectedWait(q) {
 				r.dequeue()
-				to.enqueue(r)
+				better.enqueue(r)
 				i--
 			}
 		}
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -1,152 +1,157 @@
 package scheduler
 
-// The scheduler: its settings, and the steps by which it takes events and returns actions. The interface is
-// in api.go; what is kept, in state.go. The decisions are in tagging.go, release.go, health.go,
-// attempts.go, retries.go, guards.go, slowstart.go and placement.go. The mechanism is RFQ as published; a
-// comment that says ours marks what was added.
-
 import (
-	"container/heap"
+	"math"
 	"math/rand/v2"
 	"time"
 )
 
 const (
-	// sharedMinConcurrency is the least concurrency limit of a target, of all initiators together; each has
-	// one attempt in any case. Requests differ in size, so responses exceed the base latency with nothing
-	// queued.
-	sharedMinConcurrency = 4
-	// timersPerObjective is how many timers fit in the shortest objective, so that a pause of the process
-	// shows.
-	timersPerObjective = 8
-	// idleStateObjectives is for how many shortest objectives idle state is kept.
-	idleStateObjectives = 60
+	// never is a time that no clock reaches.
+	never = time.Duration(math.MaxInt64)
+	// maxSeconds bounds durations that are computed from an estimate.
+	maxSeconds = 1e6
+	// minMeanUnits keeps a division by the mean size finite.
+	minMeanUnits = 1e-3
 )
 
 // Scheduler decides for one initiator. It is not safe for concurrent use.
 type Scheduler struct {
-	settings          Settings
-	rng               *rand.Rand
-	now               time.Duration
-	classes           map[string]*Class
-	plans             map[string]*Plan
-	rejected          map[retryKey]*request // turned away, and may come again
-	rejectedInOrder   []*request            // the same by time
-	shortestObjective time.Duration
-	highestWeight     float64 // what a unit earns at most
-	minConcurrency    float64 // a node's least depth here
-	sharedSlowStart   bool    // the even part of what a cold node bears is under one mean request
-	volumes           map[string]*volume
-	requests          map[string]*request
-	shardQueues       []*shardQueue
-	targets           []*target
-	targetsByID       map[string]*target
-	serialQueues      map[string]*serialQueue
-	deadlines         deadlineHeap
-	// For the attempt budget; the next timer and what it is for, the last sweep, how long this initiator
-	// stood still before this step (0: not), when to ask for the list and how long to wait after that.
-	firstAttempts    []time.Duration
-	retries          []time.Duration
-	timerAt          time.Duration
-	nextWorkAt       time.Duration
-	lastSweep        time.Duration
-	stall            time.Duration
-	nextPoll         time.Duration
-	pollBackoff      time.Duration
-	shutdownDeadline time.Duration // no request may be open after that
+	settings Settings
+	classes  map[string]*Class
+	plans    map[string]*Plan
+	rng      *rand.Rand
+
+	// Derived from the settings.
+	shortestObjective time.Duration // least latency objective of the classes
+	highestWeight     float64       // greatest priority that a request can have
+	minConcurrency    float64       // least concurrency limit of a target
+
+	// The step at hand.
+	now      time.Duration
+	stall    time.Duration // for how long this process stood still before the step; 0: it did not
+	actions  []Action
+	admitted []*request // requests of the queue at hand that may go to its target now
+
+	// Requests.
+	requests         map[string]*request
+	deadlines        deadlineHeap
+	shutdownDeadline time.Duration // no request may be open after it; never: no shutdown yet
+	rejected         rejectedRequests
+	serialQueues     map[string]*serialQueue // by extent
+	shardQueues      []*shardQueue
+	volumes          map[string]*volume
 
-	queueingFactor float64    // part of the base latency that a request waiting at a node adds
-	eligible       []*request // what the gate lets through at the lane in hand
-	actions        []Action
+	// Targets.
+	targets        []*target
+	targetsByID    map[string]*target
+	queueingFactor float64 // part of the base latency that each request at a target adds
+	slowStart      slowStart
+	retryBudget    retryBudget
+	poller         endpointPoller
+
+	timer     wakeTimer
+	lastSweep time.Duration
 }
 
-// New returns a scheduler for the given settings, or an error if they cannot be served.
-func New(set Settings, seed uint64) (*Scheduler, error) {
-	if err := set.validate(); err != nil {
+// New returns a scheduler, or a *SettingsError. The settings are copied. The seed is that of its random
+// decisions.
+func New(settings Settings, seed uint64) (*Scheduler, error) {
+	if err := settings.validate(); err != nil {
 		return nil, err
 	}
+	settings = settings.clone()
+	settings.MeanUnits = max(settings.MeanUnits, minMeanUnits)
 	s := &Scheduler{
-		settings:          set.clone(),
-		rng:               rand.New(rand.NewPCG(seed, seed)),
+		settings:          settings,
 		classes:           map[string]*Class{},
 		plans:             map[string]*Plan{},
-		rejected:          map[retryKey]*request{},
+		rng:               rand.New(rand.NewPCG(seed, seed)),
 		shortestObjective: never,
-		volumes:           map[string]*volume{},
+		minConcurrency:    max(1, sharedMinConcurrency/float64(settings.Initiators)),
 		requests:          map[string]*request{},
-		targetsByID:       map[string]*target{},
-		serialQueues:      map[string]*serialQueue{},
-		timerAt:           never,
-		queueingFactor:    0.5, // two served at once, until seen
-		nextPoll:          never,
 		shutdownDeadline:  never,
-		pollBackoff:       time.Second,
+		rejected:          newRejectedRequests(),
+		serialQueues:      map[string]*serialQueue{},
+		volumes:           map[string]*volume{},
+		targetsByID:       map[string]*target{},
+		queueingFactor:    initialQueueingFactor,
+		slowStart:         newSlowStart(&settings),
+		retryBudget:       retryBudget{RetryBudget: settings.RetryBudget, tick: settings.Tick},
+		poller:            newEndpointPoller(settings.PollEndpoints),
+		timer:             wakeTimer{setFor: never},
 	}
-	s.settings.MeanUnits = max(set.MeanUnits, 1e-3)
-	s.minConcurrency = max(1, sharedMinConcurrency/float64(set.Initiators))
-	s.sharedSlowStart = set.SlowStart.Budget < s.settings.MeanUnits*float64(set.Initiators)
-	if set.PollEndpoints {
-		s.nextPoll = 0
+	s.indexClassesAndPlans()
+	return s, nil
+}
+
+func (s *Scheduler) indexClassesAndPlans() {
+	for i := range s.settings.Plans {
+		plan := &s.settings.Plans[i]
+		s.plans[plan.Name] = plan
 	}
 	for i := range s.settings.Classes {
-		c := &s.settings.Classes[i]
-		s.classes[c.Name] = c
-		s.shortestObjective = min(s.shortestObjective, c.LatencyObjective)
-		for i := range set.Plans {
-			s.plans[set.Plans[i].Name] = &s.settings.Plans[i]
-			s.highestWeight = max(s.highestWeight, c.PriorityWeight*set.Plans[i].PriorityFactor)
+		class := &s.settings.Classes[i]
+		s.classes[class.Name] = class
+		s.shortestObjective = min(s.shortestObjective, class.LatencyObjective)
+		for _, plan := range s.settings.Plans {
+			s.highestWeight = max(s.highestWeight, class.PriorityWeight*plan.PriorityFactor)
 		}
 	}
-	return s, nil
 }
 
-// Step takes what happened up to now and returns what to do. The slice is valid until the next Step.
+// Step takes the events up to now, in the order in which they happened, and returns what to do. Times must
+// not decrease from step to step. The slice is valid until the next Step.
 func (s *Scheduler) Step(now time.Duration, events []Event) []Action {
-	s.now, s.actions = now, s.actions[:0]
-	// A timer that comes late: this initiator stood still, and what it finds has waited here, at no node.
-	s.stall = 0
-	if late := now - s.timerAt; late >= 0 {
-		s.timerAt = never
-		if late > s.shortestObjective/timersPerObjective {
-			s.stall = late
-		}
-	}
-	idle := now < s.nextWorkAt // but for what the events bring
-	for _, e := range events {
-		_, beat := e.(Timer)
-		idle = idle && beat
-		switch e := e.(type) {
-		case EndpointList:
-			s.onEndpointList(e)
-		case Request:
-			s.onRequest(e)
-		case AttemptEnded:
-			s.onAttemptEnded(e)
-		case ResponseStarted:
-			if r := s.requests[e.RequestID]; r != nil && r.heapIndex >= 0 {
-				heap.Remove(&s.deadlines, r.heapIndex)
-			}
-		case ClientClosed:
-			if r := s.requests[e.RequestID]; r != nil && !r.answered {
-				s.finish(r)
-			}
-		case Shutdown:
-			s.onShutdown(e)
-		case Timer: // also one a little early: whoever drives the module may round
-			s.timerAt = never
+	s.now = now
+	s.actions = s.actions[:0]
+	s.measureStall()
+	hasWork := now >= s.timer.nextWorkAt
+	for _, event := range events {
+		if _, isTimer := event.(Timer); !isTimer {
+			hasWork = true
 		}
+		s.handle(event)
 	}
-	if !idle {
+	if hasWork {
 		s.giveUpOverdue()
 		s.migrateQueued()
-		for _, l := range s.shardQueues {
-			s.dispatchQueue(l)
+		for _, q := range s.shardQueues {
+			s.dispatchQueue(q)
 		}
 	}
-	if now-s.lastSweep > idleStateObjectives*s.shortestObjective {
-		s.sweep(s.lastSweep) // what was idle for that long starts afresh, as after a synchronization point
-		s.lastSweep = now
+	s.sweep()
+	if s.poller.takeDue(now) {
+		s.emit(Action{Kind: WatchEndpoints})
 	}
 	s.setTimer()
 	return s.actions
 }
+
+func (s *Scheduler) handle(event Event) {
+	switch event := event.(type) {
+	case EndpointList:
+		s.onEndpointList(event)
+	case Request:
+		s.onRequest(event)
+	case AttemptEnded:
+		s.onAttemptEnded(event)
+	case ResponseStarted:
+		s.onResponseStarted(event)
+	case ClientClosed:
+		s.onClientClosed(event)
+	case Shutdown:
+		s.onShutdown(event)
+	case Timer:
+		// Failure: a timer comes a little early, since the caller rounds; nothing is due yet, and no other
+		// is set.
+		s.timer.setFor = never
+	}
+}
+
+func (s *Scheduler) emit(action Action) { s.actions = append(s.actions, action) }
+
+// seconds turns seconds into a duration, bounded so that it cannot overflow.
+func seconds(x float64) time.Duration {
+	return time.Duration(min(x, maxSeconds) * float64(time.Second))
+}
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -62,8 +62,8 @@
 	}
 }
 
-func (r *rig) end(id string, code AttemptStatus, took time.Duration) []Action {
-	return r.step(AttemptEnded{RequestID: id, Attempt: r.tries[id] - 1, Status: code, Latency: took, Answered: code == Succeeded})
+func (r *rig) end(id string, code AttemptStatus, took time.Duration) {
+	r.step(AttemptEnded{RequestID: id, Attempt: r.tries[id] - 1, Status: code, Latency: took, Answered: code == Succeeded})
 }
 
 func (r *rig) sent() []string {
@@ -107,7 +107,7 @@
 		if x.finishTag-x.startTag != 400*ms {
 			t.Errorf("%s: finish tag %v after start, want the aim", c.name, x.finishTag-x.startTag)
 		}
-		if got := x.volume.tokens; got < c.left-1e-9 || got > c.left+1e-9 {
+		if got := x.volume.bucket.tokens; got < c.left-1e-9 || got > c.left+1e-9 {
 			t.Errorf("%s: %v tokens left, want %v", c.name, got, c.left)
 		}
 	}
@@ -448,8 +448,8 @@
 			r.sends = nil
 		}
 		s := r.s
-		for name, size := range map[string]int{"requests": len(s.requests), "taken": len(s.firstAttempts), "extra": len(s.retries),
-			"turned": len(s.rejected), "turned by time": len(s.rejectedInOrder), "due": len(s.deadlines)} {
+		for name, size := range map[string]int{"requests": len(s.requests), "taken": len(s.retryBudget.firstAttempts), "extra": len(s.retryBudget.retries),
+			"turned": len(s.rejected.byKey), "turned by time": len(s.rejected.inOrder), "due": len(s.deadlines)} {
 			if size > 10 {
 				t.Errorf("budget %v: %d %s kept", budget, size, name)
 			}
@@ -694,13 +694,13 @@
 	if len(r.ends) != 1 {
 		t.Fatalf("ends %v, want the first try refused", r.ends)
 	}
-	before := r.s.volumes["v"].tokens
+	before := r.s.volumes["v"].bucket.tokens
 	q.ID, q.Timeout = "b", 900*ms
 	out := r.step(q)
 	if len(r.ends) != 2 || r.ends[1].Kind != Reject || r.ends[1].RetryAfter != 900*ms {
 		t.Fatalf("second try: %v, want it refused at once with a wait of 900ms", out)
 	}
-	if after := r.s.volumes["v"].tokens; after != before {
+	if after := r.s.volumes["v"].bucket.tokens; after != before {
 		t.Errorf("the second try moved the bucket from %v to %v", before, after)
 	}
 }
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -1,32 +1,92 @@
 package scheduler
 
-// Slow start: what a node that has just started may get.
-
 import "time"
 
-// coldGate keeps what this initiator sends to a cold node within its part of what such a node bears, growing
-// along the slowest ramp; what the node answered within the span it has shown to bear. Where the part is
-// under one mean request, few of the initiators have work for it at a time: one request a span may go.
-func (s *Scheduler) slowStartAdmitAt(n *target, units float64) time.Duration {
-	ru := s.settings.SlowStart
-	age := s.now - n.Started
-	var sum, shown float64
-	// Also while warm: a start is told late.
-	n.recentlySent, sum = sumSince(n.recentlySent, s.now-ru.Window-s.settings.Tick)
-	n.recentlyServed, shown = sumSince(n.recentlyServed, s.now-ru.Window+s.settings.Tick)
-	if n.Started <= 0 || age >= ru.Duration || ru.Window <= 0 {
-		return 0
+const (
+	// slowStartChecks is how often within the slow-start window a request that has to wait is looked at
+	// again.
+	slowStartChecks = 16
+	// minInitialCapacity keeps the growth during the slow start finite.
+	minInitialCapacity = 0.01
+)
+
+// slowStart bounds what this initiator sends to a target that has started recently.
+type slowStart struct {
+	SlowStart
+	tick       time.Duration
+	initiators float64
+	// shared is set when the even part of the budget is less than one request of mean size. Few of the
+	// initiators then have work for the target at a time, and each may send one request a window.
+	shared bool
+}
+
+func newSlowStart(settings *Settings) slowStart {
+	initiators := float64(settings.Initiators)
+	return slowStart{
+		SlowStart:  settings.SlowStart,
+		tick:       settings.Tick,
+		initiators: initiators,
+		shared:     settings.SlowStart.Budget < settings.MeanUnits*initiators,
 	}
-	growth := 1/max(ru.InitialCapacity, 0.01) - 1
-	grown := 1 + growth*max(0, age.Seconds())/ru.Duration.Seconds()
-	part := s.settings.SlowStart.Budget / float64(s.settings.Initiators) * grown
-	if s.sharedSlowStart {
-		part = ru.OverloadFactor / 2 * shown
-	} else {
-		part = max(part, part*(1-1/max(ru.OverloadFactor, 1))+shown)
+}
+
+// isWarmingUp tells whether the target's capacity still grows.
+func (p *slowStart) isWarmingUp(t *target, now time.Duration) bool {
+	return t.Started > 0 && now-t.Started < p.Duration
+}
+
+// admitAt returns the time from which that many units may go to the target, or a time at which to ask
+// again.
+//
+// Failure: a target that has just started gets the full load, and falls over again. Within each window it
+// gets at most what it bears; the units that it served within the window show that it bears as much.
+func (p *slowStart) admitAt(now time.Duration, t *target, units float64) time.Duration {
+	// Counted for a warm target too: the endpoint list tells of a start some time after it. The window is
+	// one tick longer for what was sent and one shorter for what was served, so that rounding cannot exceed
+	// the budget.
+	sent := t.recentlySent.sumSince(now - p.Window - p.tick)
+	served := t.recentlyServed.sumSince(now - p.Window + p.tick)
+	if p.Window <= 0 || !p.isWarmingUp(t, now) {
+		return 0
 	}
-	if s.sharedSlowStart && sum == 0 || sum+units <= part {
+	if p.shared && sent == 0 || sent+units <= p.budget(now-t.Started, served) {
 		return 0
 	}
-	return s.now + ru.Window/16
+	return now + p.Window/slowStartChecks
+}
+
+// budget is the number of units within a window that a target of this age bears from this initiator. The
+// capacity grows linearly from InitialCapacity; served is what the target has served within the window.
+func (p *slowStart) budget(age time.Duration, served float64) float64 {
+	if p.shared {
+		return p.OverloadFactor / 2 * served
+	}
+	growth := 1/max(p.InitialCapacity, minInitialCapacity) - 1
+	grown := 1 + growth*max(0, age.Seconds())/p.Duration.Seconds()
+	evenPart := p.Budget / p.initiators * grown
+	return max(evenPart, evenPart*(1-1/max(p.OverloadFactor, 1))+served)
+}
+
+// unitHistory is a list of sizes by time, oldest first.
+type unitHistory []unitSample
+
+type unitSample struct {
+	at    time.Duration
+	units float64
+}
+
+func (h *unitHistory) add(now time.Duration, units float64) {
+	*h = append(*h, unitSample{at: now, units: units})
+}
+
+// sumSince drops the samples before from, and returns the sum of the others.
+func (h *unitHistory) sumSince(from time.Duration) float64 {
+	for len(*h) > 0 && (*h)[0].at < from {
+		*h = (*h)[1:]
+	}
+	sum := 0.0
+	for _, sample := range *h {
+		sum += sample.units
+	}
+	return sum
 }
--- /dev/null
+++ b/scheduler/sweep.go
@@ -0,0 +1,54 @@
+package scheduler
+
+import (
+	"maps"
+	"slices"
+	"time"
+)
+
+// idleStateObjectives is for how many shortest objectives idle state is kept.
+const idleStateObjectives = 60
+
+// sweep removes idle state from time to time, so that memory does not grow with the volumes, extents and
+// targets that were ever seen. A volume that is removed starts afresh, as after a synchronization point.
+func (s *Scheduler) sweep() {
+	if s.now-s.lastSweep <= idleStateObjectives*s.shortestObjective {
+		return
+	}
+	since := s.lastSweep
+	s.sweepShardQueues(since)
+	maps.DeleteFunc(s.volumes, func(_ string, v *volume) bool { return v.isIdle(since) })
+	maps.DeleteFunc(s.serialQueues, func(_ string, q *serialQueue) bool {
+		return len(q.requests) == 0 && q.settleUntil < since
+	})
+	s.sweepTargets(since)
+	s.lastSweep = s.now
+}
+
+// sweepShardQueues removes the flows of idle volumes, and the empty queues of shards that no target has.
+func (s *Scheduler) sweepShardQueues(since time.Duration) {
+	for _, q := range s.shardQueues {
+		q.flows = slices.DeleteFunc(q.flows, func(f *flow) bool {
+			isIdle := f.queued == 0 && f.volume.isIdle(since)
+			if isIdle {
+				delete(q.flowsByVolume, f.volume)
+			}
+			return isIdle
+		})
+	}
+	s.shardQueues = slices.DeleteFunc(s.shardQueues, func(q *shardQueue) bool {
+		hasShard := func(t *target) bool { return t.Shard == q.shard }
+		return len(q.queued)+len(q.flows) == 0 && !slices.ContainsFunc(s.targets, hasShard)
+	})
+}
+
+// sweepTargets removes the targets that left the endpoint list.
+func (s *Scheduler) sweepTargets(since time.Duration) {
+	s.targets = slices.DeleteFunc(s.targets, func(t *target) bool {
+		isGone := t.State == Removed && len(t.inFlight) == 0 && t.lastHeard < since
+		if isGone {
+			delete(s.targetsByID, t.ID)
+		}
+		return isGone
+	})
+}
--- /dev/null
+++ b/scheduler/target.go
@@ -0,0 +1,42 @@
+package scheduler
+
+import "time"
+
+// target is what the scheduler knows of one target, beside its entry in the endpoint list.
+type target struct {
+	Target
+	inFlight []*request
+
+	// Latencies are in seconds, for a request of mean size.
+	smoothedLatency float64       // moving average; 0: no response yet
+	baseLatency     float64       // low quantile: the latency with little load
+	lastHeard       time.Duration // time of the last response, or of the start of its knowledge here
+
+	reportedLoad   float64 // requests in its last load report; -1: none yet
+	loadReportedAt time.Duration
+
+	concurrencyLimit float64       // attempts that this initiator may have in flight here
+	lastPressure     time.Duration // when a request for it last passed its objective or was deprioritized
+
+	consecutiveFailures float64       // errors count for a part of a failure
+	ejectedUntil        time.Duration // no attempt before
+
+	lastExtent    string // extent of the last attempt
+	sequentialRun int    // number of attempts in a row for lastExtent
+
+	recentlySent   unitHistory // attempts within the slow-start window
+	recentlyServed unitHistory // those of them that succeeded
+}
+
+// newTarget returns a target of which nothing is known yet.
+func newTarget(id string, now time.Duration) *target {
+	return &target{
+		Target:           Target{ID: id},
+		concurrencyLimit: initialConcurrency,
+		lastHeard:        now,
+		reportedLoad:     -1,
+	}
+}
+
+// removeInFlight notes that the request's attempt has ended.
+func (t *target) removeInFlight(r *request) { t.inFlight = without(t.inFlight, r) }
--- /dev/null
+++ b/scheduler/timer.go
@@ -0,0 +1,52 @@
+package scheduler
+
+import "time"
+
+// timersPerObjective is how many timers fit in the shortest objective, so that a stall of the process
+// shows.
+const timersPerObjective = 8
+
+// wakeTimer is when the caller is to bring the next Timer event.
+type wakeTimer struct {
+	setFor     time.Duration // never: no timer is set
+	nextWorkAt time.Duration // when something is due, if no event but a Timer comes before
+}
+
+// measureStall notes how late the timer is: for that long this process stood still, and what it finds now
+// has waited here rather than at a target.
+func (s *Scheduler) measureStall() {
+	s.stall = 0
+	late := s.now - s.timer.setFor
+	if late < 0 {
+		return
+	}
+	s.timer.setFor = never
+	if late > s.shortestObjective/timersPerObjective {
+		s.stall = late
+	}
+}
+
+// setTimer asks for a Timer event when something is due, and several times within the shortest objective in
+// any case.
+func (s *Scheduler) setTimer() {
+	s.timer.nextWorkAt = s.nextWorkAt()
+	next := min(s.timer.nextWorkAt, s.now+s.shortestObjective/timersPerObjective)
+	if next < s.timer.setFor {
+		s.timer.setFor = next
+		s.emit(Action{Kind: SetTimer, After: max(next-s.now, s.settings.Tick)})
+	}
+}
+
+// nextWorkAt is when the next poll, the next deadline or the next dispatch is due.
+func (s *Scheduler) nextWorkAt() time.Duration {
+	next := s.poller.nextPoll
+	if r := s.deadlines.earliest(); r != nil {
+		next = min(next, r.answerBy)
+	}
+	for _, q := range s.shardQueues {
+		if len(q.queued) > 0 {
+			next = min(next, q.wakeAt)
+		}
+	}
+	return next
+}
