--- /dev/null
+++ b/scheduler/latency_test.go
@@ -0,0 +1,81 @@
+package scheduler
+
+import (
+	"fmt"
+	"math"
+	"testing"
+	"time"
+)
+
+// TestLongResponseIsForgotten guards against a spiral: after one long response all requests seemed past
+// their objective, nothing was sent, and so nothing corrected the estimate. The estimate must fall to the
+// base latency with time.
+func TestLongResponseIsForgotten(t *testing.T) {
+	h := newHarness(t, testSettings(), servingTarget("n", 0))
+	for i := range 5 {
+		id := string(rune('a' + i))
+		h.step(testRequest(id, "v", 1))
+		h.now += 30 * ms
+		h.endAttempt(id, Succeeded, 30*ms)
+	}
+	h.step(testRequest("slow", "v", 1))
+	h.now += 5 * time.Second
+	h.endAttempt("slow", Succeeded, 5*time.Second)
+	h.now += 10 * time.Second // several times the memory of the estimate
+	h.step(testRequest("next", "v", 1))
+	if got := h.sentIDs(); got[len(got)-1] != "next" {
+		t.Fatalf("sent %v; want the next request sent at once", got)
+	}
+	if h.scheduler.requests["next"].pastObjective {
+		t.Fatal("the next request counts as past its objective")
+	}
+}
+
+// TestResponseAfterGapOutweighsOldOnes guards against an estimate that is minutes old: an initiator with a
+// response every ten seconds must believe the last one.
+func TestResponseAfterGapOutweighsOldOnes(t *testing.T) {
+	h := newHarness(t, testSettings(), servingTarget("n", 0))
+	for i, took := range []time.Duration{50 * ms, 50 * ms, 600 * ms} {
+		id := fmt.Sprintf("a%d", i)
+		h.advance(10 * time.Second)
+		h.step(testRequest(id, "v", 1))
+		h.advance(took)
+		h.endAttempt(id, Succeeded, took)
+	}
+	if got := h.scheduler.expectedLatency(h.target()); got < 0.5 {
+		t.Fatalf("%.2f s expected after one response in 0.6 s, long after the others", got)
+	}
+}
+
+// TestAbsurdLoadReportsAreIgnored sends load reports with absent, negative, huge and undefined values, also
+// before the first response. They must not change the estimate.
+func TestAbsurdLoadReportsAreIgnored(t *testing.T) {
+	for _, report := range []*LoadReport{
+		nil,
+		{QueueDepth: -1, InFlight: -1},
+		{QueueDepth: 1e300, InFlight: -1},
+		{QueueDepth: math.Inf(1)},
+		{QueueDepth: math.NaN(), InFlight: math.NaN()},
+		{QueueDepth: -7, InFlight: -1e9},
+	} {
+		h := newHarness(t, testSettings(), servingTarget("n", 0))
+		for i := range 3 {
+			id := fmt.Sprintf("a%d", i)
+			h.step(testRequest(id, "v", 1))
+			h.now += 40 * ms
+			h.step(AttemptEnded{
+				RequestID:  id,
+				Status:     Succeeded,
+				Latency:    40 * ms,
+				Answered:   true,
+				LoadReport: report,
+			})
+		}
+		if got := h.scheduler.expectedLatency(h.target()); got < 0.039 || got > 0.041 {
+			t.Errorf("%+v: %v s expected, want the 40 ms of the responses", report, got)
+		}
+		if len(h.sends) != 3 {
+			t.Errorf("%+v: %d of 3 sent", report, len(h.sends))
+		}
+	}
+}
--- /dev/null
+++ b/scheduler/ordering_test.go
@@ -0,0 +1,34 @@
+package scheduler
+
+import (
+	"slices"
+	"testing"
+)
+
+// TestSerializedExtentSettles has the first of two writes to one extent time out: the target may still
+// execute it. The second write must leave only when the first has ended and the settle time is over.
+func TestSerializedExtentSettles(t *testing.T) {
+	settings := testSettings()
+	settings.Classes[0].Serialized = true
+	settings.Classes[0].Idempotency = NonIdempotent
+	settings.SettleTime = 100 * ms
+	h := newHarness(t, settings, servingTarget("n", 0))
+	first := testRequest("first", "v", 1)
+	first.Extent = "x"
+	second := testRequest("second", "v", 1)
+	second.Extent = "x"
+	h.step(first, second)
+	h.advance(50 * ms)
+	if got := h.sentIDs(); !slices.Equal(got, []string{"first"}) {
+		t.Fatalf("sent %v, want the first write alone", got)
+	}
+	h.endAttempt("first", ConnectionReset, 50*ms)
+	h.advance(90 * ms)
+	if len(h.sends) != 1 {
+		t.Fatalf("sent %v within the settle time", h.sentIDs())
+	}
+	h.advance(200 * ms)
+	if got := h.sentIDs(); !slices.Equal(got, []string{"first", "second"}) {
+		t.Errorf("sent %v, want the second write after the settle time", got)
+	}
+}
--- /dev/null
+++ b/scheduler/retry_test.go
@@ -0,0 +1,102 @@
+package scheduler
+
+import (
+	"slices"
+	"testing"
+	"time"
+)
+
+// TestRetryStaysWithinDedupWindow guards the window in which targets drop repeats of a request that may
+// have been executed. A retry must carry the time within which its first byte must leave, and a request
+// that waits past the window must be answered then, not at its deadline.
+func TestRetryStaysWithinDedupWindow(t *testing.T) {
+	settings := testSettings()
+	settings.Classes[0].Idempotency = IdempotencyKey
+	settings.Classes[0].DedupWindow = 500 * ms
+	h := newHarness(t, settings, Target{ID: "n"})
+	start := h.now
+	h.step(testRequest("a", "v", 1), testRequest("b", "w", 1))
+	h.advance(50 * ms)
+	h.endAttempt("a", ConnectionReset, 50*ms)
+	h.endAttempt("b", ConnectionReset, 50*ms)
+	h.advance(200 * ms)
+	if len(h.sends) < 3 || h.sends[0].StartWithin != 0 {
+		t.Fatalf("sends %+v, want two first attempts without a bound, and a retry", h.sends)
+	}
+	for i, retry := range h.sends[2:] {
+		if retry.StartWithin <= 0 || retry.StartWithin > 450*ms {
+			t.Errorf("retry %d may start within %v", i, retry.StartWithin)
+		}
+	}
+	h.step(EndpointList{Targets: []Target{{ID: "n", State: Draining}}})
+	for _, retry := range h.sends[2:] {
+		h.endAttempt(retry.RequestID, ConnectFailed, 10*ms)
+	}
+	for len(h.responses) < 2 && h.now < start+2*time.Second {
+		h.advance(5 * ms)
+	}
+	if took := h.now - start; len(h.responses) != 2 || took > 550*ms {
+		t.Errorf("%d answered after %v, want both when the window has passed", len(h.responses), took)
+	}
+}
+
+// TestRetryBudget checks the bound on retries: a minimum of 2 and a tenth of the first attempts, within 10
+// s.
+func TestRetryBudget(t *testing.T) {
+	budget := retryBudget{
+		RetryBudget: RetryBudget{Enabled: true, Minimum: 2, Ratio: 0.1, Window: 10 * time.Second},
+		tick:        ms,
+	}
+	now := time.Minute
+	for range 10 {
+		budget.recordFirstAttempt(now)
+	}
+	for i := range 3 {
+		if at := budget.admitAt(now); at > now {
+			t.Errorf("retry %d is admitted at %v, want now", i, at)
+		}
+		budget.recordRetry(now)
+	}
+	if at := budget.admitAt(now); at <= now {
+		t.Error("a fourth retry is admitted with 10 first attempts")
+	}
+	now += 10*time.Second + 3*ms
+	if at := budget.admitAt(now); at > now {
+		t.Errorf("a retry is admitted at %v after the window, want now", at)
+	}
+	if len(budget.firstAttempts)+len(budget.retries) != 0 {
+		t.Errorf("%d first attempts and %d retries kept after the window", len(budget.firstAttempts), len(budget.retries))
+	}
+	budget.Enabled = false
+	for range 100 {
+		budget.recordRetry(now)
+	}
+	if at := budget.admitAt(now); at != 0 {
+		t.Errorf("a retry is admitted at %v without a budget, want 0", at)
+	}
+}
+
+// TestDedupScope checks where a request that may have been executed in zone a on shard 1 may be repeated.
+func TestDedupScope(t *testing.T) {
+	same := &target{Target: Target{Zone: "a", Shard: 1}}
+	otherShard := &target{Target: Target{Zone: "a", Shard: 2}}
+	otherZone := &target{Target: Target{Zone: "b", Shard: 1}}
+	for _, c := range []struct {
+		scope                       DedupScope
+		same, otherShard, otherZone bool
+	}{
+		{DedupEverywhere, true, true, true},
+		{DedupZone, true, true, false},
+		{DedupShard, true, false, false},
+	} {
+		r := &request{
+			class:           &Class{Idempotency: IdempotencyKey, DedupScope: c.scope},
+			mayHaveExecuted: true,
+			firstExecution:  execution{zone: "a", shard: 1},
+		}
+		got := []bool{r.isDeduplicated(same), r.isDeduplicated(otherShard), r.isDeduplicated(otherZone)}
+		if want := []bool{c.same, c.otherShard, c.otherZone}; !slices.Equal(got, want) {
+			t.Errorf("scope %d: same, other shard, other zone: %v, want %v", c.scope, got, want)
+		}
+	}
+}
--- /dev/null
+++ b/scheduler/slowstart_test.go
@@ -0,0 +1,161 @@
+package scheduler
+
+import (
+	"fmt"
+	"math"
+	"slices"
+	"testing"
+	"time"
+)
+
+// TestSharedSlowStartSendsOnePerWindow guards against incident i67078b: with hundreds of initiators the
+// even part of the slow-start budget is less than one request, and nothing reached restarted targets until
+// they were warm. Each initiator must send its first request soon, at a random time, and then one a window.
+func TestSharedSlowStartSendsOnePerWindow(t *testing.T) {
+	starts := map[time.Duration]bool{}
+	for seed := range uint64(20) {
+		settings := testSettings()
+		settings.Initiators = 200
+		settings.SlowStart = SlowStart{
+			Budget:          10,
+			InitialCapacity: 0.2,
+			Duration:        10 * time.Second,
+			Window:          time.Second,
+			OverloadFactor:  3,
+		}
+		h := newHarness(t, settings, servingTarget("n", 0))
+		h.scheduler, _ = New(settings, seed)
+		h.advance(20 * time.Second)
+		h.step(EndpointList{Complete: true, Targets: []Target{servingTarget("n", 0)}})
+		h.step(EndpointList{Targets: []Target{{ID: "n", Started: h.now - time.Second}}})
+		listedAt := h.now
+		var first time.Duration
+		var sent []time.Duration
+		for i := range 400 {
+			request := testRequest(fmt.Sprintf("r%d", i), "v", 1)
+			h.step(request)
+			if n := len(h.sends); n > len(sent) {
+				sent = append(sent, h.now)
+				if first == 0 {
+					first = h.now - listedAt
+				}
+			}
+			h.advance(15 * ms)
+		}
+		starts[first.Round(100*ms)] = true
+		if first == 0 || first > settings.SlowStart.Window/2+50*ms {
+			t.Errorf("seed %d: first request %v after the start was listed", seed, first)
+		}
+		for i := 1; i < len(sent); i++ {
+			if sent[i]-sent[i-1] < time.Second-20*ms { // observed once in 15 ms
+				t.Errorf("seed %d: two requests to a silent warming target within a window", seed)
+			}
+		}
+	}
+	if len(starts) < 4 {
+		t.Errorf("all initiators start at the same times: %v", starts)
+	}
+}
+
+// TestSharedSlowStartFollowsResponses has a warming target answer. It must get more than one request a
+// window from an initiator of many, but never more than half the overload factor times what it answered
+// within the window.
+func TestSharedSlowStartFollowsResponses(t *testing.T) {
+	settings := testSettings()
+	settings.Initiators = 200
+	settings.SlowStart = SlowStart{
+		Budget:          10,
+		InitialCapacity: 0.2,
+		Duration:        12 * time.Second,
+		Window:          3 * time.Second,
+		OverloadFactor:  4,
+	}
+	h := newHarness(t, settings, servingTarget("n", 0))
+	h.step(EndpointList{Targets: []Target{{ID: "n", Started: h.now}}})
+	n := h.target()
+	var sent, answered []time.Duration
+	since := func(times []time.Duration) int {
+		return len(trimBefore(times, h.now-settings.SlowStart.Window))
+	}
+	for i := 0; h.now < 12*time.Second; i++ {
+		before := len(h.sends)
+		h.step(testRequest(fmt.Sprint("r", i), "v", 1))
+		if len(h.sends) > before {
+			sent = append(sent, h.now)
+			if got, limit := since(sent), max(1, 2*since(answered)); got > limit {
+				t.Fatalf("%d sent within the window to a target that answered %d", got, since(answered))
+			}
+		}
+		h.advance(20 * ms)
+		for _, r := range slices.Clone(n.inFlight) {
+			h.endAttempt(r.ID, Succeeded, 20*ms)
+			answered = append(answered, h.now)
+		}
+	}
+	if len(answered) < 40 {
+		t.Errorf("%d answered while it was warming up, want far more than one a window", len(answered))
+	}
+}
+
+// TestSlowStartBudgetGrows checks the budget of one of two initiators: 10 units of 20 at the start of a
+// target with a fifth of its capacity, five times as many when it is warm, and more by what the target has
+// served.
+func TestSlowStartBudgetGrows(t *testing.T) {
+	policy := newSlowStart(&Settings{
+		Initiators: 2,
+		MeanUnits:  1,
+		SlowStart: SlowStart{
+			Budget:          20,
+			InitialCapacity: 0.2,
+			Duration:        10 * time.Second,
+			Window:          time.Second,
+			OverloadFactor:  4,
+		},
+	})
+	for _, c := range []struct {
+		age    time.Duration
+		served float64
+		want   float64
+	}{
+		{0, 0, 10},
+		{5 * time.Second, 0, 30},
+		{10 * time.Second, 0, 50},
+		{0, 2, 10},    // three quarters of the budget and what was served are still less
+		{0, 10, 17.5}, // three quarters of the budget and what was served
+	} {
+		if got := policy.budget(c.age, c.served); math.Abs(got-c.want) > 1e-9 {
+			t.Errorf("age %v, %v units served: budget %v, want %v", c.age, c.served, got, c.want)
+		}
+	}
+}
+
+// TestSlowStartEnds checks that a target is bounded while it warms up alone.
+func TestSlowStartEnds(t *testing.T) {
+	policy := newSlowStart(&Settings{
+		Initiators: 1,
+		MeanUnits:  1,
+		SlowStart:  SlowStart{Budget: 5, InitialCapacity: 0.5, Duration: 10 * time.Second, Window: time.Second},
+	})
+	start := time.Minute
+	warming := &target{Target: Target{Started: start}}
+	warming.recentlySent.add(start, 5)
+	if at := policy.admitAt(start, warming, 1); at <= start {
+		t.Error("a sixth unit is admitted at the start")
+	}
+	warm := start + 10*time.Second
+	warming.recentlySent.add(warm, 1000)
+	if at := policy.admitAt(warm, warming, 1); at > warm {
+		t.Errorf("admitted at %v when warm, want now", at)
+	}
+}
+
+// TestUnitHistory checks that old samples are dropped and the others summed.
+func TestUnitHistory(t *testing.T) {
+	var history unitHistory
+	for i := range 5 {
+		history.add(time.Duration(i)*time.Second, 1.5)
+	}
+	if got := history.sumSince(3 * time.Second); got != 3 || len(history) != 2 {
+		t.Errorf("sum %v with %d samples kept, want 3 with 2", got, len(history))
+	}
+}
--- /dev/null
+++ b/scheduler/sweep_test.go
@@ -0,0 +1,68 @@
+package scheduler
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// TestStateIsBounded plays hours in which volumes, extents and targets come and go. What is kept of them
+// must not grow with their number.
+func TestStateIsBounded(t *testing.T) {
+	for _, hasBudget := range []bool{false, true} {
+		settings := testSettings()
+		settings.RetryBudget = RetryBudget{Enabled: hasBudget, Window: time.Second, Minimum: 3}
+		settings.Classes[0].Serialized = true
+		settings.SettleTime = 100 * ms
+		h := newHarness(t, settings, servingTarget("n0", 0))
+		for i := range 4000 {
+			if i%10 == 0 {
+				only := Target{ID: fmt.Sprintf("n%d", i), Started: h.now - time.Hour}
+				h.step(EndpointList{Complete: true, Targets: []Target{only}})
+			}
+			request := testRequest(fmt.Sprintf("r%d", i), fmt.Sprintf("v%d", i), 1)
+			request.Extent = fmt.Sprintf("k%d", i)
+			h.step(request)
+			h.now += 20 * ms
+			if h.attempts[request.ID] > 0 {
+				h.endAttempt(request.ID, []AttemptStatus{Succeeded, ConnectionReset}[i%2], 20*ms)
+			}
+			for range 5 {
+				h.now += time.Second
+				h.step(Timer{})
+			}
+			for _, action := range h.sends {
+				r := h.scheduler.requests[action.RequestID]
+				if r != nil && r.inFlight != nil {
+					h.endAttempt(r.ID, Succeeded, time.Second)
+				}
+			}
+			h.sends = nil
+		}
+		s := h.scheduler
+		for name, size := range map[string]int{
+			"requests":          len(s.requests),
+			"first attempts":    len(s.retryBudget.firstAttempts),
+			"retries":           len(s.retryBudget.retries),
+			"rejected":          len(s.rejected.byKey),
+			"rejected in order": len(s.rejected.inOrder),
+			"deadlines":         len(s.deadlines),
+		} {
+			if size > 10 {
+				t.Errorf("retry budget %v: %d %s kept", hasBudget, size, name)
+			}
+		}
+		for name, size := range map[string]int{
+			"volumes":         len(s.volumes),
+			"serial queues":   len(s.serialQueues),
+			"targets":         len(s.targets),
+			"targets by ID":   len(s.targetsByID),
+			"flows":           len(s.shardQueues[0].flows),
+			"flows by volume": len(s.shardQueues[0].flowsByVolume),
+		} {
+			if size > 250 {
+				t.Errorf("retry budget %v: %d %s kept of 4000", hasBudget, size, name)
+			}
+		}
+	}
+}
--- /dev/null
+++ b/scheduler/timer_test.go
@@ -0,0 +1,64 @@
+package scheduler
+
+import (
+	"testing"
+	"time"
+)
+
+// TestEarlyTimerSetsAnother guards against a lost request: the timer came a fraction of a microsecond
+// before the time that it was set for, nothing was due yet, and no other timer was set.
+func TestEarlyTimerSetsAnother(t *testing.T) {
+	h := newHarness(t, testSettings()) // no target: queued until it is given up
+	request := testRequest("a", "v", 1)
+	h.step(request)
+	for end := h.now + request.Timeout; h.now < end; {
+		after := time.Duration(-1)
+		for _, action := range h.step(Timer{}) {
+			if action.Kind == SetTimer {
+				after = action.After
+			}
+		}
+		if after < 0 {
+			break
+		}
+		h.now += after - time.Nanosecond
+	}
+	if len(h.responses) != 1 {
+		t.Fatalf("no response by %v; the timers ended", h.now)
+	}
+}
+
+// TestStallIsNotTheTargetsLatency guards against taking the time for which this process stood still for the
+// target's latency. A request that arrived meanwhile has spent a part of its objective, and a response
+// found then tells nothing of the target.
+func TestStallIsNotTheTargetsLatency(t *testing.T) {
+	for _, c := range []struct {
+		name            string
+		stalls          bool
+		wantObjective   time.Duration // from the arrival
+		wantLatencyKept bool          // the latency of the response is believed
+	}{
+		{"timers in time", false, 400 * ms, true},
+		{"stall", true, 100 * ms, false},
+	} {
+		h := newHarness(t, testSettings(), servingTarget("n", 0))
+		h.step(testRequest("a", "v", 1))
+		h.advance(50 * ms)
+		h.endAttempt("a", Succeeded, 50*ms)
+		h.step(testRequest("b", "v", 1))
+		if c.stalls {
+			h.now += 600 * ms
+		} else {
+			h.advance(600 * ms)
+		}
+		request := testRequest("c", "v", 1)
+		request.Timeout -= 300 * ms
+		h.step(request, AttemptEnded{RequestID: "b", Status: Succeeded, Latency: 600 * ms, Answered: true})
+		if got := h.scheduler.requests["c"].objectiveAt - h.now; got != c.wantObjective {
+			t.Errorf("%s: objective in %v, want %v", c.name, got, c.wantObjective)
+		}
+		if got := h.target().smoothedLatency > 0.06; got != c.wantLatencyKept {
+			t.Errorf("%s: latency kept %v, want %v", c.name, got, c.wantLatencyKept)
+		}
+	}
+}
