--- a/internal/dispatcher/actions.go
+++ b/internal/dispatcher/actions.go
@@ -11,15 +11,15 @@
 func (d *Dispatcher) execute(now time.Time, action scheduler.Action) {
 	switch action.Kind {
 	case scheduler.SetTimer:
-		d.setTimer(now.Add(action.Wait))
+		d.setTimer(now.Add(action.After))
 	case scheduler.Send, scheduler.Reject, scheduler.Fail:
 		state := d.calls.get(action.RequestID)
 		if state == nil || state.answered || state.inFlight {
 			return
 		}
 		d.executeForCall(state, now, action)
-	case scheduler.WatchEndpoints, scheduler.Log:
-		// Endpoints are watched from the start, and this process has no report to log to.
+	case scheduler.WatchEndpoints:
+		// Endpoints are watched from the start.
 	}
 }
 
@@ -29,7 +29,7 @@
 	case scheduler.Send:
 		d.send(state, now, action)
 	case scheduler.Reject:
-		d.respond(state, Response{Status: Rejected, RetryAfter: action.Wait})
+		d.respond(state, Response{Status: Rejected, RetryAfter: action.RetryAfter})
 		d.releaseIfDone(state)
 	case scheduler.Fail:
 		d.respond(state, Response{Status: Failed})
@@ -44,7 +44,7 @@
 		ClientRequestID: state.call.ClientRequestID,
 		Number:          state.beginAttempt(action.Target, now),
 		Target:          action.Target,
-		Deadline:        now.Add(action.Wait),
+		Deadline:        now.Add(action.Timeout),
 		ClientGone:      state.call.ClientGone,
 		Payload:         state.call.Payload,
 	}
@@ -52,7 +52,7 @@
 		attempt.StartBy = now.Add(action.StartWithin)
 	}
 	d.logCall(eventAttemptDispatched, state.call, slog.Int(fieldAttempt, attempt.Number),
-		slog.String(fieldTarget, attempt.Target), slog.Duration(fieldTimeout, action.Wait))
+		slog.String(fieldTarget, attempt.Target), slog.Duration(fieldTimeout, action.Timeout))
 	d.upstream.Send(attempt)
 }
 
--- a/internal/dispatcher/dispatcher_test.go
+++ b/internal/dispatcher/dispatcher_test.go
@@ -31,7 +31,7 @@
 		MeanUnits:  1,
 		MaxUnits:   1,
 		Classes:    []scheduler.Class{class("get", scheduler.Idempotent), class("put", scheduler.NonIdempotent), keyed},
-		Plans:      []scheduler.Plan{{Name: "std", ProvisionedRate: 1000, Reservation: 1000, Weight: 1, PriorityFactor: 1}},
+		Plans:      []scheduler.Plan{{Name: "std", ProvisionedRate: 1000, Reservation: 1000, PriorityFactor: 1}},
 	}, 1)
 	if err != nil {
 		t.Fatal(err)
