--- a/internal/configstore/client.go
+++ b/internal/configstore/client.go
@@ -7,173 +7,181 @@
 	"errors"
 	"fmt"
 	"io"
-	"log/slog"
 	"net/http"
 	"net/url"
-	"strconv"
 	"strings"
 	"time"
 )
 
-// Client speaks to the agents: any of them that answers, and through it the leader.
+const (
+	// callTimeout bounds a command, with all its attempts.
+	callTimeout = 8 * time.Second
+	// watchTimeout is how long a watch waits for a change.
+	watchTimeout = 30 * time.Second
+	// attemptTimeout bounds one HTTP request, which may be a watch.
+	attemptTimeout = callTimeout + watchTimeout
+	statusTimeout  = 2 * time.Second
+	// retryInterval is the pause after all servers have failed.
+	retryInterval = 250 * time.Millisecond
+
+	instancesPath = "/v1/instances"
+)
+
+// Client reads and writes configurations. Each call tries the servers in turn, and is redirected to the leader.
 type Client struct {
+	// Addrs are the host:port addresses of the servers' HTTP APIs; at least one.
 	Addrs []string
 	http  http.Client
 }
 
-const (
-	callWithin = 8 * time.Second
-	watchFor   = 30 * time.Second
-	retryAfter = 250 * time.Millisecond
-)
-
-// ErrNotFound says that no such instance is configured.
-var ErrNotFound = errors.New("no such instance")
-
-// refusal is an agent's answer that another agent would give as well.
-type refusal struct{ text string }
-
-func (r *refusal) Error() string { return r.text }
-
-// call asks the agents in turn until one answers. While there is no leader it tries again, until ctx ends.
-func (c *Client) call(ctx context.Context, method, path, ifVersion string, body []byte) (int, []byte, error) {
-	if len(c.Addrs) == 0 {
-		return 0, nil, errors.New("no agents are named")
-	}
-	var last error
-	for {
-		for _, addr := range c.Addrs {
-			status, answer, err := c.once(ctx, method, "http://"+addr+path, ifVersion, body)
-			var no *refusal
-			if err == nil || errors.Is(err, ErrNotFound) || errors.As(err, &no) {
-				return status, answer, err
-			}
-			last = err
-		}
-		select {
-		case <-ctx.Done():
-			return 0, nil, last
-		case <-time.After(retryAfter):
-		}
-	}
+// StatusError is a server's HTTP answer other than success and not found.
+type StatusError struct {
+	Status  int    // HTTP status code
+	Message string // the server's reason
 }
 
-func (c *Client) once(ctx context.Context, method, url, ifVersion string, body []byte) (int, []byte, error) {
-	ctx, done := context.WithTimeout(ctx, callWithin+watchFor)
-	defer done()
-	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
-	if err != nil {
-		return 0, nil, err
-	}
-	if ifVersion != "" {
-		req.Header.Set("If-Version", ifVersion)
-	}
-	resp, err := c.http.Do(req)
-	if err != nil {
-		return 0, nil, err
-	}
-	defer resp.Body.Close()
-	answer, err := io.ReadAll(io.LimitReader(resp.Body, 2*maxConfig))
-	text := strings.TrimSpace(string(answer))
-	switch {
-	case err != nil:
-		return 0, nil, err
-	case resp.StatusCode == http.StatusNotFound:
-		return resp.StatusCode, nil, ErrNotFound
-	case resp.StatusCode == http.StatusServiceUnavailable:
-		return resp.StatusCode, nil, errors.New(text)
-	case resp.StatusCode >= 300:
-		return resp.StatusCode, nil, &refusal{text}
-	}
-	return resp.StatusCode, answer, nil
-}
+// Error returns the server's reason.
+func (e *StatusError) Error() string { return e.Message }
 
-func path(name string) string { return "/v1/instances/" + url.PathEscape(name) }
+// request is what a call sends to one server after the other.
+type request struct {
+	method    string
+	path      string // with the query
+	ifVersion string // value of If-Version; empty: none
+	body      []byte
+}
 
-func bounded(ctx context.Context) (context.Context, context.CancelFunc) {
-	return context.WithTimeout(ctx, callWithin)
+// response is a successful answer.
+type response struct {
+	status int
+	body   []byte
 }
 
-// Get returns the latest configuration of an instance.
+// Get returns the latest configuration of an initiator, or ErrNotFound.
 func (c *Client) Get(ctx context.Context, name string) (Entry, error) {
-	ctx, done := bounded(ctx)
-	defer done()
-	return decode[Entry](c.call(ctx, http.MethodGet, path(name), "", nil))
+	return call[Entry](ctx, c, request{method: http.MethodGet, path: instancePath(name)})
 }
 
-// List returns the names configured, with their versions.
+// List returns the names of all initiators that have a configuration, with its version.
 func (c *Client) List(ctx context.Context) (map[string]uint64, error) {
-	ctx, done := bounded(ctx)
-	defer done()
-	return decode[map[string]uint64](c.call(ctx, http.MethodGet, "/v1/instances", "", nil))
+	return call[map[string]uint64](ctx, c, request{method: http.MethodGet, path: instancesPath})
 }
 
-// Put writes a configuration, with ifVersion only over that version. A nil one is taken away.
+// Put writes a configuration; a nil one deletes the entry. A non-empty ifVersion makes the write conditional on the present
+// version, "0" on there being no entry. A rejected write is a *StatusError. After any other error the write may still take
+// effect. The returned entry holds no configuration.
 func (c *Client) Put(ctx context.Context, name string, config []byte, ifVersion string) (Entry, error) {
-	ctx, done := bounded(ctx)
-	defer done()
 	method := http.MethodPut
 	if config == nil {
 		method = http.MethodDelete
 	}
-	return decode[Entry](c.call(ctx, method, path(name), ifVersion, config))
+	return call[Entry](ctx, c, request{method: method, path: instancePath(name), ifVersion: ifVersion, body: config})
 }
 
-// Status asks each agent for itself; one that does not answer has an error in place of a state.
+// Status asks each server for its state. One that does not answer has its address as ID and the error as State.
 func (c *Client) Status(ctx context.Context) []Status {
-	var all []Status
+	states := make([]Status, 0, len(c.Addrs))
 	for _, addr := range c.Addrs {
-		ctx, done := context.WithTimeout(ctx, 2*time.Second)
-		s, err := decode[Status](c.once(ctx, http.MethodGet, "http://"+addr+"/v1/status", "", nil))
-		done()
+		state, err := c.status(ctx, addr)
 		if err != nil {
-			s = Status{ID: addr, State: err.Error()}
+			state = Status{ID: addr, State: err.Error()}
 		}
-		all = append(all, s)
+		states = append(states, state)
 	}
-	return all
+	return states
 }
 
-func decode[T any](_ int, answer []byte, err error) (v T, _ error) {
+func (c *Client) status(ctx context.Context, addr string) (Status, error) {
+	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
+	defer cancel()
+	resp, err := c.attempt(ctx, addr, request{method: http.MethodGet, path: "/v1/status"})
 	if err != nil {
-		return v, err
+		return Status{}, err
 	}
-	if err := json.Unmarshal(answer, &v); err != nil {
-		return v, fmt.Errorf("agent's answer: %w", err)
+	return decode[Status](resp.body)
+}
+
+// call sends a request, with retries for callTimeout, and decodes the answer.
+func call[T any](ctx context.Context, c *Client, req request) (result T, _ error) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	defer cancel()
+	resp, err := c.retry(ctx, req)
+	if err != nil {
+		return result, err
 	}
-	return v, nil
+	return decode[T](resp.body)
 }
 
-// Follow hands over an instance's configuration, first as it is and then whenever it changes, until ctx ends.
-// It asks any agent for what that one has: an instance goes on, and starts, also while there is no leader. An
-// agent that lags behind another cannot set it back.
-func (c *Client) Follow(ctx context.Context, name string, log *slog.Logger, tell func(Entry)) {
-	var has uint64
-	for turn := 0; ctx.Err() == nil; {
-		addr := c.Addrs[turn%len(c.Addrs)]
-		at := "http://" + addr + path(name) + "?stale&wait_ms=" + strconv.FormatInt(watchFor.Milliseconds(), 10) +
-			"&after=" + strconv.FormatUint(has, 10)
-		status, answer, err := c.once(ctx, http.MethodGet, at, "", nil)
-		var e Entry
-		if err == nil && status == http.StatusOK {
-			e, err = decode[Entry](status, answer, nil)
-		}
-		switch {
-		case ctx.Err() != nil:
-			return
-		case err == nil && e.Version > has:
-			has = e.Version
-			tell(e)
-			continue
-		case err == nil && status == http.StatusNoContent:
-			continue
-		case err != nil:
-			log.Warn("agent call failed", slog.String("reason", "AGENT_FAILED"), slog.String("agent", addr), slog.Any("error", err))
+// retry tries the servers in turn until one gives a final answer or ctx ends. A server that cannot be reached or knows no
+// leader gives none: during an election all of them fail for a while.
+func (c *Client) retry(ctx context.Context, req request) (response, error) {
+	if len(c.Addrs) == 0 {
+		return response{}, errors.New("no agents are named")
+	}
+	for {
+		var lastErr error
+		for _, addr := range c.Addrs {
+			resp, err := c.attempt(ctx, addr, req)
+			if err == nil || isFinal(err) {
+				return resp, err
+			}
+			lastErr = err
 		}
-		turn++
 		select {
 		case <-ctx.Done():
-		case <-time.After(retryAfter):
+			return response{}, lastErr
+		case <-time.After(retryInterval):
 		}
 	}
 }
+
+// isFinal reports whether any other server would give the same answer.
+func isFinal(err error) bool {
+	var status *StatusError
+	if errors.As(err, &status) {
+		return status.Status != http.StatusServiceUnavailable
+	}
+	return errors.Is(err, ErrNotFound)
+}
+
+// attempt sends a request to one server, and on to the leader where that one redirects.
+func (c *Client) attempt(ctx context.Context, addr string, req request) (response, error) {
+	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
+	defer cancel()
+	httpReq, err := http.NewRequestWithContext(ctx, req.method, "http://"+addr+req.path, bytes.NewReader(req.body))
+	if err != nil {
+		return response{}, err
+	}
+	if req.ifVersion != "" {
+		httpReq.Header.Set(ifVersionHeader, req.ifVersion)
+	}
+	httpResp, err := c.http.Do(httpReq)
+	if err != nil {
+		return response{}, err
+	}
+	return readResponse(httpResp)
+}
+
+// readResponse reads and closes an answer. Its status decides on the error.
+func readResponse(resp *http.Response) (response, error) {
+	defer func() { _ = resp.Body.Close() }() // only read from
+	body, err := io.ReadAll(io.LimitReader(resp.Body, 2*maxConfigBytes))
+	switch {
+	case err != nil:
+		return response{}, err
+	case resp.StatusCode == http.StatusNotFound:
+		return response{}, ErrNotFound
+	case resp.StatusCode >= http.StatusMultipleChoices:
+		return response{}, &StatusError{Status: resp.StatusCode, Message: strings.TrimSpace(string(body))}
+	}
+	return response{status: resp.StatusCode, body: body}, nil
+}
+
+func decode[T any](body []byte) (result T, _ error) {
+	if err := json.Unmarshal(body, &result); err != nil {
+		return result, fmt.Errorf("agent's answer: %w", err)
+	}
+	return result, nil
+}
+
+func instancePath(name string) string { return instancesPath + "/" + url.PathEscape(name) }
--- a/internal/configstore/server_test.go
+++ b/internal/configstore/server_test.go
@@ -9,6 +9,7 @@
 	"io"
 	"log/slog"
 	"net"
+	"net/http"
 	"strings"
 	"testing"
 	"time"
@@ -16,16 +17,17 @@
 	"github.com/hashicorp/raft"
 )
 
-var quiet = slog.New(slog.DiscardHandler)
+var discardLog = slog.New(slog.DiscardHandler)
 
-func check(_ string, b []byte) error {
-	if !json.Valid(b) {
+// validateJSON stands for the check whether an initiator could start from a configuration.
+func validateJSON(_ string, config []byte) error {
+	if !json.Valid(config) {
 		return errors.New("name: required field is missing")
 	}
 	return nil
 }
 
-// freeAddrs finds ports of the loopback that nobody listens on.
+// freeAddrs returns loopback addresses that nobody listens on.
 func freeAddrs(t *testing.T, n int) []string {
 	t.Helper()
 	var addrs []string
@@ -34,207 +36,226 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer l.Close()
+		defer func() {
+			if err := l.Close(); err != nil {
+				t.Error(err)
+			}
+		}()
 		addrs = append(addrs, l.Addr().String())
 	}
 	return addrs
 }
 
-// three is a group of three agents on the loopback, each with a folder that outlives it.
-type three struct {
-	t      *testing.T
-	peers  []Peer
-	dirs   []string
-	agents []*Server
+const clusterSize = 3
+
+// cluster is a group of servers on the loopback, each with a folder that outlives it, and a client of all of them.
+type cluster struct {
+	t       *testing.T
+	peers   []Peer
+	dirs    []string
+	servers []*Server    // nil: stopped
+	served  []chan error // result of Serve
 	Client
 }
 
-func newThree(t *testing.T) *three {
+func newCluster(t *testing.T) *cluster {
 	t.Helper()
-	g := &three{t: t, agents: make([]*Server, 3)}
-	addrs := freeAddrs(t, 6)
-	for i := range 3 {
-		g.peers = append(g.peers, Peer{ID: fmt.Sprint("agent-", i), Raft: addrs[i], API: addrs[3+i]})
-		g.dirs = append(g.dirs, t.TempDir())
-		g.Addrs = append(g.Addrs, addrs[3+i])
+	c := &cluster{t: t, servers: make([]*Server, clusterSize), served: make([]chan error, clusterSize)}
+	addrs := freeAddrs(t, 2*clusterSize)
+	for i := range clusterSize {
+		c.peers = append(c.peers, Peer{ID: fmt.Sprint("agent-", i), Raft: addrs[i], API: addrs[clusterSize+i]})
+		c.dirs = append(c.dirs, t.TempDir())
+		c.Addrs = append(c.Addrs, addrs[clusterSize+i])
 	}
-	for i := range 3 {
-		g.start(i)
+	for i := range clusterSize {
+		c.start(i)
 	}
 	t.Cleanup(func() {
-		for i, a := range g.agents {
-			if a != nil {
-				g.stop(i)
+		for i, server := range c.servers {
+			if server != nil {
+				c.stop(i)
 			}
 		}
 	})
-	return g
+	return c
 }
 
-func (g *three) start(i int) {
-	g.t.Helper()
-	a, err := Start(Options{ID: g.peers[i].ID, Dir: g.dirs[i], Peers: g.peers, Validate: check, Logger: quiet, ElectionTimeout: 500 * time.Millisecond})
+func (c *cluster) start(i int) {
+	c.t.Helper()
+	server, err := Start(Options{ID: c.peers[i].ID, Dir: c.dirs[i], Peers: c.peers, Validate: validateJSON, Logger: discardLog,
+		ElectionTimeout: 500 * time.Millisecond})
 	if err != nil {
-		g.t.Fatal(err)
+		c.t.Fatal(err)
 	}
-	l, err := net.Listen("tcp", g.peers[i].API)
+	l, err := net.Listen("tcp", c.peers[i].API)
 	if err != nil {
-		g.t.Fatal(err)
+		c.t.Fatal(err)
 	}
-	go a.Serve(l)
-	g.agents[i] = a
+	served := make(chan error, 1)
+	go func() { served <- server.Serve(l) }()
+	c.servers[i], c.served[i] = server, served
 }
 
-func (g *three) stop(i int) {
-	g.t.Helper()
-	if err := g.agents[i].Shutdown(); err != nil {
-		g.t.Error(err)
+func (c *cluster) stop(i int) {
+	c.t.Helper()
+	if err := c.servers[i].Shutdown(); err != nil {
+		c.t.Error(err)
+	}
+	if err := <-c.served[i]; err != nil {
+		c.t.Error(err)
 	}
-	g.agents[i] = nil
+	c.servers[i] = nil
 }
 
-// until waits for something that takes a while, such as an election.
-func (g *three) until(what string, done func() bool) {
-	g.t.Helper()
-	for end := time.Now().Add(time.Minute); !done(); time.Sleep(20 * time.Millisecond) {
+// eventually waits for a condition that takes a while, such as an election.
+func (c *cluster) eventually(what string, condition func() bool) {
+	c.t.Helper()
+	for end := time.Now().Add(time.Minute); !condition(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
-			g.t.Fatalf("not within a minute: %s", what)
+			c.t.Fatalf("not within a minute: %s", what)
 		}
 	}
 }
 
-func (g *three) leader() int {
-	at := -1
-	g.until("a leader", func() bool {
-		for i, a := range g.agents {
-			if a != nil && a.raft.State() == raft.Leader {
-				at = i
+// leader waits for a leader and returns its index.
+func (c *cluster) leader() int {
+	leader := -1
+	c.eventually("a leader", func() bool {
+		for i, server := range c.servers {
+			if server != nil && server.raft.State() == raft.Leader {
+				leader = i
 			}
 		}
-		return at >= 0
+		return leader >= 0
 	})
-	return at
+	return leader
 }
 
-func (g *three) put(name, text, ifVersion string) Entry {
-	g.t.Helper()
-	var e Entry
-	g.until("put of "+name, func() bool {
+// mustPut writes a configuration, again until it is confirmed.
+func (c *cluster) mustPut(name, config, ifVersion string) Entry {
+	c.t.Helper()
+	var entry Entry
+	c.eventually("put of "+name, func() bool {
 		var err error
-		e, err = g.Put(context.Background(), name, []byte(text), ifVersion)
+		entry, err = c.Put(context.Background(), name, []byte(config), ifVersion)
 		return err == nil
 	})
-	return e
+	return entry
 }
 
-// TestLeaderLost writes through any agent, loses the leader, writes on with the two that are left, and has the
-// lost one catch up from its durable store. An instance that follows sees each configuration once, in order.
+// TestLeaderLost loses the leader between two writes: the remaining majority takes the second one, the lost server catches
+// up from its durable data when it is back, and a follower sees each configuration once, in order.
 func TestLeaderLost(t *testing.T) {
-	g := newThree(t)
-	ctx, stop := context.WithCancel(context.Background())
-	defer stop()
-	told := make(chan Entry, 16)
-	follower := &Client{Addrs: g.Addrs}
-	go follower.Follow(ctx, "n1", quiet, func(e Entry) { told <- e })
-	first := g.put("n1", `{"a":1}`, "")
-	g.put("n2", `{"b":1}`, "")
-	lost := g.leader()
-	g.stop(lost)
-	second := g.put("n1", `{"a":2}`, "")
+	c := newCluster(t)
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	notified := make(chan Entry, 16)
+	follower := &Client{Addrs: c.Addrs}
+	go follower.Follow(ctx, "n1", discardLog, func(e Entry) { notified <- e })
+	first := c.mustPut("n1", `{"a":1}`, "")
+	c.mustPut("n2", `{"b":1}`, "")
+	lost := c.leader()
+	c.stop(lost)
+	second := c.mustPut("n1", `{"a":2}`, "")
 	if second.Version <= first.Version {
 		t.Errorf("version went from %d to %d", first.Version, second.Version)
 	}
-	e, err := g.Get(ctx, "n1")
-	if err != nil || string(e.Config) != `{"a":2}` || e.Version != second.Version {
-		t.Errorf("after the leader was lost: %+v, %v", e, err)
+	entry, err := c.Get(ctx, "n1")
+	if err != nil || string(entry.Config) != `{"a":2}` || entry.Version != second.Version {
+		t.Errorf("after the leader was lost: %+v, %v", entry, err)
 	}
-	g.start(lost)
-	g.until("the lost agent has caught up", func() bool {
-		e, found, _ := g.agents[lost].store.get("n1")
-		return found && string(e.Config) == `{"a":2}`
+	c.start(lost)
+	c.eventually("the lost server has caught up", func() bool {
+		entry, found, _ := c.servers[lost].store.get("n1")
+		return found && string(entry.Config) == `{"a":2}`
 	})
-	if all, err := g.List(ctx); err != nil || len(all) != 2 {
+	if all, err := c.List(ctx); err != nil || len(all) != 2 {
 		t.Errorf("instances %v, %v", all, err)
 	}
 	for _, want := range []string{`{"a":1}`, `{"a":2}`} {
 		select {
-		case e := <-told:
-			if string(e.Config) != want {
-				t.Errorf("instance was told %s, want %s", e.Config, want)
+		case entry := <-notified:
+			if string(entry.Config) != want {
+				t.Errorf("follower was notified of %s, want %s", entry.Config, want)
 			}
 		case <-time.After(time.Minute):
-			t.Fatalf("instance was not told %s", want)
+			t.Fatalf("follower was not notified of %s", want)
 		}
 	}
-	for _, s := range g.Status(ctx) {
-		if !strings.HasPrefix(s.ID, "agent-") || s.Leader == "" {
-			t.Errorf("status %+v", s)
+	for _, status := range c.Status(ctx) {
+		if !strings.HasPrefix(status.ID, "agent-") || status.Leader == "" {
+			t.Errorf("status %+v", status)
 		}
 	}
 }
 
-// TestConditions checks what is refused: a configuration that no instance could start from, and a write over
-// another version than the writer has seen.
-func TestConditions(t *testing.T) {
-	g := newThree(t)
+// TestRejectedWrites checks which writes are rejected, with their HTTP status: a configuration that no initiator could start
+// from, and a write over another version than the writer has seen.
+func TestRejectedWrites(t *testing.T) {
+	c := newCluster(t)
 	ctx := context.Background()
-	e := g.put("n1", `{"a":1}`, "0")
-	if _, err := g.Put(ctx, "n1", []byte(`{"a":2}`), "0"); err == nil || !strings.Contains(err.Error(), "another version") {
-		t.Errorf("second first write: %v", err)
-	}
-	if _, err := g.Put(ctx, "n1", []byte("nonsense"), ""); err == nil || !strings.Contains(err.Error(), "required field") {
-		t.Errorf("bad configuration: %v", err)
+	entry := c.mustPut("n1", `{"a":1}`, "0")
+	rejected := func(name, config, ifVersion string, status int, message string) {
+		t.Helper()
+		_, err := c.Put(ctx, "n1", []byte(config), ifVersion)
+		var answer *StatusError
+		if !errors.As(err, &answer) || answer.Status != status || !strings.Contains(err.Error(), message) {
+			t.Errorf("%s: %v, want %d with %q", name, err, status, message)
+		}
 	}
-	g.put("n1", `{"a":3}`, fmt.Sprint(e.Version))
-	if _, err := g.Put(ctx, "n1", nil, ""); err != nil {
-		t.Errorf("taking away: %v", err)
+	rejected("second first write", `{"a":2}`, "0", http.StatusConflict, "another version")
+	rejected("bad configuration", "nonsense", "", http.StatusUnprocessableEntity, "required field")
+	rejected("condition that is no version", `{"a":2}`, "latest", http.StatusBadRequest, "not a version")
+	c.mustPut("n1", `{"a":3}`, fmt.Sprint(entry.Version))
+	if _, err := c.Put(ctx, "n1", nil, ""); err != nil {
+		t.Errorf("delete: %v", err)
 	}
-	if _, err := g.Get(ctx, "n1"); !errors.Is(err, ErrNotFound) {
-		t.Errorf("after it was taken away: %v", err)
+	if _, err := c.Get(ctx, "n1"); !errors.Is(err, ErrNotFound) {
+		t.Errorf("after the delete: %v", err)
 	}
 }
 
-// TestNoMajority checks that one agent of three takes no write: nothing may be promised that can be lost.
+// TestNoMajority leaves one server of three: it confirms no write, since the write could be lost with it.
 func TestNoMajority(t *testing.T) {
-	g := newThree(t)
-	g.put("n1", `{"a":1}`, "")
-	at := g.leader()
-	for i := range 3 {
-		if i != at {
-			g.stop(i)
+	c := newCluster(t)
+	c.mustPut("n1", `{"a":1}`, "")
+	remaining := c.leader()
+	for i := range clusterSize {
+		if i != remaining {
+			c.stop(i)
 		}
 	}
-	ctx, done := context.WithTimeout(context.Background(), 3*time.Second)
-	defer done()
-	if e, err := g.Put(ctx, "n1", []byte(`{"a":2}`), ""); err == nil {
-		t.Errorf("a lone agent took %+v", e)
+	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
+	defer cancel()
+	if entry, err := c.Put(ctx, "n1", []byte(`{"a":2}`), ""); err == nil {
+		t.Errorf("a single server confirmed %+v", entry)
 	}
 }
 
-// sink is a raft.SnapshotSink in memory.
-type sink struct{ bytes.Buffer }
+// memorySink is a raft.SnapshotSink in memory.
+type memorySink struct{ bytes.Buffer }
 
-func (*sink) ID() string    { return "s" }
-func (*sink) Cancel() error { return nil }
-func (*sink) Close() error  { return nil }
+func (*memorySink) ID() string    { return "memory" }
+func (*memorySink) Cancel() error { return nil }
+func (*memorySink) Close() error  { return nil }
 
-// TestSnapshot restores what was persisted.
+// TestSnapshot persists a store and restores it into another one.
 func TestSnapshot(t *testing.T) {
-	s := newStore()
-	s.Apply(&raft.Log{Index: 4, Data: []byte(`{"name":"n1","config":{"a":1}}`)})
-	snap, err := s.Snapshot()
+	original := newStore()
+	original.Apply(&raft.Log{Index: 4, Data: []byte(`{"name":"n1","config":{"a":1}}`)})
+	snap, err := original.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	var k sink
-	if err := snap.Persist(&k); err != nil {
+	var sink memorySink
+	if err := snap.Persist(&sink); err != nil {
 		t.Fatal(err)
 	}
-	other := newStore()
-	if err := other.Restore(io.NopCloser(&k)); err != nil {
+	restored := newStore()
+	if err := restored.Restore(io.NopCloser(&sink)); err != nil {
 		t.Fatal(err)
 	}
-	if e, found, _ := other.get("n1"); !found || e.Version != 4 || string(e.Config) != `{"a":1}` {
-		t.Errorf("restored %+v", e)
+	if entry, found, _ := restored.get("n1"); !found || entry.Version != 4 || string(entry.Config) != `{"a":1}` {
+		t.Errorf("restored %+v", entry)
 	}
 }
