--- a/internal/nvme/command.go
+++ b/internal/nvme/command.go
@@ -1,178 +1,187 @@
 package nvme
 
-import (
-	"encoding/binary"
-	"time"
+import "encoding/binary"
 
-	"dapplegate/internal/dispatcher"
-	"dapplegate/scheduler"
+// opcode is the first byte of a submission queue entry. Admin and NVM commands have separate ranges of values.
+type opcode byte
+
+const (
+	opWrite   opcode = 0x01
+	opRead    opcode = 0x02
+	opFabrics opcode = 0x7F // on any queue
+
+	opIdentify    opcode = 0x06
+	opAbort       opcode = 0x08
+	opSetFeatures opcode = 0x09
+	opGetFeatures opcode = 0x0A
+	opKeepAlive   opcode = 0x18
 )
 
-// Opcodes of the subset.
+// Fabrics command types.
 const (
-	opWrite        = 0x01
-	opRead         = 0x02
-	opFabrics      = 0x7F
-	opIdentify     = 0x06
-	opAbort        = 0x08
-	opSetFeatures  = 0x09
-	opGetFeatures  = 0x0A
-	opKeepAlive    = 0x18
-	fctPropertySet = 0x00
-	fctConnect     = 0x01
-	fctPropertyGet = 0x04
-
-	featQueues       = 0x07
-	featHostBehavior = 0x16
-
-	propCAP  = 0x00
-	propVS   = 0x08
-	propCC   = 0x14
-	propCSTS = 0x1C
-
-	sglOffset    = 0x01 // data block, in the capsule
-	sglTransport = 0x5A // data block, moved by the transport
-	connectLen   = 1024
-	identifyLen  = 4096
+	fabricsPropertySet byte = 0x00
+	fabricsConnect     byte = 0x01
+	fabricsPropertyGet byte = 0x04
 )
 
-// status is a completion's status field without the phase bit.
-type status uint16
-
-const dnr status = 1 << 14
-
-func sct(kind, code status) status { return kind<<8 | code }
-
-// Status values of the subset.
-var (
-	stOK             status = 0
-	stInvalidOpcode         = sct(0, 0x01)
-	stInvalidField          = sct(0, 0x02)
-	stCIDConflict           = sct(0, 0x03)
-	stInternal              = sct(0, 0x06)
-	stAborted               = sct(0, 0x07)
-	stInvalidNS             = sct(0, 0x0B)
-	stSequence              = sct(0, 0x0C)
-	stTransient             = sct(0, 0x22)
-	stLBARange              = sct(0, 0x80)
-	stNSNotReady            = sct(0, 0x82)
-	stBadFormat             = sct(1, 0x80)
-	stControllerBusy        = sct(1, 0x81)
-	stBadConnect            = sct(1, 0x82)
+// Features.
+const (
+	featureNumberOfQueues = 0x07
+	featureHostBehavior   = 0x16
 )
 
-// code is the status without its CRD, More and DNR bits.
-func (s status) code() status { return s & 0x7FF }
+// SGL descriptor types with their subtype.
+const (
+	sglDataInCapsule byte = 0x01 // data block at an offset
+	sglTransport     byte = 0x5A // transport data block
+)
 
-func (s status) withDelay(index int) status { return s | status(index&3)<<11 }
+// The flags of a submission queue entry: how its data is described, and whether it is fused with another.
+const (
+	flagsDataMask  = 0xC0
+	flagsUseSGL    = 0x40
+	flagsFusedMask = 0x03
+)
 
-// retryDelays are the controller's CRDT1 to CRDT3, in units of 100 ms: how long a host that has asked to be
-// told (Host Behavior Support, ACRE) stays away. The last is the longest a client of this project honours.
-var retryDelays = [3]uint16{1, 3, 10}
+// Lengths in bytes.
+const (
+	commandLen         = 64 // submission queue entry
+	connectDataLen     = 1024
+	identifyDataLen    = 4096
+	hostBehaviorLen    = 512
+	maxInCapsuleData   = 8192      // of a command to this controller
+	maxTransferLen     = 128 << 10 // of one command
+	maxTransferPageExp = 5         // maxTransferLen is 2^5 pages of 4 KiB, as MDTS tells it
+	maxIOQueues        = 16        // of one association
+	adminQueueSize     = 32        // the least that the specification lets a host ask for
+	anyControllerID    = 0xFFFF    // CNTLID with which a host asks for any controller
+)
 
-// delayIndex is the CRD that first covers the wait; 0: none.
-func delayIndex(wait time.Duration) int {
-	if wait <= 0 {
-		return 0
-	}
-	for i, d := range retryDelays {
-		if wait <= time.Duration(d)*100*time.Millisecond {
-			return i + 1
-		}
-	}
-	return len(retryDelays)
+// Offsets in a submission queue entry.
+const (
+	sqeFlags       = 1
+	sqeCommandID   = 2
+	sqeNamespaceID = 4
+	sqeFabricsType = 4
+	sqeSGLLength   = 32
+	sqeSGLType     = 39
+
+	sqeIdentifyCNS = 40 // which data structure
+
+	sqeFeatureID = 40
+
+	sqeAbortQueueID   = 40
+	sqeAbortCommandID = 42
+
+	sqeStartLBA = 40
+	sqeBlocks   = 48 // 0-based
+
+	sqeConnectFormat    = 40
+	sqeConnectQueueID   = 42
+	sqeConnectQueueSize = 44 // 0-based
+	sqeConnectKeepAlive = 48 // milliseconds
+
+	sqePropertySize   = 40
+	sqePropertyOffset = 44
+	sqePropertyValue  = 48
+)
+
+// Offsets in the data of Connect.
+const (
+	connectHostID       = 0
+	connectControllerID = 16
+	connectSubsystem    = 256
+	connectHostNQN      = 512
+	nqnFieldLen         = 256
+)
+
+// command is a submission queue entry.
+type command [commandLen]byte
+
+func (c *command) opcode() opcode      { return opcode(c[0]) }
+func (c *command) id() uint16          { return c.u16(sqeCommandID) }
+func (c *command) namespaceID() uint32 { return c.u32(sqeNamespaceID) }
+func (c *command) fabricsType() byte   { return c[sqeFabricsType] }
+func (c *command) sglLength() uint32   { return c.u32(sqeSGLLength) }
+func (c *command) sglType() byte       { return c[sqeSGLType] }
+func (c *command) startLBA() uint64    { return binary.LittleEndian.Uint64(c[sqeStartLBA:]) }
+func (c *command) blocks() uint32      { return uint32(c.u16(sqeBlocks)) + 1 }
+
+// isValid reports whether the flags are in the subset: SGLs, which fabrics require, and no fused commands.
+func (c *command) isValid() bool {
+	flags := c[sqeFlags]
+	return flags&flagsDataMask == flagsUseSGL && flags&flagsFusedMask == 0
 }
 
-// statusOf maps the core's final answer. Retryable exactly where the module says that a repeat is harmless;
-// what may have run has DNR set, so that no host sends it again by itself.
-func statusOf(a dispatcher.Response, delays bool) status {
-	switch a.Status {
-	case dispatcher.Served:
-		return stOK
-	case dispatcher.Rejected:
-		if delays {
-			return stNSNotReady.withDelay(delayIndex(a.RetryAfter))
-		}
-		return stNSNotReady
-	}
-	if a.LastAttempt == scheduler.DeadlineExceeded || a.LastAttempt == scheduler.ConnectionReset {
-		return stTransient | dnr
-	}
-	return stInternal | dnr
+func (c *command) isConnect() bool {
+	return c.opcode() == opFabrics && c.fabricsType() == fabricsConnect
 }
 
-// outcomeOf maps a target's status. Only what says that the command was not begun proves it.
-func outcomeOf(s status) scheduler.AttemptStatus {
-	switch {
-	case s == stOK:
-		return scheduler.Succeeded
-	case s.code() == stNSNotReady && s&dnr == 0:
-		return scheduler.Rejected
+func (c *command) u16(offset int) uint16 { return binary.LittleEndian.Uint16(c[offset:]) }
+func (c *command) u32(offset int) uint32 { return binary.LittleEndian.Uint32(c[offset:]) }
+
+func (c *command) putU16(offset int, v uint16) { binary.LittleEndian.PutUint16(c[offset:], v) }
+func (c *command) putU32(offset int, v uint32) { binary.LittleEndian.PutUint32(c[offset:], v) }
+func (c *command) putU64(offset int, v uint64) { binary.LittleEndian.PutUint64(c[offset:], v) }
+
+// newCommand returns an entry for data of some length, which is in the capsule or transferred by data PDUs.
+func newCommand(op opcode, commandID uint16, dataLen int, inCapsule bool) *command {
+	c := &command{}
+	c[0] = byte(op)
+	c[sqeFlags] = flagsUseSGL
+	c.putU16(sqeCommandID, commandID)
+	c.putU32(sqeSGLLength, uint32(dataLen))
+	c[sqeSGLType] = sglTransport
+	if inCapsule {
+		c[sqeSGLType] = sglDataInCapsule
 	}
-	return scheduler.Errored
+	return c
 }
 
-// command is a submission queue entry.
-type command [64]byte
-
-func (c *command) op() byte        { return c[0] }
-func (c *command) cid() uint16     { return binary.LittleEndian.Uint16(c[2:]) }
-func (c *command) nsid() uint32    { return binary.LittleEndian.Uint32(c[4:]) }
-func (c *command) fctype() byte    { return c[4] }
-func (c *command) sglLen() uint32  { return binary.LittleEndian.Uint32(c[32:]) }
-func (c *command) sglType() byte   { return c[39] }
-func (c *command) dw(n int) uint32 { return binary.LittleEndian.Uint32(c[4*n:]) }
-func (c *command) slba() uint64    { return binary.LittleEndian.Uint64(c[40:]) }
-func (c *command) blocks() uint32  { return uint32(binary.LittleEndian.Uint16(c[48:])) + 1 }
-
-func (c *command) set16(at int, v uint16) { binary.LittleEndian.PutUint16(c[at:], v) }
-func (c *command) set32(at int, v uint32) { binary.LittleEndian.PutUint32(c[at:], v) }
-func (c *command) set64(at int, v uint64) { binary.LittleEndian.PutUint64(c[at:], v) }
-
-// newCommand returns an entry whose data, if any, goes in the capsule or is moved by the transport.
-func newCommand(op byte, cid uint16, length int, inside bool) *command {
-	c := &command{op, 0x40} // SGLs are used for the transfer
-	c.set16(2, cid)
-	c.set32(32, uint32(length))
-	c[39] = sglTransport
-	if inside {
-		c[39] = sglOffset
-	}
+// newFabricsCommand returns an entry of a Fabrics command; its data, if any, is in the capsule.
+func newFabricsCommand(fabricsType byte, commandID uint16, dataLen int) *command {
+	c := newCommand(opFabrics, commandID, dataLen, dataLen > 0)
+	c[sqeFabricsType] = fabricsType
 	return c
 }
 
 // completion is a completion queue entry.
 type completion struct {
-	result uint64
-	sqhd   uint16
-	sqid   uint16
-	cid    uint16
-	status status
+	result    uint64 // command specific
+	sqHead    uint16
+	queueID   uint16
+	commandID uint16
+	status    status
 }
 
-func (c completion) head() []byte {
-	h := make([]byte, respLen-commonLen)
-	binary.LittleEndian.PutUint64(h, c.result)
-	binary.LittleEndian.PutUint16(h[8:], c.sqhd)
-	binary.LittleEndian.PutUint16(h[10:], c.sqid)
-	binary.LittleEndian.PutUint16(h[12:], c.cid)
-	binary.LittleEndian.PutUint16(h[14:], uint16(c.status)<<1)
-	return h
+// header returns the entry as the fields of a response capsule after the common header.
+func (c completion) header() []byte {
+	header := make([]byte, responseLen-commonHeaderLen)
+	binary.LittleEndian.PutUint64(header, c.result)
+	binary.LittleEndian.PutUint16(header[8:], c.sqHead)
+	binary.LittleEndian.PutUint16(header[10:], c.queueID)
+	binary.LittleEndian.PutUint16(header[12:], c.commandID)
+	binary.LittleEndian.PutUint16(header[14:], uint16(c.status)<<1) // the phase tag is 0 on fabrics
+	return header
 }
 
 func parseCompletion(p *pdu) completion {
-	h := p.head[commonLen:]
-	return completion{result: binary.LittleEndian.Uint64(h), sqhd: binary.LittleEndian.Uint16(h[8:]),
-		sqid: binary.LittleEndian.Uint16(h[10:]), cid: binary.LittleEndian.Uint16(h[12:]),
-		status: status(binary.LittleEndian.Uint16(h[14:]) >> 1)}
+	entry := p.header[commonHeaderLen:]
+	return completion{
+		result:    binary.LittleEndian.Uint64(entry),
+		sqHead:    binary.LittleEndian.Uint16(entry[8:]),
+		queueID:   binary.LittleEndian.Uint16(entry[10:]),
+		commandID: binary.LittleEndian.Uint16(entry[12:]),
+		status:    status(binary.LittleEndian.Uint16(entry[14:]) >> 1),
+	}
 }
 
-// IO is the payload of a job on this wire: one read or write.
+// IORequest is the payload of a dispatcher call: one read or write. The response's payload is the data read, as []byte.
 type IORequest struct {
-	Write  bool
-	NSID   uint32
-	SLBA   uint64
-	Blocks uint32
-	Bytes  int    // of the whole transfer
-	Data   []byte // of a write
+	Write       bool
+	NamespaceID uint32
+	StartLBA    uint64
+	Blocks      uint32
+	Bytes       int    // length of the data
+	Data        []byte // to write
 }
--- /dev/null
+++ b/internal/nvme/connect.go
@@ -0,0 +1,107 @@
+package nvme
+
+import (
+	"bytes"
+	"encoding/binary"
+	"time"
+)
+
+// connectRequest is a Connect command with its data.
+type connectRequest struct {
+	queueID          uint16
+	queueSize        int
+	keepAliveTimeout time.Duration // 0: none
+	controllerID     uint16        // anyControllerID on the admin queue
+	subsystem        string
+	hostNQN          string
+}
+
+func parseConnect(entry *command, data []byte) connectRequest {
+	return connectRequest{
+		queueID:          entry.u16(sqeConnectQueueID),
+		queueSize:        int(entry.u16(sqeConnectQueueSize)) + 1,
+		keepAliveTimeout: time.Duration(entry.u32(sqeConnectKeepAlive)) * time.Millisecond,
+		controllerID:     binary.LittleEndian.Uint16(data[connectControllerID:]),
+		subsystem:        parseNQN(data[connectSubsystem:]),
+		hostNQN:          parseNQN(data[connectHostNQN:]),
+	}
+}
+
+// parseNQN reads a name that is filled up with zeros.
+func parseNQN(field []byte) string {
+	name, _, _ := bytes.Cut(field[:nqnFieldLen], []byte{0})
+	return string(name)
+}
+
+// connect handles the first command of a connection, which must be Connect: it makes an association, or joins an I/O queue to
+// one.
+func (q *queue) connect(p *pendingCommand, data []byte) {
+	switch {
+	case !p.entry.isConnect():
+		q.fail(p, statusSequenceError)
+		return
+	case len(data) != connectDataLen:
+		q.fail(p, statusInvalidField)
+		return
+	case p.entry.u16(sqeConnectFormat) != 0:
+		q.fail(p, statusConnectFormat)
+		return
+	}
+	request := parseConnect(&p.entry, data)
+	a, refusal := q.server.connect(q, request)
+	if refusal != statusSuccess {
+		q.complete(p, refusal, 0, nil)
+		return
+	}
+	q.association = a
+	q.mu.Lock()
+	q.id = request.queueID
+	q.size = uint16(request.queueSize)
+	q.sqHead = 1 // past the Connect
+	q.connected.Store(true)
+	q.mu.Unlock()
+	q.succeed(p, uint64(a.controllerID))
+}
+
+// connect returns the association of a queue, or the status with which Connect fails.
+func (s *Server) connect(q *queue, request connectRequest) (*association, status) {
+	if !s.isAcceptable(request) {
+		return nil, statusConnectInvalidParameters | statusDoNotRetry
+	}
+	if request.queueID == 0 {
+		return s.connectAdmin(q, request)
+	}
+	return s.connectIO(q, request)
+}
+
+// isAcceptable checks the names and the queue size. An admin queue may be larger than the I/O queues.
+func (s *Server) isAcceptable(request connectRequest) bool {
+	maxSize := s.options.QueueDepth
+	if request.queueID == 0 {
+		maxSize = max(maxSize, adminQueueSize)
+	}
+	return request.subsystem == s.options.Subsystem && request.hostNQN != "" &&
+		request.queueSize >= 2 && request.queueSize <= maxSize
+}
+
+func (s *Server) connectAdmin(q *queue, request connectRequest) (*association, status) {
+	if request.controllerID != anyControllerID {
+		return nil, statusConnectInvalidParameters | statusDoNotRetry
+	}
+	a := s.newAssociation(q, request.hostNQN, request.keepAliveTimeout)
+	if a == nil {
+		return nil, statusControllerBusy
+	}
+	return a, statusSuccess
+}
+
+func (s *Server) connectIO(q *queue, request connectRequest) (*association, status) {
+	a := s.association(request.controllerID)
+	if a == nil || a.hostNQN != request.hostNQN || request.queueID > maxIOQueues {
+		return nil, statusConnectInvalidParameters | statusDoNotRetry
+	}
+	if !a.join(q, request.queueID) {
+		return nil, statusSequenceError | statusDoNotRetry
+	}
+	return a, statusSuccess
+}
--- /dev/null
+++ b/internal/nvme/doc.go
@@ -0,0 +1,12 @@
+// Package nvme implements a subset of NVMe over TCP on both sides of the initiator: Server is the controller that clients'
+// hosts connect to, Host is the host of the targets. Between them the dispatcher schedules the commands like any other
+// requests. Names are those of the NVMe Base, NVM Command Set and TCP Transport specifications.
+//
+// A command outside the subset ends with the status that the specification has for it, a PDU that violates the transport's
+// rules with a termination request: never with silence.
+//
+// The controller side: server.go accepts connections, queue.go is a connection with its reader and writer, connect.go and
+// association.go make it a queue of an association, property.go, admin.go and identify.go serve the admin queue, iocommand.go
+// and writedata.go the I/O queues. The host side: host.go opens I/O queues, hostassociation.go keeps the admin queue of each
+// target, hostconn.go is a connection, hostqueue.go carries one command. Both use pdu.go, pdureader.go, command.go and status.go.
+package nvme
--- /dev/null
+++ b/internal/nvme/helpers_test.go
@@ -0,0 +1,297 @@
+package nvme
+
+import (
+	"bytes"
+	"context"
+	"fmt"
+	"io"
+	"log/slog"
+	"net"
+	"sync"
+	"testing"
+	"time"
+
+	"dapplegate/internal/dispatcher"
+	"dapplegate/internal/seeded"
+	"dapplegate/internal/upstream"
+	"dapplegate/scheduler"
+)
+
+func TestMain(m *testing.M) { seeded.Main(m) }
+
+const (
+	targetNQN    = "nqn.2026-12.example.test:target"    // subsystem of the stand-in targets
+	poolNQN      = "nqn.2026-12.example.test:pool"      // subsystem of the initiator
+	initiatorNQN = "nqn.2026-12.example.test:initiator" // the initiator as a host
+	clientNQN    = "nqn.2026-12.example.test:client"
+	blockSize    = 512
+
+	// testTimeout is long enough for a busy machine.
+	testTimeout = 20 * time.Second
+)
+
+var discardLog = slog.New(slog.DiscardHandler)
+
+// closeAtEnd closes c when the test ends. It may be closed already.
+func closeAtEnd(t *testing.T, c io.Closer) {
+	t.Helper()
+	t.Cleanup(func() { _ = c.Close() })
+}
+
+func testNamespace() Namespace {
+	return Namespace{
+		ID: 1, Volume: "00000003b4d60021", Plan: "std", Initiators: 1,
+		BlockBytes: blockSize, Blocks: 1 << 20,
+		StripeBlocks: 2048, Shards: []int{0}, UnitBlocks: 16,
+		ReadClass: "position-read", WriteClass: "event-write",
+	}
+}
+
+// serve runs a server on l until l is closed.
+func serve(t *testing.T, l net.Listener, d Dispatcher, subsystem string) *Server {
+	t.Helper()
+	s := New(d, Options{
+		Subsystem: subsystem, Namespaces: []Namespace{testNamespace()},
+		QueueDepth: 8, MaxConns: 64, MaxHeldBytes: 8 << 20,
+		ClassDeadlines: map[string]time.Duration{"position-read": testTimeout, "event-write": testTimeout},
+		Logger:         discardLog,
+	})
+	served := make(chan error, 1)
+	go func() { served <- s.Serve(l) }()
+	t.Cleanup(func() {
+		_ = l.Close() // Shutdown may have closed it
+		if err := <-served; err != nil {
+			t.Errorf("Serve: %v", err)
+		}
+	})
+	return s
+}
+
+// startServer runs a server on a free port of the loopback and returns its address.
+func startServer(t *testing.T, d Dispatcher, subsystem string) (*Server, string) {
+	t.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	return serve(t, l, d, subsystem), l.Addr().String()
+}
+
+// storage is the dispatcher of a stand-in target: it keeps blocks, counts what it executes, and can stand still.
+type storage struct {
+	received chan *IORequest
+
+	mu       sync.Mutex
+	blocks   map[uint64][]byte
+	writes   map[string]int      // how often each text was written
+	stalled  chan struct{}       // not nil: commands wait until it is closed
+	response dispatcher.Response // instead of serving, where it is not Served
+}
+
+func newStorage() *storage {
+	return &storage{blocks: map[uint64][]byte{}, writes: map[string]int{}, received: make(chan *IORequest, 64)}
+}
+
+func (*storage) Cancel(*dispatcher.Call) {}
+
+func (s *storage) Submit(call *dispatcher.Call) bool {
+	request := call.Payload.(*IORequest)
+	s.mu.Lock()
+	stalled, response := s.stalled, s.response
+	s.mu.Unlock()
+	s.received <- request
+	go func() {
+		if stalled != nil {
+			<-stalled
+		}
+		if response.Status != dispatcher.Served {
+			call.Respond(response)
+			return
+		}
+		call.Respond(dispatcher.Response{Payload: s.execute(request)})
+	}()
+	return true
+}
+
+// execute reads or writes blocks, and returns what was read.
+func (s *storage) execute(request *IORequest) []byte {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	var data []byte
+	if request.Write {
+		s.writes[string(bytes.TrimRight(request.Data, "\x00"))]++
+	}
+	for i := range uint64(request.Blocks) {
+		if request.Write {
+			s.blocks[request.StartLBA+i] = request.Data[i*blockSize : (i+1)*blockSize]
+			continue
+		}
+		block := s.blocks[request.StartLBA+i]
+		data = append(data, append(block, make([]byte, blockSize-len(block))...)...)
+	}
+	return data
+}
+
+// writeCount returns how often a text was written.
+func (s *storage) writeCount(text string) int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.writes[text]
+}
+
+// initiator is server, dispatcher, scheduler and host together, with stand-in targets.
+type initiator struct {
+	addr       string
+	server     *Server
+	registry   *upstream.Registry
+	dispatcher *dispatcher.Dispatcher
+}
+
+func startInitiator(t *testing.T, digests bool, objective time.Duration, targets ...string) *initiator {
+	t.Helper()
+	decisions, err := scheduler.New(schedulerSettings(objective), 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	in := &initiator{}
+	host := NewHost(HostOptions{Subsystem: targetNQN, HostNQN: initiatorNQN, KeepAliveTimeout: time.Minute, Digests: digests})
+	in.registry = upstream.NewRegistry(upstream.Options{Dialer: host, DialTimeout: testTimeout, IdleTimeout: time.Minute,
+		MaxConnsPerTarget: 16, MaxConns: 64, Logger: discardLog},
+		func(r dispatcher.AttemptResult) { in.dispatcher.ReportResult(r) })
+	in.dispatcher = dispatcher.New(decisions, in.registry, dispatcher.NewClock(), dispatcher.Options{})
+	ctx, cancel := context.WithCancel(context.Background())
+	t.Cleanup(cancel)
+	go in.dispatcher.Run(ctx)
+	for i, addr := range targets {
+		in.setTarget(fmt.Sprint("t", i), addr, scheduler.Serving)
+	}
+	in.server, in.addr = startServer(t, in.dispatcher, poolNQN)
+	return in
+}
+
+func schedulerSettings(objective time.Duration) scheduler.Settings {
+	return scheduler.Settings{
+		Initiators: 1, Tick: time.Millisecond, MeanUnits: 1, MaxUnits: 8, MaxAttempts: 3,
+		Plans: []scheduler.Plan{{Name: "std", ProvisionedRate: 1000, Reservation: 1000, Weight: 1, PriorityFactor: 1}},
+		Classes: []scheduler.Class{
+			{Name: "position-read", LatencyObjective: objective, Deadline: testTimeout, PriorityWeight: 3},
+			{Name: "event-write", LatencyObjective: objective, Deadline: testTimeout, PriorityWeight: 2,
+				Idempotency: scheduler.NonIdempotent},
+		},
+	}
+}
+
+// setTarget applies a change of one target, in the order in which the daemon does: the registry first.
+func (in *initiator) setTarget(id, addr string, state scheduler.TargetState) {
+	in.registry.Apply([]upstream.Endpoint{{ID: id, Addr: addr, State: state}}, false)
+	in.dispatcher.UpdateEndpoints(scheduler.EndpointList{Targets: []scheduler.Target{{ID: id, State: state}}})
+}
+
+// testHost is a client's host: an admin queue and one I/O queue, whose commands the test sends itself.
+type testHost struct {
+	t     *testing.T
+	admin *hostConn
+	io    *hostConn
+}
+
+func connectHost(t *testing.T, addr string, digests bool) *testHost {
+	t.Helper()
+	const ioQueueSize = 8
+	options := HostOptions{Subsystem: poolNQN, HostNQN: clientNQN, KeepAliveTimeout: time.Minute, Digests: digests}
+	h := NewHost(options)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
+	t.Cleanup(cancel)
+	admin, err := h.dial(ctx, addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	closeAtEnd(t, admin)
+	controllerID, _, err := h.enable(ctx, admin)
+	if err != nil {
+		t.Fatal(err)
+	}
+	io, err := h.dial(ctx, addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	closeAtEnd(t, io)
+	connect := newFabricsCommand(fabricsConnect, io.nextCommandID(), connectDataLen)
+	connect.putU16(sqeConnectQueueID, 1)
+	connect.putU16(sqeConnectQueueSize, ioQueueSize-1)
+	if _, _, err := io.execute(connect, connectData(options, controllerID)); err != nil {
+		t.Fatal(err)
+	}
+	return &testHost{t: t, admin: admin, io: io}
+}
+
+// send sends a command on the I/O queue and returns its ID.
+func (h *testHost) send(entry *command, inCapsule []byte) uint16 {
+	h.t.Helper()
+	if err := h.io.sendCommand(entry, inCapsule); err != nil {
+		h.t.Fatal(err)
+	}
+	return entry.id()
+}
+
+// sendRaw sends bytes that need not be a valid PDU on the I/O queue.
+func (h *testHost) sendRaw(b []byte) error {
+	_, err := h.io.Write(b)
+	return err
+}
+
+// ioCommand returns a read or write of some blocks.
+func (h *testHost) ioCommand(op opcode, startLBA uint64, blocks int, inCapsule bool) *command {
+	entry := newCommand(op, h.io.nextCommandID(), blocks*blockSize, inCapsule)
+	entry.putU32(sqeNamespaceID, 1)
+	entry.putU64(sqeStartLBA, startLBA)
+	entry.putU16(sqeBlocks, uint16(blocks-1))
+	return entry
+}
+
+// write sends a write of one block, which starts with the text.
+func (h *testHost) write(lba uint64, text string) uint16 {
+	h.t.Helper()
+	data := make([]byte, blockSize)
+	copy(data, text)
+	return h.send(h.ioCommand(opWrite, lba, 1, true), data)
+}
+
+// read sends a read of one block.
+func (h *testHost) read(lba uint64) uint16 {
+	h.t.Helper()
+	return h.send(h.ioCommand(opRead, lba, 1, false), nil)
+}
+
+// next returns the next completion on the I/O queue, with the data before it.
+func (h *testHost) next() (completion, []byte) {
+	h.t.Helper()
+	var data []byte
+	for {
+		p := h.nextPDU()
+		if p.kind == pduResponse {
+			return parseCompletion(p), data
+		}
+		data = append(data, p.data...)
+	}
+}
+
+// nextPDU returns the next PDU on the I/O queue.
+func (h *testHost) nextPDU() *pdu {
+	h.t.Helper()
+	if err := h.io.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
+		h.t.Fatal(err)
+	}
+	p, err := h.io.receive()
+	if err != nil {
+		h.t.Fatalf("no PDU: %v", err)
+	}
+	return p
+}
+
+// expectServed reads the next completion, which must be a success.
+func (h *testHost) expectServed(what string) {
+	h.t.Helper()
+	if result, _ := h.next(); result.status != statusSuccess {
+		h.t.Fatalf("%s: %+v, want success", what, result)
+	}
+}
--- /dev/null
+++ b/internal/nvme/hostqueue.go
@@ -0,0 +1,179 @@
+package nvme
+
+import (
+	"errors"
+	"io"
+	"net"
+	"os"
+	"sync"
+	"time"
+
+	"dapplegate/internal/dispatcher"
+	"dapplegate/internal/socket"
+	"dapplegate/internal/upstream"
+	"dapplegate/scheduler"
+)
+
+// ioQueue is an I/O queue at a target. It carries one command at a time.
+type ioQueue struct {
+	*hostConn
+	association      *hostAssociation
+	id               uint16
+	maxInCapsuleData int
+	freeOnce         sync.Once
+}
+
+// Close implements upstream.Conn. It ends the queue and frees its ID.
+func (q *ioQueue) Close() error {
+	err := q.hostConn.Close()
+	q.freeOnce.Do(func() { q.association.freeQueue(q.id) })
+	return err
+}
+
+// Alive implements upstream.Conn.
+func (q *ioQueue) Alive() bool { return q.in.Buffered() == 0 && socket.IsQuiet(q.Conn) }
+
+// RoundTrip implements upstream.Conn for one read or write, an *IORequest. A write's data is in the capsule where it fits,
+// else it is sent when the controller asks for it. A write cannot have been executed before the last byte of its data was
+// sent: until then an error is ConnectFailed, which permits another attempt.
+func (q *ioQueue) RoundTrip(attempt dispatcher.Attempt, first func() bool) (result dispatcher.AttemptResult, reuse bool, reason string) {
+	x := newExchange(q, attempt.Payload.(*IORequest))
+	capsule := x.capsule()
+	q.setDeadline(attempt.Deadline)
+	if !first() {
+		result.Status = scheduler.NotSent
+		return result, false, "NOT_SENT"
+	}
+	if n, err := q.Write(capsule); n < len(capsule) {
+		result.Status = scheduler.ConnectFailed
+		return result, false, "WRITE_" + upstream.ErrorReason(err)
+	}
+	finalStatus, data, err := x.run()
+	if err != nil {
+		if errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, net.ErrClosed) {
+			q.association.abort(q.id, x.entry.id())
+		}
+		result.Status = x.failure(err)
+		return result, false, "READ_" + upstream.ErrorReason(err)
+	}
+	result.Status = attemptStatus(finalStatus)
+	result.Payload = data
+	return result, q.SetDeadline(time.Time{}) == nil, "CLOSED"
+}
+
+// exchange is one command on an I/O queue, from its capsule to its completion.
+type exchange struct {
+	queue     *ioQueue
+	entry     *command
+	request   *IORequest
+	inCapsule bool   // the data to write is in the capsule
+	sent      bool   // all data to write is sent
+	data      []byte // that was read
+}
+
+func newExchange(q *ioQueue, request *IORequest) *exchange {
+	op := opRead
+	if request.Write {
+		op = opWrite
+	}
+	inCapsule := request.Write && len(request.Data) <= q.maxInCapsuleData
+	entry := newCommand(op, q.nextCommandID(), request.Bytes, inCapsule)
+	entry.putU32(sqeNamespaceID, request.NamespaceID)
+	entry.putU64(sqeStartLBA, request.StartLBA)
+	entry.putU16(sqeBlocks, uint16(request.Blocks-1))
+	return &exchange{queue: q, entry: entry, request: request, inCapsule: inCapsule, sent: !request.Write || inCapsule}
+}
+
+// capsule returns the command capsule.
+func (x *exchange) capsule() []byte {
+	var inCapsule []byte
+	if x.inCapsule {
+		inCapsule = x.request.Data
+	}
+	return appendPDU(nil, x.queue.framing, pduCommand, 0, x.entry[:], inCapsule)
+}
+
+// failure returns the attempt's status after an error. Once all data is sent, the target may have executed the command.
+func (x *exchange) failure(err error) scheduler.AttemptStatus {
+	switch {
+	case !x.sent:
+		return scheduler.ConnectFailed
+	case errors.Is(err, os.ErrDeadlineExceeded):
+		return scheduler.DeadlineExceeded
+	}
+	return scheduler.ConnectionReset
+}
+
+// run handles the controller's PDUs until the completion. It returns the status and the data that was read.
+func (x *exchange) run() (status, []byte, error) {
+	for {
+		p, err := x.queue.receive()
+		if err != nil {
+			return 0, nil, err
+		}
+		switch p.kind {
+		case pduReadyToTransfer:
+			if err := x.sendData(p); err != nil {
+				return 0, nil, err
+			}
+		case pduC2HData:
+			if err := x.receiveData(p); err != nil {
+				return 0, nil, err
+			}
+			if p.isLast() && p.flags&flagSuccess != 0 {
+				return x.finish(statusSuccess)
+			}
+		case pduResponse:
+			result := parseCompletion(p)
+			if result.commandID != x.entry.id() {
+				return 0, nil, &controllerError{cause: "completion of another command"}
+			}
+			return x.finish(result.status)
+		case pduC2HTermination:
+			return 0, nil, io.ErrUnexpectedEOF
+		default:
+			return 0, nil, unexpectedPDU(p)
+		}
+	}
+}
+
+// sendData sends the part of the data that an R2T asks for.
+func (x *exchange) sendData(readyToTransfer *pdu) error {
+	header := parseTransfer(readyToTransfer)
+	if x.sent || header.commandID != x.entry.id() {
+		return &controllerError{cause: "R2T for no write that waits"}
+	}
+	// In 64 bits: the controller's offset and length may add up to more than 32.
+	offset, end := int64(header.offset), int64(header.offset)+int64(header.length)
+	total := int64(len(x.request.Data))
+	if header.length == 0 || end > total {
+		return &controllerError{cause: "R2T out of range"}
+	}
+	part := x.request.Data[offset:end]
+	for pdu := range dataPDUs(x.queue.framing, pduH2CData, header.commandID, header.tag, int(offset), part, x.queue.maxH2CData) {
+		if _, err := x.queue.Write(pdu); err != nil {
+			return err
+		}
+	}
+	x.sent = end == total
+	return nil
+}
+
+// receiveData adds a part of the data read. The parts must come in order.
+func (x *exchange) receiveData(p *pdu) error {
+	header := parseTransfer(p)
+	isExpected := !x.request.Write && header.commandID == x.entry.id() && int64(header.offset) == int64(len(x.data))
+	if !isExpected || len(x.data)+len(p.data) > x.request.Bytes || p.dataDigestError {
+		return &controllerError{cause: "data for no read, out of order or damaged"}
+	}
+	x.data = append(x.data, p.data...)
+	return nil
+}
+
+// finish returns the result of a completed command. A read that succeeded without all of its data is an error.
+func (x *exchange) finish(s status) (status, []byte, error) {
+	if s == statusSuccess && !x.request.Write && len(x.data) != x.request.Bytes {
+		return 0, nil, &controllerError{cause: "data is not whole"}
+	}
+	return s, x.data, nil
+}
--- a/internal/nvme/namespace.go
+++ b/internal/nvme/namespace.go
@@ -30,7 +30,7 @@
 
 // request returns the scheduler's request for a command. A command that spans extents counts for the first.
 func (n *Namespace) request(io *IORequest) scheduler.Request {
-	extent := io.SLBA / n.StripeBlocks
+	extent := io.StartLBA / n.StripeBlocks
 	return scheduler.Request{
 		Class:      n.class(io),
 		Plan:       n.Plan,
--- a/internal/nvme/pdu.go
+++ b/internal/nvme/pdu.go
@@ -1,260 +1,247 @@
-// Package nvme speaks a subset of NVMe over TCP, as controller (a front) and as host (an upstream wire), with
-// the core between them deciding as for any other wire. What lies outside the subset is answered with the
-// proper status or a termination request, never with silence.
 package nvme
 
 import (
 	"encoding/binary"
-	"fmt"
 	"hash/crc32"
-	"io"
+	"iter"
 )
 
-// PDU types.
+// pduType is the first byte of a PDU. H2C is host to controller, C2H controller to host.
+type pduType byte
+
+const (
+	pduICReq           pduType = 0x00 // initialize connection request
+	pduICResp          pduType = 0x01 // initialize connection response
+	pduH2CTermination  pduType = 0x02
+	pduC2HTermination  pduType = 0x03
+	pduCommand         pduType = 0x04 // command capsule
+	pduResponse        pduType = 0x05 // response capsule
+	pduH2CData         pduType = 0x06
+	pduC2HData         pduType = 0x07
+	pduReadyToTransfer pduType = 0x09 // R2T
+
+	firstTypeWithDigests = pduCommand
+)
+
+// PDU flags.
+const (
+	flagHeaderDigest byte = 1 << 0
+	flagDataDigest   byte = 1 << 1
+	flagLastPDU      byte = 1 << 2
+	flagSuccess      byte = 1 << 3 // the last C2HData stands for a successful completion
+)
+
+// Digest bits of ICReq and ICResp.
 const (
-	typeICReq    = 0x00
-	typeICResp   = 0x01
-	typeH2CTerm  = 0x02
-	typeC2HTerm  = 0x03
-	typeCmd      = 0x04
-	typeResp     = 0x05
-	typeH2CData  = 0x06
-	typeC2HData  = 0x07
-	typeR2T      = 0x09
-	flagHDigest  = 1 << 0
-	flagDDigest  = 1 << 1
-	flagLast     = 1 << 2
-	flagSuccess  = 1 << 3
-	icLen        = 128
-	cmdLen       = 72 // common header and submission queue entry
-	respLen      = 24
-	dataLen      = 24
-	commonLen    = 8
-	maxTermData  = 128
-	digestLen    = 4
-	maxPDA       = 31
-	digestHeader = 1 << 0
-	digestData   = 1 << 1
+	enableHeaderDigest byte = 1 << 0
+	enableDataDigest   byte = 1 << 1
 )
 
-// Fatal error status codes of a termination request.
+// Lengths in bytes.
 const (
-	fesInvalidHeader  = 0x01
-	fesSequence       = 0x02
-	fesHeaderDigest   = 0x03
-	fesOutOfRange     = 0x04
-	fesLimitExceeded  = 0x05
-	fesUnsupported    = 0x06
-	maxPDUData        = 128 << 10 // the largest data of one PDU that is taken
-	maxH2CData        = 64 << 10  // told to hosts
-	minH2CData        = 4096
-	maxTransfer       = 128 << 10 // of one command; a power of two of pages, see identify
-	inCapsule         = 8192
-	defaultQueueDepth = 64
+	commonHeaderLen   = 8
+	icLen             = 128
+	commandCapsuleLen = commonHeaderLen + commandLen
+	responseLen       = 24
+	transferHeaderLen = 24 // also of a termination request
+	digestLen         = 4
+
+	// maxTerminationPayload is how much of the wrong PDU a termination request may hold.
+	maxTerminationPayload = 128
+	// maxPDUData is the largest data of one PDU that is accepted.
+	maxPDUData = 128 << 10
+	// maxH2CData is the largest data of one H2CData that hosts are told to send; C2HData is sent in parts of this size too.
+	maxH2CData = 64 << 10
+	// minMaxH2CData is the least that the specification lets a controller tell.
+	minMaxH2CData = 4096
+
+	// maxDataAlignment is the largest value of the data alignment fields, HPDA and CPDA.
+	maxDataAlignment  = 31
+	dataAlignmentUnit = 4
+)
+
+// Offsets of header fields. They are told in termination requests.
+const (
+	offsetType       = 0
+	offsetFlags      = 1
+	offsetHeaderLen  = 2
+	offsetDataOffset = 3
+	offsetPDULen     = 4
+
+	// of ICReq and ICResp
+	offsetFormatVersion = 8
+	offsetDataAlignment = 10
+	offsetDigests       = 11
+	offsetMaxH2CData    = 12
+
+	// of R2T, H2CData and C2HData
+	offsetCommandID      = 8
+	offsetTransferTag    = 10
+	offsetTransferOffset = 12
+	offsetTransferLength = 16
+
+	// of termination requests
+	offsetFatalErrorStatus = 8
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// pdu is one message. head starts with the common header; data is what follows it, if any.
+// pdu is a protocol data unit.
 type pdu struct {
-	kind  byte
-	flags byte
-	head  []byte
-	data  []byte
-	// dataError marks data whose digest does not match: the command fails, the connection lives.
-	dataError bool
+	kind   pduType
+	flags  byte
+	header []byte // complete, from the common header on
+	data   []byte
+	// dataDigestError marks data whose digest does not match. The command fails; the connection goes on.
+	dataDigestError bool
 }
 
-func (p *pdu) u16(at int) uint16 { return binary.LittleEndian.Uint16(p.head[at:]) }
-func (p *pdu) u32(at int) uint32 { return binary.LittleEndian.Uint32(p.head[at:]) }
+func (p *pdu) u16(offset int) uint16 { return binary.LittleEndian.Uint16(p.header[offset:]) }
+func (p *pdu) u32(offset int) uint32 { return binary.LittleEndian.Uint32(p.header[offset:]) }
 
-// fatal is an error that ends the connection with a termination request.
-type fatal struct {
-	fes   uint16
-	fei   uint32
-	cause string
-	head  []byte
-}
-
-func (f *fatal) Error() string { return fmt.Sprintf("%s (FES %#x, FEI %#x)", f.cause, f.fes, f.fei) }
+func (p *pdu) isLast() bool { return p.flags&flagLastPDU != 0 }
 
-// headLen is the length of each type's header; 0: not a type.
-func headLen(kind byte) int {
-	switch kind {
-	case typeICReq, typeICResp:
+// headerLen returns the header length of a type; 0: there is no such type.
+func (t pduType) headerLen() int {
+	switch t {
+	case pduICReq, pduICResp:
 		return icLen
-	case typeCmd:
-		return cmdLen
-	case typeResp, typeH2CData, typeC2HData, typeR2T, typeH2CTerm, typeC2HTerm:
-		return dataLen
+	case pduCommand:
+		return commandCapsuleLen
+	case pduResponse:
+		return responseLen
+	case pduH2CData, pduC2HData, pduReadyToTransfer, pduH2CTermination, pduC2HTermination:
+		return transferHeaderLen
 	}
 	return 0
 }
 
-// framing is what both sides agreed on.
+// hasDigests reports whether the agreed digests and data alignment apply to a type.
+func (t pduType) hasDigests() bool { return t >= firstTypeWithDigests }
+
+// framing is what both sides of a connection agreed on.
 type framing struct {
-	hdigest, ddigest bool
-	pda              int // the receiver wants data at multiples of 4*(pda+1)
+	headerDigest bool
+	dataDigest   bool
+	// dataAlignment is for sending: the receiver wants data at multiples of 4*(dataAlignment+1) bytes.
+	dataAlignment int
 }
 
-// readPDU reads one message and checks its header, lengths and digests before any of it is used.
-func readPDU(in io.Reader, f framing) (*pdu, error) {
-	var ch [commonLen]byte
-	if _, err := io.ReadFull(in, ch[:]); err != nil {
-		return nil, err
-	}
-	kind, flags, hlen, pdo := ch[0], ch[1], int(ch[2]), int(ch[3])
-	plen := int64(binary.LittleEndian.Uint32(ch[4:]))
-	bad := func(at uint32, cause string) error {
-		return &fatal{fes: fesInvalidHeader, fei: at, cause: cause, head: ch[:]}
-	}
-	want := headLen(kind)
-	switch {
-	case want == 0:
-		return nil, bad(0, "unknown PDU type")
-	case hlen != want:
-		return nil, bad(2, "header length does not fit the type")
-	}
-	digests := kind >= typeCmd
-	hd := digests && f.hdigest
-	if digests && (flags&flagHDigest != 0) != f.hdigest {
-		return nil, bad(1, "header digest flag is not what was agreed")
-	}
-	used := hlen
-	if hd {
-		used += digestLen
-	}
-	if plen < int64(used) || plen > int64(used+4*(maxPDA+1)+maxPDUData+digestLen) {
-		return nil, bad(4, "PDU length out of range")
-	}
-	p := &pdu{kind: kind, flags: flags, head: make([]byte, hlen)}
-	copy(p.head, ch[:])
-	if _, err := io.ReadFull(in, p.head[commonLen:]); err != nil {
-		return nil, short(err)
-	}
-	if hd {
-		var d [digestLen]byte
-		if _, err := io.ReadFull(in, d[:]); err != nil {
-			return nil, short(err)
-		}
-		if got := crc32.Checksum(p.head, castagnoli); got != binary.LittleEndian.Uint32(d[:]) {
-			return nil, &fatal{fes: fesHeaderDigest, fei: binary.LittleEndian.Uint32(d[:]), cause: "header digest", head: p.head}
-		}
-	}
-	rest := int(plen) - used
-	if rest == 0 {
-		return p, nil
-	}
-	switch kind {
-	case typeICReq, typeICResp, typeResp, typeR2T:
-		return nil, bad(4, "data where the type has none")
-	case typeH2CTerm, typeC2HTerm:
-		if rest > maxTermData {
-			return nil, bad(4, "termination request too long")
-		}
-		pdo = used
+// newFraming returns the framing for a digests field and the receiver's data alignment field.
+func newFraming(digests, dataAlignment byte) framing {
+	return framing{
+		headerDigest:  digests&enableHeaderDigest != 0,
+		dataDigest:    digests&enableDataDigest != 0,
+		dataAlignment: int(dataAlignment),
 	}
-	pad := pdo - used
-	if pad < 0 || pad > rest {
-		return nil, bad(3, "data offset out of range")
-	}
-	if _, err := io.CopyN(io.Discard, in, int64(pad)); err != nil {
-		return nil, short(err)
-	}
-	rest -= pad
-	dd := digests && flags&flagDDigest != 0
-	if dd != (digests && f.ddigest && rest > 0) {
-		return nil, bad(1, "data digest flag is not what was agreed")
-	}
-	if dd {
-		if rest -= digestLen; rest < 0 {
-			return nil, bad(4, "no room for the data digest")
-		}
-	}
-	p.data = make([]byte, rest)
-	if _, err := io.ReadFull(in, p.data); err != nil {
-		return nil, short(err)
-	}
-	if dd {
-		var d [digestLen]byte
-		if _, err := io.ReadFull(in, d[:]); err != nil {
-			return nil, short(err)
-		}
-		p.dataError = crc32.Checksum(p.data, castagnoli) != binary.LittleEndian.Uint32(d[:])
-	}
-	return p, nil
 }
 
-// short makes an end within a PDU tell itself from one between two.
-func short(err error) error {
-	if err == io.EOF {
-		return io.ErrUnexpectedEOF
-	}
-	return err
+// align rounds up to where data may start.
+func (f framing) align(offset int) int {
+	alignment := dataAlignmentUnit * (f.dataAlignment + 1)
+	return (offset + alignment - 1) / alignment * alignment
 }
 
-// appendPDU writes a message: head holds the fields after the common header.
-func appendPDU(b []byte, f framing, kind, flags byte, head, data []byte) []byte {
-	hlen := commonLen + len(head)
-	digests := kind >= typeCmd
-	used := hlen
-	if digests && f.hdigest {
-		flags |= flagHDigest
-		used += digestLen
+// appendPDU appends a PDU to b. header holds the fields after the common header.
+func appendPDU(b []byte, f framing, kind pduType, flags byte, header, data []byte) []byte {
+	headerDigest := f.headerDigest && kind.hasDigests()
+	dataDigest := f.dataDigest && kind.hasDigests() && len(data) > 0
+	headerLen := commonHeaderLen + len(header)
+	length := headerLen
+	if headerDigest {
+		flags |= flagHeaderDigest
+		length += digestLen
 	}
-	pdo, plen := 0, used
-	if len(data) > 0 {
-		if digests {
-			align := 4 * (f.pda + 1)
-			pdo = (used + align - 1) / align * align
-			plen = pdo
-		}
-		plen += len(data)
-		if digests && f.ddigest {
-			flags |= flagDDigest
-			plen += digestLen
-		}
+	dataOffset := 0
+	if len(data) > 0 && kind.hasDigests() {
+		dataOffset = f.align(length)
+		length = dataOffset
 	}
-	start := len(b)
-	b = append(b, kind, flags, byte(hlen), byte(pdo))
-	b = binary.LittleEndian.AppendUint32(b, uint32(plen))
-	b = append(b, head...)
-	if flags&flagHDigest != 0 && digests {
-		b = binary.LittleEndian.AppendUint32(b, crc32.Checksum(b[start:], castagnoli))
+	length += len(data)
+	if dataDigest {
+		flags |= flagDataDigest
+		length += digestLen
 	}
-	if len(data) == 0 {
-		return b
+
+	start := len(b)
+	b = append(b, byte(kind), flags, byte(headerLen), byte(dataOffset))
+	b = binary.LittleEndian.AppendUint32(b, uint32(length))
+	b = append(b, header...)
+	if headerDigest {
+		b = appendDigest(b, b[start:])
 	}
-	for len(b)-start < pdo {
-		b = append(b, 0)
+	if padding := dataOffset - (len(b) - start); padding > 0 {
+		b = append(b, make([]byte, padding)...)
 	}
 	b = append(b, data...)
-	if flags&flagDDigest != 0 && digests {
-		b = binary.LittleEndian.AppendUint32(b, crc32.Checksum(data, castagnoli))
+	if dataDigest {
+		b = appendDigest(b, data)
 	}
 	return b
 }
 
-// icHead is the body of ICReq and ICResp: version 0, alignment, digests, and the type's own limit.
-func icHead(pda, digests byte, limit uint32) []byte {
-	h := make([]byte, icLen-commonLen)
-	h[2], h[3] = pda, digests
-	binary.LittleEndian.PutUint32(h[4:], limit)
-	return h
+func appendDigest(b, covered []byte) []byte {
+	return binary.LittleEndian.AppendUint32(b, crc32.Checksum(covered, castagnoli))
+}
+
+// icPDU returns an ICReq or ICResp of format version 0. The sender accepts data at any alignment. maxData is ICResp's
+// MAXH2CDATA; ICReq's MAXR2T, which is 0-based, is at the same place.
+func icPDU(kind pduType, digests byte, maxData uint32) []byte {
+	header := make([]byte, icLen-commonHeaderLen)
+	header[offsetDigests-commonHeaderLen] = digests
+	binary.LittleEndian.PutUint32(header[offsetMaxH2CData-commonHeaderLen:], maxData)
+	return appendPDU(nil, framing{}, kind, 0, header, nil)
+}
+
+// terminationPDU returns a termination request for an error, with the start of the wrong PDU.
+func terminationPDU(kind pduType, e *protocolError) []byte {
+	header := make([]byte, transferHeaderLen-commonHeaderLen)
+	binary.LittleEndian.PutUint16(header, uint16(e.status))
+	binary.LittleEndian.PutUint32(header[2:], e.info)
+	return appendPDU(nil, framing{}, kind, 0, header, e.header[:min(len(e.header), maxTerminationPayload)])
+}
+
+// transfer is the header of R2T, H2CData and C2HData: a part of a command's data.
+type transfer struct {
+	commandID uint16
+	tag       uint16 // of the R2T; 0 in C2HData
+	offset    uint32
+	length    uint32
+}
+
+// header returns the fields after the common header.
+func (t transfer) header() []byte {
+	header := make([]byte, transferHeaderLen-commonHeaderLen)
+	binary.LittleEndian.PutUint16(header, t.commandID)
+	binary.LittleEndian.PutUint16(header[2:], t.tag)
+	binary.LittleEndian.PutUint32(header[4:], t.offset)
+	binary.LittleEndian.PutUint32(header[8:], t.length)
+	return header
 }
 
-func termPDU(kind byte, f *fatal) []byte {
-	h := make([]byte, dataLen-commonLen)
-	binary.LittleEndian.PutUint16(h, f.fes)
-	binary.LittleEndian.PutUint32(h[2:], f.fei)
-	return appendPDU(nil, framing{}, kind, 0, h, f.head[:min(len(f.head), maxTermData)])
+func parseTransfer(p *pdu) transfer {
+	return transfer{
+		commandID: p.u16(offsetCommandID),
+		tag:       p.u16(offsetTransferTag),
+		offset:    p.u32(offsetTransferOffset),
+		length:    p.u32(offsetTransferLength),
+	}
 }
 
-func dataHead(cid, tag uint16, offset, length uint32) []byte {
-	h := make([]byte, dataLen-commonLen)
-	binary.LittleEndian.PutUint16(h, cid)
-	binary.LittleEndian.PutUint16(h[2:], tag)
-	binary.LittleEndian.PutUint32(h[4:], offset)
-	binary.LittleEndian.PutUint32(h[8:], length)
-	return h
+// dataPDUs returns data as H2CData or C2HData PDUs of at most maxData bytes each. offset is where data lies in the command's
+// data; the last PDU has the last-PDU flag.
+func dataPDUs(f framing, kind pduType, commandID, tag uint16, offset int, data []byte, maxData int) iter.Seq[[]byte] {
+	return func(yield func([]byte) bool) {
+		for start := 0; start < len(data); start += maxData {
+			part := data[start:min(start+maxData, len(data))]
+			flags := byte(0)
+			if start+len(part) == len(data) {
+				flags = flagLastPDU
+			}
+			header := transfer{commandID: commandID, tag: tag, offset: uint32(offset + start), length: uint32(len(part))}
+			if !yield(appendPDU(nil, f, kind, flags, header.header(), part)) {
+				return
+			}
+		}
+	}
 }
--- /dev/null
+++ b/internal/nvme/server_test.go
@@ -0,0 +1,337 @@
+package nvme
+
+import (
+	"bytes"
+	"context"
+	"encoding/binary"
+	"encoding/hex"
+	"errors"
+	"io"
+	"net"
+	"os"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+
+	"dapplegate/internal/dispatcher"
+	"dapplegate/scheduler"
+)
+
+// TestCompletionStatus maps each response to its status, with a retry delay only for hosts that honour it.
+func TestCompletionStatus(t *testing.T) {
+	rejected := func(retryAfter time.Duration) dispatcher.Response {
+		return dispatcher.Response{Status: dispatcher.Rejected, RetryAfter: retryAfter}
+	}
+	failed := func(last scheduler.AttemptStatus) dispatcher.Response {
+		return dispatcher.Response{Status: dispatcher.Failed, LastAttempt: last}
+	}
+	for _, c := range []struct {
+		name          string
+		response      dispatcher.Response
+		advancedRetry bool
+		want          status
+	}{
+		{"served", dispatcher.Response{}, true, statusSuccess},
+		{"rejected", rejected(200 * time.Millisecond), false, statusNamespaceNotReady},
+		{"rejected with a delay", rejected(200 * time.Millisecond), true, statusNamespaceNotReady.withRetryDelay(2)},
+		{"rejected for longer than the longest delay", rejected(time.Minute), true, statusNamespaceNotReady.withRetryDelay(3)},
+		{"deadline exceeded", failed(scheduler.DeadlineExceeded), true, statusTransientTransport | statusDoNotRetry},
+		{"error", failed(scheduler.Errored), true, statusInternalError | statusDoNotRetry},
+	} {
+		if got := completionStatus(c.response, c.advancedRetry); got != c.want {
+			t.Errorf("%s: %#x, want %#x", c.name, uint16(got), uint16(c.want))
+		}
+	}
+}
+
+// TestRetryDelay rejects a command before and after the host enables Advanced Command Retry.
+func TestRetryDelay(t *testing.T) {
+	storage := newStorage()
+	storage.response = dispatcher.Response{Status: dispatcher.Rejected, RetryAfter: 100 * time.Millisecond}
+	_, addr := startServer(t, storage, poolNQN)
+	h := connectHost(t, addr, false)
+	h.read(0)
+	if result, _ := h.next(); result.status != statusNamespaceNotReady {
+		t.Errorf("before: %#x", uint16(result.status))
+	}
+	set := newCommand(opSetFeatures, h.admin.nextCommandID(), hostBehaviorLen, true)
+	set.putU32(sqeFeatureID, featureHostBehavior)
+	enable := make([]byte, hostBehaviorLen)
+	enable[0] = 1
+	if _, _, err := h.admin.execute(set, enable); err != nil {
+		t.Fatal(err)
+	}
+	h.read(0)
+	if result, _ := h.next(); result.status != statusNamespaceNotReady.withRetryDelay(1) || result.status&statusDoNotRetry != 0 {
+		t.Errorf("after: %#x", uint16(result.status))
+	}
+}
+
+// TestOutsideSubset checks that a command outside the subset gets its status, and that the connection goes on.
+func TestOutsideSubset(t *testing.T) {
+	_, addr := startServer(t, newStorage(), poolNQN)
+	h := connectHost(t, addr, false)
+	for _, c := range []struct {
+		name   string
+		modify func(*command)
+		want   status
+	}{
+		{"flush", func(c *command) { c[0] = 0 }, statusInvalidOpcode},
+		{"unknown namespace", func(c *command) { c.putU32(sqeNamespaceID, 9) }, statusInvalidNamespace},
+		{"past the end", func(c *command) { c.putU64(sqeStartLBA, 1<<20) }, statusLBAOutOfRange},
+		{"fused", func(c *command) { c[sqeFlags] |= 1 }, statusInvalidField},
+		{"PRPs", func(c *command) { c[sqeFlags] = 0 }, statusInvalidField},
+		{"length that does not fit", func(c *command) { c.putU32(sqeSGLLength, 4) }, statusInvalidField},
+		{"second connect", func(c *command) { c[0], c[sqeFabricsType] = byte(opFabrics), fabricsConnect }, statusSequenceError},
+	} {
+		entry := h.ioCommand(opRead, 0, 1, false)
+		c.modify(entry)
+		id := h.send(entry, nil)
+		if result, _ := h.next(); result.commandID != id || result.status != c.want|statusDoNotRetry {
+			t.Errorf("%s: %+v, want %#x", c.name, result, uint16(c.want|statusDoNotRetry))
+		}
+	}
+	const opAsyncEventRequest opcode = 0x0C
+	asyncEvent := newCommand(opAsyncEventRequest, h.admin.nextCommandID(), 0, false)
+	var failure *commandError
+	if _, _, err := h.admin.execute(asyncEvent, nil); !errors.As(err, &failure) || failure.status != statusInvalidOpcode|statusDoNotRetry {
+		t.Errorf("asynchronous event request: %v", err)
+	}
+	if _, _, err := h.admin.execute(newCommand(opKeepAlive, h.admin.nextCommandID(), 0, false), nil); err != nil {
+		t.Errorf("keep alive: %v", err)
+	}
+	h.read(0)
+	h.expectServed("a valid command after all these")
+}
+
+// TestAbort aborts a command by its queue and command ID: it has one completion, and no second one when the target responds.
+func TestAbort(t *testing.T) {
+	storage := newStorage()
+	storage.stalled = make(chan struct{})
+	_, addr := startServer(t, storage, poolNQN)
+	h := connectHost(t, addr, false)
+	id := h.write(1, "x")
+	<-storage.received
+	abort := func(want uint64) {
+		t.Helper()
+		entry := newCommand(opAbort, h.admin.nextCommandID(), 0, false)
+		entry.putU16(sqeAbortQueueID, 1)
+		entry.putU16(sqeAbortCommandID, id)
+		if result, _, err := h.admin.execute(entry, nil); err != nil || result.result != want {
+			t.Errorf("abort: result %d, %v; want %d", result.result, err, want)
+		}
+	}
+	abort(0)
+	if result, _ := h.next(); result.commandID != id || result.status != statusAbortRequested|statusDoNotRetry {
+		t.Errorf("aborted command: %+v", result)
+	}
+	abort(1)
+	close(storage.stalled)
+	other := h.read(5)
+	if result, _ := h.next(); result.commandID != other {
+		t.Errorf("completion of %d, want none but of %d", result.commandID, other)
+	}
+}
+
+// TestTermination checks that a violation of the transport's rules is answered with a termination request that tells it.
+func TestTermination(t *testing.T) {
+	_, addr := startServer(t, newStorage(), poolNQN)
+	dataPDU := func(header transfer, flags byte, data []byte) []byte {
+		return appendPDU(nil, framing{}, pduH2CData, flags, header.header(), data)
+	}
+	for _, c := range []struct {
+		name string
+		send func(*testHost) error
+		want fatalErrorStatus
+	}{
+		{"unknown type", func(h *testHost) error { return h.sendRaw([]byte{0x42, 0, 8, 0, 8, 0, 0, 0}) }, fesInvalidHeader},
+		{"a controller's PDU", func(h *testHost) error {
+			header := transfer{commandID: 1, tag: 1, length: 1}.header()
+			return h.sendRaw(appendPDU(nil, framing{}, pduReadyToTransfer, 0, header, nil))
+		}, fesSequence},
+		{"data that was not asked for", func(h *testHost) error {
+			return h.sendRaw(dataPDU(transfer{commandID: 9, tag: 9, length: 1}, flagLastPDU, []byte("x")))
+		}, fesInvalidHeader},
+		{"data out of range", func(h *testHost) error {
+			const blocks = 32
+			id := h.send(h.ioCommand(opWrite, 0, blocks, false), nil)
+			p, err := h.io.receive()
+			if err != nil || p.kind != pduReadyToTransfer || p.u32(offsetTransferLength) != blocks*blockSize {
+				return errors.Join(errors.New("no R2T"), err)
+			}
+			header := transfer{commandID: id, tag: p.u16(offsetTransferTag), offset: 512, length: 512}
+			return h.sendRaw(dataPDU(header, 0, make([]byte, 512)))
+		}, fesOutOfRange},
+	} {
+		h := connectHost(t, addr, false)
+		if err := c.send(h); err != nil {
+			t.Errorf("%s: %v", c.name, err)
+			continue
+		}
+		p := h.nextPDU()
+		if p.kind != pduC2HTermination || fatalErrorStatus(p.u16(offsetFatalErrorStatus)) != c.want {
+			t.Errorf("%s: %+v; want a termination request with %#x", c.name, p, uint16(c.want))
+		}
+	}
+}
+
+// TestDamagedStream sends damaged, truncated and made-up PDUs to a controller, connection after connection: it answers or ends
+// each connection, and serves another host as before.
+func TestDamagedStream(t *testing.T) {
+	_, addr := startServer(t, newStorage(), poolNQN)
+	other := connectHost(t, addr, false)
+	types := []pduType{pduICReq, pduCommand, pduH2CData, pduH2CTermination, pduReadyToTransfer, 0x55}
+	rapid.Check(t, func(rt *rapid.T) {
+		out := icPDU(pduICReq, 0, 0)
+		for range rapid.IntRange(1, 4).Draw(rt, "PDUs") {
+			kind := rapid.SampledFrom(types).Draw(rt, "type")
+			headerLen := max(kind.headerLen(), transferHeaderLen) - commonHeaderLen
+			header := rapid.SliceOfN(rapid.Byte(), headerLen, headerLen).Draw(rt, "header")
+			if kind == pduCommand && rapid.Bool().Draw(rt, "connect") {
+				copy(header, []byte{byte(opFabrics), flagsUseSGL, 1, 0, fabricsConnect})
+			}
+			out = appendPDU(out, framing{}, kind, 0, header, rapid.SliceOfN(rapid.Byte(), 0, 1100).Draw(rt, "data"))
+		}
+		sendUntilClosed(rt, addr, out[:rapid.IntRange(0, len(out)).Draw(rt, "length")])
+	})
+	other.read(1)
+	other.expectServed("another host afterwards")
+}
+
+// sendUntilClosed sends bytes on a connection of their own, and fails if the controller does not end it.
+func sendUntilClosed(t *rapid.T, addr string, b []byte) {
+	conn, err := net.Dial("tcp", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = conn.Close() }()
+	if err := conn.SetDeadline(time.Now().Add(testTimeout)); err != nil {
+		t.Fatal(err)
+	}
+	// The controller may end the connection at any byte: only a timeout is a failure.
+	_, _ = conn.Write(b)
+	_ = conn.(*net.TCPConn).CloseWrite()
+	if _, err := io.Copy(io.Discard, conn); errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Fatal("the controller neither answered nor ended the connection")
+	}
+}
+
+// TestBadConnect refuses hosts that ask for another subsystem, or for an I/O queue without an association.
+func TestBadConnect(t *testing.T) {
+	_, addr := startServer(t, newStorage(), poolNQN)
+	h := NewHost(HostOptions{Subsystem: "nqn.other", HostNQN: "nqn.host", KeepAliveTimeout: time.Minute})
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
+	defer cancel()
+	conn, err := h.dial(ctx, addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	closeAtEnd(t, conn)
+	if _, err := conn.connect(h.options, 0, anyControllerID); err == nil {
+		t.Error("a subsystem that is not here was connected to")
+	}
+	if _, err := conn.connect(HostOptions{Subsystem: poolNQN, HostNQN: "nqn.host"}, 1, 77); err == nil {
+		t.Error("an I/O queue joined no association")
+	}
+}
+
+// TestSilentConnectionsAreEvicted fills the limit with connections that send nothing: a host can still connect, queues of an
+// association stay, and no further connection is accepted once all have connected.
+func TestSilentConnectionsAreEvicted(t *testing.T) {
+	s, addr := startServer(t, newStorage(), poolNQN)
+	s.mu.Lock()
+	s.options.MaxConns = 4
+	s.mu.Unlock()
+	dial := func() net.Conn {
+		t.Helper()
+		conn, err := net.Dial("tcp", addr)
+		if err != nil {
+			t.Fatal(err)
+		}
+		closeAtEnd(t, conn)
+		return conn
+	}
+	first := connectHost(t, addr, false)
+	for range 50 {
+		dial()
+	}
+	second := connectHost(t, addr, false)
+	fifth := dial()
+	if err := fifth.SetDeadline(time.Now().Add(testTimeout)); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := fifth.Read(make([]byte, 1)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Errorf("a fifth connection beside four queues: %v, want it closed", err)
+	}
+	for _, h := range []*testHost{first, second} {
+		h.read(1)
+		h.expectServed("a host that had connected")
+	}
+}
+
+// TestShutdown checks the steps of a shutdown: a command in flight is completed, commands on open connections are served for
+// a while, and rejected after that.
+func TestShutdown(t *testing.T) {
+	storage := newStorage()
+	storage.stalled = make(chan struct{})
+	s, addr := startServer(t, storage, poolNQN)
+	h := connectHost(t, addr, false)
+	inFlight := h.read(1)
+	<-storage.received
+	ended := make(chan error)
+	go func() { ended <- s.Shutdown(context.Background()) }()
+	time.Sleep(dispatcher.AcceptGrace + 100*time.Millisecond)
+	during := h.read(3)
+	if request := <-storage.received; request.StartLBA != 3 {
+		t.Errorf("block %d was read during the shutdown, want 3", request.StartLBA)
+	}
+	for !s.rejecting.Load() {
+		time.Sleep(time.Millisecond)
+	}
+	late := h.read(2)
+	if result, _ := h.next(); result.commandID != late || result.status.code() != statusNamespaceNotReady ||
+		result.status&statusDoNotRetry != 0 {
+		t.Errorf("late command: %+v, want it rejected", result)
+	}
+	close(storage.stalled)
+	for range 2 {
+		result, _ := h.next()
+		if result.commandID != inFlight && result.commandID != during || result.status != statusSuccess {
+			t.Errorf("commands accepted before: %+v", result)
+		}
+	}
+	if err := <-ended; err != nil {
+		t.Error(err)
+	}
+}
+
+// TestIdentify reads the data structures that a host begins with.
+func TestIdentify(t *testing.T) {
+	_, addr := startServer(t, newStorage(), poolNQN)
+	h := connectHost(t, addr, true)
+	for cns, check := range map[uint32]func([]byte) bool{
+		identifyNamespace: func(data []byte) bool {
+			return binary.LittleEndian.Uint64(data) == 1<<20 && data[130] == 9
+		},
+		identifyController: func(data []byte) bool {
+			return bytes.HasPrefix(data[768:], []byte(poolNQN)) && data[512] == 0x66
+		},
+		identifyActiveNamespaces: func(data []byte) bool {
+			return binary.LittleEndian.Uint32(data) == 1 && data[4] == 0
+		},
+		identifyNamespaceDescriptors: func(data []byte) bool {
+			return data[0] == 1 && hex.EncodeToString(data[4:12]) == testNamespace().Volume
+		},
+	} {
+		entry := newCommand(opIdentify, h.admin.nextCommandID(), identifyDataLen, false)
+		if cns != identifyActiveNamespaces {
+			entry.putU32(sqeNamespaceID, 1)
+		}
+		entry.putU32(sqeIdentifyCNS, cns)
+		_, data, err := h.admin.execute(entry, nil)
+		if err != nil || len(data) != identifyDataLen || !check(data) {
+			t.Errorf("CNS %d: %d bytes, %v", cns, len(data), err)
+		}
+	}
+}
