--- a/cmd/initiator/nvme_test.go
+++ b/cmd/initiator/nvme_test.go
@@ -21,7 +21,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	text := strings.NewReplacer("standard", "base", "event-write", "position-read", "history-export", "position-read").Replace(string(raw))
+	// The configuration of this test has one plan and one class.
+	names := strings.NewReplacer("standard", "base", "event-write", "position-read", "history-export", "position-read")
+	text := names.Replace(string(raw))
 	path := filepath.Join(t.TempDir(), "nvme.toml")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -140,7 +140,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if deadlines := platform.ClassDeadlines(); len(operator.NVMe.Namespaces) != 1 || deadlines["event-write"] != 1200*time.Millisecond {
+	deadlines := platform.ClassDeadlines()
+	if len(operator.NVMe.Namespaces) != 1 || deadlines["event-write"] != 1200*time.Millisecond {
 		t.Errorf("%d namespaces, deadlines %v", len(operator.NVMe.Namespaces), deadlines)
 	}
 	if operator.NVMe.HostIdentifier()[0] != 0x5f || operator.NVMe.KeepAliveTimeout() != 5*time.Second {
--- a/internal/nvme/command.go
+++ b/internal/nvme/command.go
@@ -36,25 +36,34 @@
 	sglTransport     byte = 0x5A // transport data block
 )
 
-// The flags of a submission queue entry: how its data is described, and whether it is fused with another.
+// Flags of a submission queue entry.
 const (
-	flagsDataMask  = 0xC0
+	flagsDataMask  = 0xC0 // PSDT: how the data is described
 	flagsUseSGL    = 0x40
-	flagsFusedMask = 0x03
+	flagsFusedMask = 0x03 // FUSE: executed together with another command
 )
 
 // Lengths in bytes.
 const (
-	commandLen         = 64 // submission queue entry
-	connectDataLen     = 1024
-	identifyDataLen    = 4096
-	hostBehaviorLen    = 512
-	maxInCapsuleData   = 8192      // of a command to this controller
-	maxTransferLen     = 128 << 10 // of one command
-	maxTransferPageExp = 5         // maxTransferLen is 2^5 pages of 4 KiB, as MDTS tells it
-	maxIOQueues        = 16        // of one association
-	adminQueueSize     = 32        // the least that the specification lets a host ask for
-	anyControllerID    = 0xFFFF    // CNTLID with which a host asks for any controller
+	commandLen      = 64 // submission queue entry
+	connectDataLen  = 1024
+	identifyDataLen = 4096
+	hostBehaviorLen = 512 // data of Set Features, Host Behavior Support
+
+	// maxInCapsuleData is how much of a write's data a capsule to this controller may hold.
+	maxInCapsuleData = 8192
+	// maxTransferLen is the largest data of one command, as 2 to the power of maxTransferPages pages of 4 KiB.
+	maxTransferLen   = 4096 << maxTransferPages
+	maxTransferPages = 5
+)
+
+const (
+	// maxIOQueues is the number of I/O queues of an association.
+	maxIOQueues = 16
+	// adminQueueSize is the smallest maximum that the specification allows for an admin queue, in entries.
+	adminQueueSize = 32
+	// anyControllerID is the controller ID with which a host asks for a new association.
+	anyControllerID = 0xFFFF
 )
 
 // Offsets in a submission queue entry.
--- a/internal/nvme/endtoend_test.go
+++ b/internal/nvme/endtoend_test.go
@@ -28,13 +28,18 @@
 
 		const blocks = 200
 		large := bytes.Repeat([]byte("0123456789abcdef"), blocks*blockSize/16)
-		queue := &ioQueue{hostConn: h.io, association: &hostAssociation{adminLock: make(chan struct{}, 1)}, maxInCapsuleData: maxInCapsuleData}
+		queue := &ioQueue{
+			hostConn:         h.io,
+			association:      &hostAssociation{adminLock: make(chan struct{}, 1)},
+			maxInCapsuleData: maxInCapsuleData,
+		}
 		roundTrip := func(request *IORequest) (dispatcher.AttemptResult, string) {
 			attempt := dispatcher.Attempt{Deadline: time.Now().Add(testTimeout), Payload: request}
 			result, _, reason := queue.RoundTrip(attempt, func() bool { return true })
 			return result, reason
 		}
-		result, reason := roundTrip(&IORequest{Write: true, NamespaceID: 1, StartLBA: 100, Blocks: blocks, Bytes: len(large), Data: large})
+		write := &IORequest{Write: true, NamespaceID: 1, StartLBA: 100, Blocks: blocks, Bytes: len(large), Data: large}
+		result, reason := roundTrip(write)
 		if result.Status != scheduler.Succeeded {
 			t.Fatalf("large write: %+v, %s", result, reason)
 		}
--- a/internal/nvme/hostqueue.go
+++ b/internal/nvme/hostqueue.go
@@ -36,7 +36,8 @@
 // RoundTrip implements upstream.Conn for one read or write, an *IORequest. A write's data is in the capsule where it fits,
 // else it is sent when the controller asks for it. A write cannot have been executed before the last byte of its data was
 // sent: until then an error is ConnectFailed, which permits another attempt.
-func (q *ioQueue) RoundTrip(attempt dispatcher.Attempt, first func() bool) (result dispatcher.AttemptResult, reuse bool, reason string) {
+func (q *ioQueue) RoundTrip(attempt dispatcher.Attempt, first func() bool) (
+	result dispatcher.AttemptResult, reuse bool, reason string) {
 	x := newExchange(q, attempt.Payload.(*IORequest))
 	capsule := x.capsule()
 	q.setDeadline(attempt.Deadline)
--- a/internal/nvme/identify.go
+++ b/internal/nvme/identify.go
@@ -110,7 +110,7 @@
 	putText(data[controllerSerialNumber:], serialNumberLen, subsystem[max(0, len(subsystem)-serialNumberLen):])
 	putText(data[controllerModelNumber:], modelNumberLen, modelNumber)
 	putText(data[controllerFirmwareRevision:], firmwareRevisionLen, firmwareRevision)
-	data[controllerMaxTransferSize] = maxTransferPageExp
+	data[controllerMaxTransferSize] = maxTransferPages
 	binary.LittleEndian.PutUint16(data[controllerIdentifier:], id)
 	binary.LittleEndian.PutUint32(data[controllerVersion:], specificationVersion)
 	data[controllerType] = typeIOController
--- a/internal/nvme/server_test.go
+++ b/internal/nvme/server_test.go
@@ -95,7 +95,8 @@
 	const opAsyncEventRequest opcode = 0x0C
 	asyncEvent := newCommand(opAsyncEventRequest, h.admin.nextCommandID(), 0, false)
 	var failure *commandError
-	if _, _, err := h.admin.execute(asyncEvent, nil); !errors.As(err, &failure) || failure.status != statusInvalidOpcode|statusDoNotRetry {
+	_, _, err := h.admin.execute(asyncEvent, nil)
+	if !errors.As(err, &failure) || failure.status != statusInvalidOpcode|statusDoNotRetry {
 		t.Errorf("asynchronous event request: %v", err)
 	}
 	if _, _, err := h.admin.execute(newCommand(opKeepAlive, h.admin.nextCommandID(), 0, false), nil); err != nil {
