--- a/internal/configstore/server.go
+++ b/internal/configstore/server.go
@@ -48,7 +48,7 @@
 }
 
 // Start opens the durable data and joins the Raft group. A server without data founds the group from Options.Peers; one with
-// data goes on from its log. Errors start with the operator's field that they come from.
+// data continues from its log. Errors start with the operator's field that they come from.
 func Start(opt Options) (*Server, error) {
 	self, err := opt.self()
 	if err != nil {
--- a/internal/nvme/admin.go
+++ b/internal/nvme/admin.go
@@ -17,7 +17,7 @@
 	}
 }
 
-// handleAbort aborts a command of any queue of the association. The result tells whether it was aborted.
+// handleAbort aborts a command of any queue of the association. The result is whether it was aborted.
 func (q *queue) handleAbort(p *pendingCommand) {
 	const aborted, notAborted = 0, 1
 	target := q.association.queue(p.entry.u16(sqeAbortQueueID))
--- a/internal/nvme/endtoend_test.go
+++ b/internal/nvme/endtoend_test.go
@@ -78,7 +78,7 @@
 	}
 }
 
-// TestTargetStallsAndDrains: a target stands still with a write in flight, and is then listed as draining. The write has one
+// TestTargetStallsAndDrains: a target stalls with a write in flight, and is then listed as draining. The write has one
 // completion, with DNR, so that the host does not send it again. It is not sent to another target. Later commands go to the
 // target's successor and to nowhere else, also after the stalled target has gone on.
 func TestTargetStallsAndDrains(t *testing.T) {
--- a/internal/nvme/helpers_test.go
+++ b/internal/nvme/helpers_test.go
@@ -77,7 +77,7 @@
 	return serve(t, l, d, subsystem), l.Addr().String()
 }
 
-// storage is the dispatcher of a stand-in target: it keeps blocks, counts what it executes, and can stand still.
+// storage is the dispatcher of a stand-in target: it keeps blocks, counts what it executes, and can be stalled.
 type storage struct {
 	received chan *IORequest
 
--- a/internal/nvme/hostassociation.go
+++ b/internal/nvme/hostassociation.go
@@ -23,7 +23,7 @@
 	addr string
 
 	// adminLock is held while the admin queue is used or established. It is a channel so that waiting for it can be given
-	// up: a target that stands still must not hold up attempts beyond their deadlines.
+	// up: a stalled target must not hold up attempts beyond their deadlines.
 	adminLock chan struct{}
 
 	mu               sync.Mutex
--- a/internal/nvme/hostconn.go
+++ b/internal/nvme/hostconn.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Queue sizes that Connect asks for, 0-based as it tells them.
+// Queue sizes that Connect asks for, 0-based as in its SQSIZE field.
 const (
 	adminQueueSizeField = adminQueueSize - 1
 	ioQueueSizeField    = 1 // the least; one command at a time uses it
@@ -77,7 +77,7 @@
 		p.u32(offsetMaxH2CData) >= minMaxH2CData
 }
 
-// receive reads a PDU. A violation of the protocol is told to the controller.
+// receive reads a PDU. A violation of the protocol is answered with a termination request.
 func (c *hostConn) receive() (*pdu, error) {
 	p, err := readPDU(c.in, c.framing)
 	var violation *protocolError
--- a/internal/nvme/hostqueue.go
+++ b/internal/nvme/hostqueue.go
@@ -38,8 +38,8 @@
 // sent: until then an error is ConnectFailed, which permits another attempt.
 func (q *ioQueue) RoundTrip(attempt dispatcher.Attempt, first func() bool) (
 	result dispatcher.AttemptResult, reuse bool, reason string) {
-	x := newExchange(q, attempt.Payload.(*IORequest))
-	capsule := x.capsule()
+	e := newExchange(q, attempt.Payload.(*IORequest))
+	capsule := e.capsule()
 	q.setDeadline(attempt.Deadline)
 	if !first() {
 		result.Status = scheduler.NotSent
@@ -49,12 +49,12 @@
 		result.Status = scheduler.ConnectFailed
 		return result, false, "WRITE_" + upstream.ErrorReason(err)
 	}
-	finalStatus, data, err := x.run()
+	finalStatus, data, err := e.run()
 	if err != nil {
 		if errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, net.ErrClosed) {
-			q.association.abort(q.id, x.entry.id())
+			q.association.abort(q.id, e.entry.id())
 		}
-		result.Status = x.failure(err)
+		result.Status = e.failure(err)
 		return result, false, "READ_" + upstream.ErrorReason(err)
 	}
 	result.Status = attemptStatus(finalStatus)
@@ -86,18 +86,18 @@
 }
 
 // capsule returns the command capsule.
-func (x *exchange) capsule() []byte {
+func (e *exchange) capsule() []byte {
 	var inCapsule []byte
-	if x.inCapsule {
-		inCapsule = x.request.Data
+	if e.inCapsule {
+		inCapsule = e.request.Data
 	}
-	return appendPDU(nil, x.queue.framing, pduCommand, 0, x.entry[:], inCapsule)
+	return appendPDU(nil, e.queue.framing, pduCommand, 0, e.entry[:], inCapsule)
 }
 
 // failure returns the attempt's status after an error. Once all data is sent, the target may have executed the command.
-func (x *exchange) failure(err error) scheduler.AttemptStatus {
+func (e *exchange) failure(err error) scheduler.AttemptStatus {
 	switch {
-	case !x.sent:
+	case !e.sent:
 		return scheduler.ConnectFailed
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return scheduler.DeadlineExceeded
@@ -106,30 +106,30 @@
 }
 
 // run handles the controller's PDUs until the completion. It returns the status and the data that was read.
-func (x *exchange) run() (status, []byte, error) {
+func (e *exchange) run() (status, []byte, error) {
 	for {
-		p, err := x.queue.receive()
+		p, err := e.queue.receive()
 		if err != nil {
 			return 0, nil, err
 		}
 		switch p.kind {
 		case pduReadyToTransfer:
-			if err := x.sendData(p); err != nil {
+			if err := e.sendData(p); err != nil {
 				return 0, nil, err
 			}
 		case pduC2HData:
-			if err := x.receiveData(p); err != nil {
+			if err := e.receiveData(p); err != nil {
 				return 0, nil, err
 			}
 			if p.isLast() && p.flags&flagSuccess != 0 {
-				return x.finish(statusSuccess)
+				return e.finish(statusSuccess)
 			}
 		case pduResponse:
 			result := parseCompletion(p)
-			if result.commandID != x.entry.id() {
+			if result.commandID != e.entry.id() {
 				return 0, nil, &controllerError{cause: "completion of another command"}
 			}
-			return x.finish(result.status)
+			return e.finish(result.status)
 		case pduC2HTermination:
 			return 0, nil, io.ErrUnexpectedEOF
 		default:
@@ -139,42 +139,42 @@
 }
 
 // sendData sends the part of the data that an R2T asks for.
-func (x *exchange) sendData(readyToTransfer *pdu) error {
+func (e *exchange) sendData(readyToTransfer *pdu) error {
 	header := parseTransfer(readyToTransfer)
-	if x.sent || header.commandID != x.entry.id() {
+	if e.sent || header.commandID != e.entry.id() {
 		return &controllerError{cause: "R2T for no write that waits"}
 	}
 	// In 64 bits: the controller's offset and length may add up to more than 32.
 	offset, end := int64(header.offset), int64(header.offset)+int64(header.length)
-	total := int64(len(x.request.Data))
+	total := int64(len(e.request.Data))
 	if header.length == 0 || end > total {
 		return &controllerError{cause: "R2T out of range"}
 	}
-	part := x.request.Data[offset:end]
-	for pdu := range dataPDUs(x.queue.framing, pduH2CData, header.commandID, header.tag, int(offset), part, x.queue.maxH2CData) {
-		if _, err := x.queue.Write(pdu); err != nil {
+	part := e.request.Data[offset:end]
+	for pdu := range dataPDUs(e.queue.framing, pduH2CData, header.commandID, header.tag, int(offset), part, e.queue.maxH2CData) {
+		if _, err := e.queue.Write(pdu); err != nil {
 			return err
 		}
 	}
-	x.sent = end == total
+	e.sent = end == total
 	return nil
 }
 
 // receiveData adds a part of the data read. The parts must come in order.
-func (x *exchange) receiveData(p *pdu) error {
+func (e *exchange) receiveData(p *pdu) error {
 	header := parseTransfer(p)
-	isExpected := !x.request.Write && header.commandID == x.entry.id() && int64(header.offset) == int64(len(x.data))
-	if !isExpected || len(x.data)+len(p.data) > x.request.Bytes || p.dataDigestError {
+	isExpected := !e.request.Write && header.commandID == e.entry.id() && int64(header.offset) == int64(len(e.data))
+	if !isExpected || len(e.data)+len(p.data) > e.request.Bytes || p.dataDigestError {
 		return &controllerError{cause: "data for no read, out of order or damaged"}
 	}
-	x.data = append(x.data, p.data...)
+	e.data = append(e.data, p.data...)
 	return nil
 }
 
 // finish returns the result of a completed command. A read that succeeded without all of its data is an error.
-func (x *exchange) finish(s status) (status, []byte, error) {
-	if s == statusSuccess && !x.request.Write && len(x.data) != x.request.Bytes {
+func (e *exchange) finish(s status) (status, []byte, error) {
+	if s == statusSuccess && !e.request.Write && len(e.data) != e.request.Bytes {
 		return 0, nil, &controllerError{cause: "data is not whole"}
 	}
-	return s, x.data, nil
+	return s, e.data, nil
 }
--- a/internal/nvme/pdu.go
+++ b/internal/nvme/pdu.go
@@ -50,9 +50,9 @@
 	maxTerminationPayload = 128
 	// maxPDUData is the largest data of one PDU that is accepted.
 	maxPDUData = 128 << 10
-	// maxH2CData is the largest data of one H2CData that hosts are told to send; C2HData is sent in parts of this size too.
+	// maxH2CData is the largest data of one H2CData, as ICResp announces it. C2HData is sent in parts of this size too.
 	maxH2CData = 64 << 10
-	// minMaxH2CData is the least that the specification lets a controller tell.
+	// minMaxH2CData is the least that the specification lets a controller announce.
 	minMaxH2CData = 4096
 
 	// maxDataAlignment is the largest value of the data alignment fields, HPDA and CPDA.
@@ -60,7 +60,7 @@
 	dataAlignmentUnit = 4
 )
 
-// Offsets of header fields. They are told in termination requests.
+// Offsets of header fields. A termination request holds that of the wrong field.
 const (
 	offsetType       = 0
 	offsetFlags      = 1
@@ -92,7 +92,7 @@
 	flags  byte
 	header []byte // complete, from the common header on
 	data   []byte
-	// dataDigestError marks data whose digest does not match. The command fails; the connection goes on.
+	// dataDigestError marks data whose digest does not match. The command fails; the connection stays open.
 	dataDigestError bool
 }
 
--- a/internal/nvme/pdureader.go
+++ b/internal/nvme/pdureader.go
@@ -14,7 +14,7 @@
 	flags      byte
 	headerLen  int
 	dataOffset int
-	length     int64 // of the whole PDU
+	length     int64 // of the PDU, with this header
 }
 
 // readPDU reads one PDU. Header, lengths and digests are checked before any of it is used. A violation is a *protocolError,
--- a/internal/nvme/queue.go
+++ b/internal/nvme/queue.go
@@ -33,13 +33,14 @@
 	endReason string
 	done      chan struct{} // closed after the connection
 
-	connected   atomic.Bool  // Connect has succeeded, which sets the next three
-	association *association // nil before
-	id          uint16       // 0: admin queue
+	// set by Connect
+	connected   atomic.Bool
+	association *association // nil before Connect
+	id          uint16       // queue ID; 0: admin queue
 	size        uint16       // entries; 0 before Connect
 
 	mu              sync.Mutex
-	sqHead          uint16
+	sqHead          uint16                     // submission queue head pointer
 	commandCount    int                        // since the connection was accepted
 	commands        map[uint16]*pendingCommand // without a completion, by command ID; nil: the connection is closed
 	lastTransferTag uint16
@@ -142,7 +143,8 @@
 	}
 }
 
-// readLoop handles PDUs until the connection fails or the host ends it. A violation of the protocol is told to the host.
+// readLoop handles PDUs until the connection fails or the host ends it. A violation of the protocol is answered with a
+// termination request.
 func (q *queue) readLoop() {
 	err := q.serve()
 	var violation *protocolError
--- a/internal/nvme/server.go
+++ b/internal/nvme/server.go
@@ -113,7 +113,7 @@
 			return nil
 		}
 		if err != nil {
-			time.Sleep(acceptRetryInterval) // open connections go on
+			time.Sleep(acceptRetryInterval) // open connections are still served
 			continue
 		}
 		q := newQueue(s, conn)
--- a/internal/nvme/server_test.go
+++ b/internal/nvme/server_test.go
@@ -68,7 +68,7 @@
 	}
 }
 
-// TestOutsideSubset checks that a command outside the subset gets its status, and that the connection goes on.
+// TestOutsideSubset checks that a command outside the subset gets its status, and that the connection stays open.
 func TestOutsideSubset(t *testing.T) {
 	_, addr := startServer(t, newStorage(), poolNQN)
 	h := connectHost(t, addr, false)
@@ -135,7 +135,8 @@
 	}
 }
 
-// TestTermination checks that a violation of the transport's rules is answered with a termination request that tells it.
+// TestTermination checks that a violation of the transport's rules is answered with a termination request with the
+// right fatal error status.
 func TestTermination(t *testing.T) {
 	_, addr := startServer(t, newStorage(), poolNQN)
 	dataPDU := func(header transfer, flags byte, data []byte) []byte {
