--- a/cmd/simadapter/decode.go
+++ b/cmd/simadapter/decode.go
@@ -1,110 +1,117 @@
 package main
 
 import (
-	"encoding/json"
 	"fmt"
-	"strconv"
 
 	"dapplegate/scheduler"
 )
 
-func parseUint(n json.Number) (uint64, error) { return strconv.ParseUint(n.String(), 10, 64) }
-
-// required names the first of the fields that is absent.
-func required(fields ...any) error {
-	for i := 0; i+1 < len(fields); i += 2 {
-		absent := false
-		switch p := fields[i+1].(type) {
-		case *string:
-			absent = p == nil
-		case *int:
-			absent = p == nil
-		case *int64:
-			absent = p == nil
-		case *float64:
-			absent = p == nil
-		case *bool:
-			absent = p == nil
-		}
-		if absent {
-			return missing(fields[i].(string))
-		}
-	}
-	return nil
-}
-
-// decode turns a wire event into the module's; nil where the module has no use for it.
-func decode(e *event) (scheduler.Event, error) {
-	switch *e.Type {
+// decodeEvent returns the event in the scheduler's terms, or nil for one that the scheduler does not need.
+func decodeEvent(event *wireEvent) (scheduler.Event, error) {
+	switch *event.Type {
 	case "members":
-		return decodeList(e)
+		return decodeEndpointList(event)
 	case "newRequest":
-		err := required("rid", e.Rid, "tier", e.Tier, "vol", e.Vol, "grade", e.Grade,
-			"budgetUs", e.BudgetUs, "weight", e.Weight, "groupNo", e.GroupNo)
-		if err != nil {
-			return nil, err
-		}
-		r := scheduler.Request{ID: *e.Rid, Class: *e.Grade, Plan: *e.Tier, Volume: *e.Vol,
-			Shard: *e.GroupNo, Units: *e.Weight, Timeout: us(*e.BudgetUs)}
-		if e.Chunk != nil {
-			r.Extent = *e.Chunk
-		}
-		if e.Writers != nil {
-			r.Initiators = int(*e.Writers)
-		}
-		return r, nil
+		return decodeRequest(event)
 	case "result":
-		err := required("rid", e.Rid, "leg", e.Leg, "target", e.Target, "stateCode", e.StateCode,
-			"spentUs", e.SpentUs, "complete", e.Complete)
-		if err != nil {
-			return nil, err
-		}
-		code, err := decodeCode(*e.StateCode)
-		if err != nil {
-			return nil, err
-		}
-		o := scheduler.AttemptEnded{RequestID: *e.Rid, Attempt: *e.Leg, Target: *e.Target, Status: code,
-			Latency: us(*e.SpentUs), Answered: *e.Complete}
-		if e.Used != nil {
-			o.VolumeUsage = *e.Used
-		}
-		o.LoadReport = load(e.ServerStats)
-		return o, nil
+		return decodeAttemptEnded(event)
 	case "underWay":
-		if err := required("rid", e.Rid); err != nil {
+		if err := require(field("rid", event.Rid)); err != nil {
 			return nil, err
 		}
-		return scheduler.ResponseStarted{RequestID: *e.Rid}, nil
+		return scheduler.ResponseStarted{RequestID: *event.Rid}, nil
 	case "clientGone":
-		if err := required("rid", e.Rid); err != nil {
+		if err := require(field("rid", event.Rid)); err != nil {
 			return nil, err
 		}
-		return scheduler.ClientClosed{RequestID: *e.Rid}, nil
+		return scheduler.ClientClosed{RequestID: *event.Rid}, nil
 	case "reminder":
 		return scheduler.Timer{}, nil
 	case "message", "healthResult":
 		return nil, nil
 	}
-	return nil, fmt.Errorf("type: unknown event %q", *e.Type)
+	return nil, fmt.Errorf("type: unknown event %q", *event.Type)
+}
+
+func decodeRequest(event *wireEvent) (scheduler.Event, error) {
+	err := require(
+		field("rid", event.Rid),
+		field("tier", event.Tier),
+		field("vol", event.Vol),
+		field("grade", event.Grade),
+		field("budgetUs", event.BudgetUs),
+		field("weight", event.Weight),
+		field("groupNo", event.GroupNo),
+	)
+	if err != nil {
+		return nil, err
+	}
+	request := scheduler.Request{
+		ID:      *event.Rid,
+		Class:   *event.Grade,
+		Plan:    *event.Tier,
+		Volume:  *event.Vol,
+		Shard:   *event.GroupNo,
+		Units:   *event.Weight,
+		Timeout: microseconds(*event.BudgetUs),
+	}
+	if event.Chunk != nil {
+		request.Extent = *event.Chunk
+	}
+	if event.Writers != nil {
+		request.Initiators = int(*event.Writers)
+	}
+	return request, nil
 }
 
-// load turns a load report into the module's; nil where none came.
-func load(s *stats) *scheduler.LoadReport {
-	if s == nil {
+func decodeAttemptEnded(event *wireEvent) (scheduler.Event, error) {
+	err := require(
+		field("rid", event.Rid),
+		field("leg", event.Leg),
+		field("target", event.Target),
+		field("stateCode", event.StateCode),
+		field("spentUs", event.SpentUs),
+		field("complete", event.Complete),
+	)
+	if err != nil {
+		return nil, err
+	}
+	status, err := decodeStatus(*event.StateCode)
+	if err != nil {
+		return nil, err
+	}
+	ended := scheduler.AttemptEnded{
+		RequestID:  *event.Rid,
+		Attempt:    *event.Leg,
+		Target:     *event.Target,
+		Status:     status,
+		Latency:    microseconds(*event.SpentUs),
+		Answered:   *event.Complete,
+		LoadReport: decodeLoadReport(event.ServerStats),
+	}
+	if event.Used != nil {
+		ended.VolumeUsage = *event.Used
+	}
+	return ended, nil
+}
+
+// decodeLoadReport returns nil where there is no report; an absent figure of a report is -1.
+func decodeLoadReport(wire *wireLoadReport) *scheduler.LoadReport {
+	if wire == nil {
 		return nil
 	}
-	l := &scheduler.LoadReport{QueueDepth: -1, InFlight: -1}
-	if s.Depth != nil {
-		l.QueueDepth = *s.Depth
+	report := &scheduler.LoadReport{QueueDepth: -1, InFlight: -1}
+	if wire.Depth != nil {
+		report.QueueDepth = *wire.Depth
 	}
-	if s.Concurrent != nil {
-		l.InFlight = *s.Concurrent
+	if wire.Concurrent != nil {
+		report.InFlight = *wire.Concurrent
 	}
-	return l
+	return report
 }
 
-func decodeCode(word string) (scheduler.AttemptStatus, error) {
-	switch word {
+func decodeStatus(stateCode string) (scheduler.AttemptStatus, error) {
+	switch stateCode {
 	case "delivered":
 		return scheduler.Succeeded, nil
 	case "app_error":
@@ -122,42 +129,66 @@
 	case "unused":
 		return scheduler.NotSent, nil
 	}
-	return 0, fmt.Errorf("stateCode: unknown outcome %q", word)
+	return 0, fmt.Errorf("stateCode: unknown outcome %q", stateCode)
 }
 
-func decodeList(e *event) (scheduler.Event, error) {
-	if e.Mode == nil {
-		return nil, missing("mode")
+func decodeEndpointList(event *wireEvent) (scheduler.Event, error) {
+	if err := require(field("mode", event.Mode)); err != nil {
+		return nil, err
 	}
 	var list scheduler.EndpointList
-	switch *e.Mode {
+	switch *event.Mode {
 	case "broken":
 		return scheduler.EndpointList{Failed: true}, nil
 	case "whole", "stale_copy":
 		list.Complete = true
 	case "patch":
 	default:
-		return nil, fmt.Errorf("mode: unknown list kind %q", *e.Mode)
+		return nil, fmt.Errorf("mode: unknown list kind %q", *event.Mode)
 	}
-	for i, r := range e.Records {
-		if err := required("target", r.Target, "cohort", r.Cohort, "mode", r.Mode); err != nil {
+	for i, record := range event.Records {
+		target, err := decodeTarget(&record)
+		if err != nil {
 			return nil, fmt.Errorf("records[%d]: %w", i, err)
 		}
-		n := scheduler.Target{ID: *r.Target, Zone: r.FailureDomain, Shard: *r.Cohort}
-		switch *r.Mode {
-		case "up":
-			n.State = scheduler.Serving
-		case "draining":
-			n.State = scheduler.Draining
-		case "removed":
-			n.State = scheduler.Removed
-		default:
-			return nil, fmt.Errorf("records[%d]: mode: unknown state %q", i, *r.Mode)
-		}
-		if r.LaunchedUs != nil {
-			n.Started = us(*r.LaunchedUs)
-		}
-		list.Targets = append(list.Targets, n)
+		list.Targets = append(list.Targets, target)
 	}
 	return list, nil
 }
+
+func decodeTarget(record *wireRecord) (scheduler.Target, error) {
+	err := require(
+		field("target", record.Target),
+		field("cohort", record.Cohort),
+		field("mode", record.Mode),
+	)
+	if err != nil {
+		return scheduler.Target{}, err
+	}
+	state, err := decodeTargetState(*record.Mode)
+	if err != nil {
+		return scheduler.Target{}, err
+	}
+	target := scheduler.Target{
+		ID:    *record.Target,
+		Zone:  record.FailureDomain,
+		Shard: *record.Cohort,
+		State: state,
+	}
+	if record.LaunchedUs != nil {
+		target.Started = microseconds(*record.LaunchedUs)
+	}
+	return target, nil
+}
+
+func decodeTargetState(mode string) (scheduler.TargetState, error) {
+	switch mode {
+	case "up":
+		return scheduler.Serving, nil
+	case "draining":
+		return scheduler.Draining, nil
+	case "removed":
+		return scheduler.Removed, nil
+	}
+	return 0, fmt.Errorf("mode: unknown state %q", mode)
+}
--- a/cmd/simadapter/samples_test.go
+++ b/cmd/simadapter/samples_test.go
@@ -11,7 +11,8 @@
 	"dapplegate/scheduler"
 )
 
-// TestEventSamples decodes a sample of each event in the form of the WIRE page, with all fields that the page lists.
+// TestEventSamples decodes a sample of each event in the form of the WIRE page, with all fields that the
+// page lists.
 func TestEventSamples(t *testing.T) {
 	for _, c := range []struct {
 		in   string
@@ -44,22 +45,22 @@
 		{`{"type":"message","initiatorId":"initiator_3","author":2,"raw":"6869"}`, nil},
 		{`{"type":"healthResult","initiatorId":"initiator_3","target":"t","stateCode":"delivered","spentUs":9}`, nil},
 	} {
-		var e event
-		if err := json.Unmarshal([]byte(c.in), &e); err != nil {
+		var event wireEvent
+		if err := json.Unmarshal([]byte(c.in), &event); err != nil {
 			t.Errorf("%s: %v", c.in, err)
 			continue
 		}
-		if got, err := decode(&e); err != nil || !reflect.DeepEqual(got, c.want) {
+		if got, err := decodeEvent(&event); err != nil || !reflect.DeepEqual(got, c.want) {
 			t.Errorf("%s: %+v, %v, want %+v", c.in, got, err, c.want)
 		}
 	}
 }
 
-// TestOutcomeSamples decodes each outcome of the WIRE page, and checks which of them prove that the attempt never ran.
-func TestOutcomeSamples(t *testing.T) {
-	for word, want := range map[string]struct {
-		code   scheduler.AttemptStatus
-		mayRun bool
+// TestStatusSamples decodes each outcome of the WIRE page, and checks which of them rule out an execution.
+func TestStatusSamples(t *testing.T) {
+	for stateCode, want := range map[string]struct {
+		status          scheduler.AttemptStatus
+		mayHaveExecuted bool
 	}{
 		"delivered":   {scheduler.Succeeded, true},
 		"app_error":   {scheduler.Errored, true},
@@ -70,9 +71,9 @@
 		"revoked":     {scheduler.Cancelled, true},
 		"unused":      {scheduler.NotSent, false},
 	} {
-		code, err := decodeCode(word)
-		if err != nil || code != want.code || code.MayHaveExecuted() != want.mayRun {
-			t.Errorf("%s: %v, %v, may run %v", word, code, err, code.MayHaveExecuted())
+		status, err := decodeStatus(stateCode)
+		if err != nil || status != want.status || status.MayHaveExecuted() != want.mayHaveExecuted {
+			t.Errorf("%s: %v, %v, may have executed %v", stateCode, status, err, status.MayHaveExecuted())
 		}
 	}
 }
@@ -93,11 +94,11 @@
 			`{"type":"remind","initiatorId":"initiator_3","keyBack":"step","fromNowUs":500000}`},
 		{scheduler.Action{Kind: scheduler.WatchEndpoints}, `{"type":"streamChanges","initiatorId":"initiator_3","on":true}`},
 	} {
-		if got, err := json.Marshal(encode(c.action, "initiator_3")); err != nil || string(got) != c.want {
+		if got, err := json.Marshal(encodeAction(c.action, "initiator_3")); err != nil || string(got) != c.want {
 			t.Errorf("%s, %v, want %s", got, err, c.want)
 		}
 	}
-	reply, err := newLink().handle([]byte(`{"wallUs":8412250,"frame":1,"inbox":[]}`))
+	reply, err := newHost().handle([]byte(`{"wallUs":8412250,"frame":1,"inbox":[]}`))
 	if want := `{"frame":1,"outbox":[]}`; err != nil || string(reply) != want {
 		t.Errorf("empty batch: %s, %v, want %s", reply, err, want)
 	}
@@ -109,11 +110,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var o config.WireSettings
-	if err := json.Unmarshal(raw, &o); err != nil {
+	var wire config.WireSettings
+	if err := json.Unmarshal(raw, &wire); err != nil {
 		t.Fatal(err)
 	}
-	got, err := o.SchedulerSettings()
+	got, err := wire.SchedulerSettings()
 	want := scheduler.Settings{
 		Initiators: 3, Tick: 2 * time.Millisecond, MaxAttempts: 3, MeanUnits: 1.98, MaxUnits: 6,
 		WithinShareFactor: 0.35, BeyondShareFactor: 0.1, UsageReportPeriod: time.Second, PollEndpoints: true,
