--- a/scheduler/arrival.go
+++ b/scheduler/arrival.go
@@ -2,6 +2,15 @@
 
 import "time"
 
+const (
+	// rejectMarginTicks is how many ticks before half of its timeout a request with no attempt is given up,
+	// so that the client has the response by then.
+	rejectMarginTicks = 4
+	// answerMarginTicks is how many ticks before its deadline a response must leave: a timer may come a
+	// tick late, and so may the step after it.
+	answerMarginTicks = 2
+)
+
 // onRequest takes a new request: it is queued for its shard, or rejected at once.
 func (s *Scheduler) onRequest(e Request) {
 	if s.requests[e.ID] != nil {
@@ -62,12 +71,11 @@
 // firstAttemptDeadline is when a request with no attempt is given up: after half its timeout. A client that
 // learns it by then has time for another try.
 func (s *Scheduler) firstAttemptDeadline(timeout time.Duration) time.Duration {
-	return s.now + max(timeout/2-4*s.settings.Tick, s.settings.Tick)
+	return s.now + max(timeout/2-rejectMarginTicks*s.settings.Tick, s.settings.Tick)
 }
 
-// answerMargin is how long before a deadline the response must leave: a timer may come a tick late, and so
-// may the step after it.
-func (s *Scheduler) answerMargin() time.Duration { return 2 * s.settings.Tick }
+// answerMargin is how long before a deadline the response must leave.
+func (s *Scheduler) answerMargin() time.Duration { return answerMarginTicks * s.settings.Tick }
 
 // subtractStall moves the objective of a request that arrived while this process stood still: its timeout
 // tells how long it has waited since.
--- a/scheduler/concurrency.go
+++ b/scheduler/concurrency.go
@@ -5,6 +5,9 @@
 const (
 	// initialConcurrency is the concurrency limit of a target that is new to this initiator.
 	initialConcurrency = 2
+	// recoveryConcurrency is the concurrency limit of a target that has restarted or is no longer an
+	// outlier.
+	recoveryConcurrency = 1
 	// maxConcurrency bounds the concurrency limit, whatever the estimates say.
 	maxConcurrency = 16
 	// sharedMinConcurrency is the least concurrency limit of a target over all initiators together; each
@@ -46,7 +49,7 @@
 // halveConcurrency is the response to overload: a rejection, or a target that does not answer.
 func (t *target) halveConcurrency() { t.concurrencyLimit = max(1, t.concurrencyLimit/2) }
 
-// hasCapacity tells whether the target may have another attempt in flight, with so many beyond its
+// hasCapacity reports whether the target may have another attempt in flight, with so many beyond its
 // concurrency limit.
 //
 // Failure: responses get lost, their attempts hold all slots, and nothing is sent until they time out. An
--- a/scheduler/endpoints.go
+++ b/scheduler/endpoints.go
@@ -34,9 +34,10 @@
 	p.backoff = min(2*p.backoff, maxPollBackoff)
 }
 
+// recordSuccess resets the backoff.
 func (p *endpointPoller) recordSuccess() { p.backoff = minPollBackoff }
 
-// takeDue tells whether to poll now. The poll then counts as sent.
+// takeDue reports whether to poll now. The poll then counts as sent.
 func (p *endpointPoller) takeDue(now time.Duration) bool {
 	if p.nextPoll > now {
 		return false
@@ -61,6 +62,7 @@
 	s.assignTargets()
 }
 
+// updateTarget applies one entry of the list.
 func (s *Scheduler) updateTarget(entry Target) {
 	t := s.targetsByID[entry.ID]
 	if t == nil {
@@ -76,13 +78,13 @@
 
 // onTargetRestart forgets what was known of the target's former process.
 func (s *Scheduler) onTargetRestart(t *target) {
-	t.concurrencyLimit = 1
+	t.concurrencyLimit = recoveryConcurrency
 	t.consecutiveFailures = 0
 	t.smoothedLatency = 0
 	if s.slowStart.shared {
 		// Failure: all initiators send what they have queued for the target in the moment of its start, and
-		// it falls over. Each waits for a random part of half a window, so that the first requests are
-		// spread.
+		// it fails under the load. Each waits for a random part of half a window, so that the first
+		// requests are spread.
 		spread := float64(s.slowStart.Window / 2)
 		t.ejectedUntil = s.now + time.Duration(s.rng.Float64()*spread)
 	}
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -96,12 +96,12 @@
 	return attemptStatusNames[s]
 }
 
-// MayHaveExecuted tells whether the target may have executed an attempt with this outcome.
+// MayHaveExecuted reports whether the target may have executed an attempt with this outcome.
 func (s AttemptStatus) MayHaveExecuted() bool {
 	return s != Rejected && s != ConnectFailed && s != NotSent
 }
 
-// mayStillRun tells whether the target may go on executing an attempt with this outcome.
+// mayStillRun reports whether the target may go on executing an attempt with this outcome.
 func (s AttemptStatus) mayStillRun() bool {
 	return s == DeadlineExceeded || s == ConnectionReset || s == Cancelled
 }
--- a/scheduler/ordering.go
+++ b/scheduler/ordering.go
@@ -8,7 +8,7 @@
 	settleUntil time.Duration // no attempt before: the last one may still be running
 }
 
-// isSerialized tells whether the request shares a serial queue with others for its extent.
+// isSerialized reports whether the request shares a serial queue with others for its extent.
 func (r *request) isSerialized() bool { return r.class.Serialized && r.Extent != "" }
 
 func (s *Scheduler) joinSerialQueue(r *request) {
--- a/scheduler/outlier.go
+++ b/scheduler/outlier.go
@@ -10,11 +10,15 @@
 	errorForgiveness = 0.75
 	// maxEjectionFailures is the number of failures in a row beyond which the ejection grows no longer.
 	maxEjectionFailures = 4
+	// ejectionDivisor is the part of the silence timeout that each failure in a row adds to the ejection.
+	ejectionDivisor = 4
+	// failureSteps is the number of steps in which a failure is counted, see errorForgiveness.
+	failureSteps = 4
 )
 
-// isOutlier tells whether the target failed several times with no success between, or is silent: an attempt
-// has had no response for the silence timeout, and nothing was heard since it was sent. An outlier gets one
-// attempt at a time.
+// isOutlier reports whether the target failed several times with no success between, or is silent: an
+// attempt has had no response for the silence timeout, and nothing was heard since it was sent. An outlier
+// gets one attempt at a time.
 func (s *Scheduler) isOutlier(t *target) bool {
 	if t.consecutiveFailures >= outlierFailures {
 		return true
@@ -41,9 +45,10 @@
 	}
 }
 
+// recordSuccess ends the ejection, and takes the latency into the estimates.
 func (s *Scheduler) recordSuccess(t *target, r *request, latency time.Duration) {
 	if s.isOutlier(t) {
-		t.concurrencyLimit = 1
+		t.concurrencyLimit = recoveryConcurrency
 	}
 	t.consecutiveFailures = 0
 	t.ejectedUntil = 0
@@ -79,6 +84,7 @@
 	t.halveConcurrency()
 }
 
+// recordFailure ejects the target for a time that grows with the failures in a row.
 func (s *Scheduler) recordFailure(t *target, status AttemptStatus) {
 	t.consecutiveFailures++
 	if status == Errored {
@@ -92,7 +98,6 @@
 // each failure in a row after the first.
 func (s *Scheduler) ejectionTime(t *target) time.Duration {
 	failures := max(0, min(t.consecutiveFailures, maxEjectionFailures)-1)
-	// Failures are counted in quarters, so this is a whole number.
-	sixteenths := time.Duration(4 * failures)
-	return s.silenceTimeout(t) * sixteenths / 16
+	steps := time.Duration(failures * failureSteps) // a whole number
+	return s.silenceTimeout(t) * steps / (failureSteps * ejectionDivisor)
 }
--- a/scheduler/priority.go
+++ b/scheduler/priority.go
@@ -35,7 +35,7 @@
 	r.volume.reservation.tokens = max(0, s.reservationCredit(r.volume)-r.Units)
 }
 
-// waitsForLessLoad tells whether the request waits until the target has less load; expectedLatency is in
+// waitsForLessLoad reports whether the request waits until the target has less load; expectedLatency is in
 // seconds. The lower its priority, the less load it may meet.
 //
 // Failure: with tens of initiators, each adds low-priority requests to a target where it has nothing in
--- a/scheduler/request.go
+++ b/scheduler/request.go
@@ -63,17 +63,17 @@
 	r.firstExecution = execution{zone: t.Zone, shard: t.Shard, since: r.sentAt}
 }
 
-// dedupEndsAt is when targets stop to drop repeats of the request, which may have been executed.
+// dedupEndsAt is when targets no longer drop repeats of the request, which may have been executed.
 func (r *request) dedupEndsAt() time.Duration {
 	return r.firstExecution.since + r.class.DedupWindow
 }
 
-// needsDedup tells whether another attempt is harmless only where targets drop it as a repeat.
+// needsDedup reports whether another attempt is harmless only where targets drop it as a repeat.
 func (r *request) needsDedup() bool {
 	return r.mayHaveExecuted && r.class.Idempotency == IdempotencyKey
 }
 
-// isRepeatHarmless tells whether the client may send the request again, to any target and at any time.
+// isRepeatHarmless reports whether the client may send the request again, to any target and at any time.
 func (r *request) isRepeatHarmless() bool {
 	if !r.mayHaveExecuted || r.class.Idempotency == Idempotent {
 		return true
--- a/scheduler/retry.go
+++ b/scheduler/retry.go
@@ -3,15 +3,17 @@
 import "time"
 
 const (
-	// retryBudgetChecks is how often within the budget's window a retry that has to wait is looked at
-	// again.
+	// retryBudgetChecks is how often within the budget's window a waiting retry is checked again.
 	retryBudgetChecks = 64
-	// retryBackoffDivisor is the part of the silence timeout by which the pause before a retry grows with
-	// each attempt.
+	// retryBackoffDivisor is the part of the silence timeout that each attempt adds to the pause before the
+	// next.
 	retryBackoffDivisor = 8
+	// retryBudgetMarginTicks is by how many ticks the window is shorter for first attempts and longer for
+	// retries, so that rounding cannot exceed the budget.
+	retryBudgetMarginTicks = 2
 )
 
-// mayRetry tells whether another attempt of the request could be allowed, now or later.
+// mayRetry reports whether another attempt of the request could be allowed, now or later.
 func (s *Scheduler) mayRetry(r *request) bool {
 	if s.settings.MaxAttempts > 0 && r.attempts >= s.settings.MaxAttempts {
 		return false
@@ -28,7 +30,7 @@
 	return false
 }
 
-// isDeduplicated tells whether the target would drop a repeat of the request, if it was executed already.
+// isDeduplicated reports whether the target would drop a repeat of the request, if it was executed already.
 func (r *request) isDeduplicated(t *target) bool {
 	if !r.mayHaveExecuted || r.class.Idempotency != IdempotencyKey {
 		return true
@@ -64,23 +66,27 @@
 	retries       []time.Duration
 }
 
+func (b *retryBudget) margin() time.Duration { return retryBudgetMarginTicks * b.tick }
+
+// recordFirstAttempt counts a request, at its arrival.
 func (b *retryBudget) recordFirstAttempt(now time.Duration) {
 	b.firstAttempts = append(trimBefore(b.firstAttempts, now-b.Window), now)
 }
 
+// recordRetry counts a retry, when it is sent.
 func (b *retryBudget) recordRetry(now time.Duration) {
-	b.retries = append(trimBefore(b.retries, now-b.Window-2*b.tick), now)
+	b.retries = append(trimBefore(b.retries, now-b.Window-b.margin()), now)
 }
 
-// admitAt returns the time from which a retry is within the budget, or a time at which to ask again. The
-// window is two ticks shorter for first attempts and two longer for retries, so that rounding cannot exceed
-// the budget.
+// admitAt returns the time from which a retry is within the budget, or a time at which to ask again.
+//
+// Failure: responses are slow or lost, and the retries of all initiators keep the targets overloaded.
 func (b *retryBudget) admitAt(now time.Duration) time.Duration {
 	if !b.Enabled {
 		return 0
 	}
-	b.firstAttempts = trimBefore(b.firstAttempts, now-b.Window+2*b.tick)
-	b.retries = trimBefore(b.retries, now-b.Window-2*b.tick)
+	b.firstAttempts = trimBefore(b.firstAttempts, now-b.Window+b.margin())
+	b.retries = trimBefore(b.retries, now-b.Window-b.margin())
 	if float64(len(b.retries)+1) <= b.Minimum+b.Ratio*float64(len(b.firstAttempts)) {
 		return 0
 	}
--- a/scheduler/rulechecks_test.go
+++ b/scheduler/rulechecks_test.go
@@ -11,7 +11,7 @@
 //  1. each request ends exactly once, by its deadline
 //  2. no request is executed twice where its class does not allow it
 //  3. no attempt goes to a draining or removed target
-//  4. a warming target gets no more than this initiator's part of what it bears
+//  4. a warming target gets no more than this initiator's part of what it can serve
 //  5. requests for a serialized extent run one at a time, in order
 //  6. retries stay within the retry budget
 //  7. a volume stays within this initiator's part of its limit
@@ -112,7 +112,7 @@
 	}
 }
 
-// checkSlowStart checks rule 4. The units that the target served within the window show that it bears as
+// checkSlowStart checks rule 4. What the target did serve within the window shows that it can serve as
 // much.
 func (s *simulation) checkSlowStart(r *observedRequest, t Target) {
 	slowStart := s.settings.SlowStart
@@ -127,7 +127,7 @@
 	capacity := slowStart.InitialCapacity + (1-slowStart.InitialCapacity)*age.Seconds()/slowStart.Duration.Seconds()
 	evenPart := slowStart.Budget / float64(s.settings.Initiators) * capacity / slowStart.InitialCapacity
 	if sent > evenPart+served+tolerance {
-		s.violation("rule 4: %v units to warming %s, which bears %v of this initiator", sent, t.ID, evenPart+served)
+		s.violation("rule 4: %v units to warming %s, which can serve %v for this initiator", sent, t.ID, evenPart+served)
 	}
 }
 
--- a/scheduler/selection.go
+++ b/scheduler/selection.go
@@ -8,7 +8,7 @@
 	// idleLatencyFactor is the multiple of the base latency up to which a target counts as idle.
 	idleLatencyFactor = 1.05
 	// busyTargetChecks is how often within the shortest objective a request that waits for a target with
-	// less load is looked at again.
+	// less load is checked again.
 	busyTargetChecks = 4
 )
 
@@ -23,13 +23,12 @@
 
 // selectNext returns the request that leaves next, or nil: the eligible one of least finish tag, or one
 // that continues a sequential run; at a synchronization point the next to become eligible; then, if the
-// target has nothing in flight, one that is deprioritized, or one past its objective.
+// target has nothing in flight, a deprioritized one; then, if the target is idle, one past its objective.
 func (s *Scheduler) selectNext(q *shardQueue, hasCapacity bool) *request {
 	t := q.target
 	s.collectAdmitted(q)
 	best := s.findCandidates(t)
 	hasNothingInFlight := len(t.inFlight) == 0
-	isIdle := hasNothingInFlight && s.expectedLatency(t) < idleLatencyFactor*t.baseLatency
 	switch {
 	case best.sequential != nil && t.sequentialRun < maxSequentialRun:
 		return best.sequential
@@ -42,12 +41,19 @@
 		return best.ahead
 	case best.deprioritized != nil && hasNothingInFlight:
 		return best.deprioritized
-	case best.pastObjective != nil && isIdle:
+	case best.pastObjective != nil && s.isIdle(t):
 		return best.pastObjective
 	}
 	return nil
 }
 
+// isIdle reports whether the target has nothing in flight here, and no more load from others than an idle
+// one.
+func (s *Scheduler) isIdle(t *target) bool {
+	return len(t.inFlight) == 0 && s.expectedLatency(t) < idleLatencyFactor*t.baseLatency
+}
+
+// findCandidates picks the best request of each kind from s.admitted.
 func (s *Scheduler) findCandidates(t *target) candidates {
 	var best candidates
 	for _, r := range s.admitted {
--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -55,7 +55,7 @@
 
 // SlowStart bounds the load of a target that has started recently.
 type SlowStart struct {
-	Budget          float64       // units within Window that a starting target bears from all initiators
+	Budget          float64       // units within Window that a starting target can serve, from all initiators
 	InitialCapacity float64       // part of its full capacity that a target has at its start, 0 to 1
 	Duration        time.Duration // time from the start to the full capacity
 	Window          time.Duration // span over which units are counted; 0: no bound
--- a/scheduler/share.go
+++ b/scheduler/share.go
@@ -45,7 +45,7 @@
 	u.globalAt = now
 }
 
-// isGlobalKnown tells whether a usage report came recently. Without a period there are none.
+// isGlobalKnown reports whether a usage report came recently. Without a period there are none.
 func (u *serviceRates) isGlobalKnown(now, period time.Duration) bool {
 	return period > 0 && u.globalAt > 0 && now-u.globalAt < usageReportLifetime*period && u.global > 0
 }
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -3,8 +3,7 @@
 import "time"
 
 const (
-	// slowStartChecks is how often within the slow-start window a request that has to wait is looked at
-	// again.
+	// slowStartChecks is how often within the slow-start window a waiting request is checked again.
 	slowStartChecks = 16
 	// minInitialCapacity keeps the growth during the slow start finite.
 	minInitialCapacity = 0.01
@@ -30,7 +29,7 @@
 	}
 }
 
-// isWarmingUp tells whether the target's capacity still grows.
+// isWarmingUp reports whether the target's capacity still grows.
 func (p *slowStart) isWarmingUp(t *target, now time.Duration) bool {
 	return t.Started > 0 && now-t.Started < p.Duration
 }
@@ -38,8 +37,8 @@
 // admitAt returns the time from which that many units may go to the target, or a time at which to ask
 // again.
 //
-// Failure: a target that has just started gets the full load, and falls over again. Within each window it
-// gets at most what it bears; the units that it served within the window show that it bears as much.
+// Failure: a target that has just started gets the full load, and fails again. Within each window it gets
+// at most what it can serve; what it did serve within the window shows that it can serve as much.
 func (p *slowStart) admitAt(now time.Duration, t *target, units float64) time.Duration {
 	// Counted for a warm target too: the endpoint list tells of a start some time after it. The window is
 	// one tick longer for what was sent and one shorter for what was served, so that rounding cannot exceed
@@ -55,7 +54,7 @@
 	return now + p.Window/slowStartChecks
 }
 
-// budget is the number of units within a window that a target of this age bears from this initiator. The
+// budget is the number of units within a window that a target of this age can serve for this initiator. The
 // capacity grows linearly from InitialCapacity; served is what the target has served within the window.
 func (p *slowStart) budget(age time.Duration, served float64) float64 {
 	if p.shared {
--- a/scheduler/volume.go
+++ b/scheduler/volume.go
@@ -23,7 +23,7 @@
 
 func (v *volume) setInitiators(count int) { v.initiators = float64(max(1, count)) }
 
-// isIdle tells whether the volume has nothing queued or in flight, and nothing came or was served since
+// isIdle reports whether the volume has nothing queued or in flight, and nothing came or was served since
 // then.
 func (v *volume) isIdle(since time.Duration) bool {
 	return v.backlog == 0 && v.bucket.refilledAt < since && v.usage.localAt < since
