--- a/scheduler/arrival.go
+++ b/scheduler/arrival.go
@@ -49,6 +49,7 @@
 	return v
 }
 
+// newRequest returns the request with its times, bounded by the deadline of its class and by a shutdown.
 func (s *Scheduler) newRequest(e Request, class *Class, v *volume) *request {
 	e.Timeout = min(e.Timeout, class.Deadline, s.shutdownDeadline-s.now)
 	e.Units = max(e.Units, 0)
--- a/scheduler/dispatch.go
+++ b/scheduler/dispatch.go
@@ -5,6 +5,7 @@
 	q.wakeAt = never
 	for q.target != nil && len(q.queued) > 0 {
 		hasCapacity := s.hasCapacity(q.target, 0)
+		// A sequential run may exceed the concurrency limit, since it costs the target less.
 		if !hasCapacity && !s.hasCapacity(q.target, maxSequentialRun-1) {
 			return
 		}
@@ -16,7 +17,7 @@
 	}
 }
 
-// send starts an attempt of the request; no attempt starts elsewhere.
+// send starts an attempt of the request. It is the only function that does.
 func (s *Scheduler) send(r *request, t *target) {
 	r.dequeue()
 	t.recordExtent(r.Extent)
--- a/scheduler/latency.go
+++ b/scheduler/latency.go
@@ -34,7 +34,8 @@
 	return latencyMemoryObjectives * s.shortestObjective.Seconds()
 }
 
-// relativeSize is the latency of a request of that many units, relative to one of mean size.
+// relativeSize is the latency of a request of that many units, relative to one of mean size: one half does
+// not depend on the size.
 func (s *Scheduler) relativeSize(units float64) float64 { return (1 + units/s.settings.MeanUnits) / 2 }
 
 // silenceTimeout is how long an attempt may be without response before its target counts as silent.
--- a/scheduler/ordering.go
+++ b/scheduler/ordering.go
@@ -11,6 +11,7 @@
 // isSerialized reports whether the request shares a serial queue with others for its extent.
 func (r *request) isSerialized() bool { return r.class.Serialized && r.Extent != "" }
 
+// joinSerialQueue adds the request to the serial queue of its extent, if it is serialized.
 func (s *Scheduler) joinSerialQueue(r *request) {
 	if !r.isSerialized() {
 		return
@@ -23,6 +24,7 @@
 	q.requests = append(q.requests, r)
 }
 
+// leaveSerialQueue removes the request, and an empty queue unless its settle time still runs.
 func (s *Scheduler) leaveSerialQueue(r *request) {
 	q := s.serialQueues[r.Extent]
 	if q == nil || !r.isSerialized() {
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -25,13 +25,13 @@
 	// Derived from the settings.
 	shortestObjective time.Duration // least latency objective of the classes
 	highestWeight     float64       // greatest priority that a request can have
-	minConcurrency    float64       // least concurrency limit of a target
+	minConcurrency    float64       // least concurrency limit of a responding target
 
-	// The step at hand.
+	// The current step.
 	now      time.Duration
 	stall    time.Duration // for how long this process stood still before the step; 0: it did not
 	actions  []Action
-	admitted []*request // requests of the queue at hand that may go to its target now
+	admitted []*request // requests of the current queue that may go to its target now
 
 	// Requests.
 	requests         map[string]*request
@@ -85,6 +85,7 @@
 	return s, nil
 }
 
+// indexClassesAndPlans fills the maps by name, and what is derived from classes and plans.
 func (s *Scheduler) indexClassesAndPlans() {
 	for i := range s.settings.Plans {
 		plan := &s.settings.Plans[i]
@@ -128,6 +129,7 @@
 	return s.actions
 }
 
+// handle applies one event.
 func (s *Scheduler) handle(event Event) {
 	switch event := event.(type) {
 	case EndpointList:
--- a/scheduler/share.go
+++ b/scheduler/share.go
@@ -18,7 +18,7 @@
 	minRate = 1e-3
 )
 
-// serviceRates tells how much of a volume's service was done here and everywhere, in units per second.
+// serviceRates is how much of a volume's service was done here and everywhere, in units per second.
 type serviceRates struct {
 	local    float64 // by this initiator, at localAt; it decays
 	localAt  time.Duration
@@ -32,11 +32,13 @@
 	return u.local * math.Exp(-(now-u.localAt).Seconds()/timeConstant)
 }
 
+// recordLocal notes that units were served here.
 func (u *serviceRates) recordLocal(now, period time.Duration, units float64) {
 	u.local = u.localAfterDecay(now, period) + units/(localRatePeriods*period.Seconds())
 	u.localAt = now
 }
 
+// recordGlobal takes the rate of a usage report into the average.
 func (u *serviceRates) recordGlobal(now time.Duration, rate float64) {
 	if u.globalAt == 0 {
 		u.global = rate
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -12,40 +12,23 @@
 // even part of the slow-start budget is less than one request, and nothing reached restarted targets until
 // they were warm. Each initiator must send its first request soon, at a random time, and then one a window.
 func TestSharedSlowStartSendsOnePerWindow(t *testing.T) {
+	settings := testSettings()
+	settings.Initiators = 200
+	settings.SlowStart = SlowStart{
+		Budget:          10,
+		InitialCapacity: 0.2,
+		Duration:        10 * time.Second,
+		Window:          time.Second,
+		OverloadFactor:  3,
+	}
 	starts := map[time.Duration]bool{}
 	for seed := range uint64(20) {
-		settings := testSettings()
-		settings.Initiators = 200
-		settings.SlowStart = SlowStart{
-			Budget:          10,
-			InitialCapacity: 0.2,
-			Duration:        10 * time.Second,
-			Window:          time.Second,
-			OverloadFactor:  3,
-		}
-		h := newHarness(t, settings, servingTarget("n", 0))
-		h.scheduler, _ = New(settings, seed)
-		h.advance(20 * time.Second)
-		h.step(EndpointList{Complete: true, Targets: []Target{servingTarget("n", 0)}})
-		h.step(EndpointList{Targets: []Target{{ID: "n", Started: h.now - time.Second}}})
-		listedAt := h.now
-		var first time.Duration
-		var sent []time.Duration
-		for i := range 400 {
-			request := testRequest(fmt.Sprintf("r%d", i), "v", 1)
-			h.step(request)
-			if n := len(h.sends); n > len(sent) {
-				sent = append(sent, h.now)
-				if first == 0 {
-					first = h.now - listedAt
-				}
-			}
-			h.advance(15 * ms)
-		}
-		starts[first.Round(100*ms)] = true
-		if first == 0 || first > settings.SlowStart.Window/2+50*ms {
-			t.Errorf("seed %d: first request %v after the start was listed", seed, first)
+		sent := sendsToSilentWarmingTarget(t, settings, seed)
+		if len(sent) == 0 || sent[0] == 0 || sent[0] > settings.SlowStart.Window/2+50*ms {
+			t.Errorf("seed %d: requests sent %v after the start was listed", seed, sent)
+			continue
 		}
+		starts[sent[0].Round(100*ms)] = true
 		for i := 1; i < len(sent); i++ {
 			if sent[i]-sent[i-1] < time.Second-20*ms { // observed once in 15 ms
 				t.Errorf("seed %d: two requests to a silent warming target within a window", seed)
@@ -57,6 +40,27 @@
 	}
 }
 
+// sendsToSilentWarmingTarget has a request arrive each 15 ms for a target that has started a second ago and
+// does not respond. It returns the times of the attempts since the start was listed.
+func sendsToSilentWarmingTarget(t *testing.T, settings Settings, seed uint64) []time.Duration {
+	t.Helper()
+	h := newHarness(t, settings, servingTarget("n", 0))
+	h.scheduler, _ = New(settings, seed)
+	h.advance(20 * time.Second)
+	h.step(EndpointList{Complete: true, Targets: []Target{servingTarget("n", 0)}})
+	h.step(EndpointList{Targets: []Target{{ID: "n", Started: h.now - time.Second}}})
+	listedAt := h.now
+	var sent []time.Duration
+	for i := range 400 {
+		h.step(testRequest(fmt.Sprintf("r%d", i), "v", 1))
+		if len(h.sends) > len(sent) {
+			sent = append(sent, h.now-listedAt)
+		}
+		h.advance(15 * ms)
+	}
+	return sent
+}
+
 // TestSharedSlowStartFollowsResponses has a warming target answer. It must get more than one request a
 // window from an initiator of many, but never more than half the overload factor times what it answered
 // within the window.
--- a/scheduler/sweep_test.go
+++ b/scheduler/sweep_test.go
@@ -16,28 +16,7 @@
 		settings.SettleTime = 100 * ms
 		h := newHarness(t, settings, servingTarget("n0", 0))
 		for i := range 4000 {
-			if i%10 == 0 {
-				only := Target{ID: fmt.Sprintf("n%d", i), Started: h.now - time.Hour}
-				h.step(EndpointList{Complete: true, Targets: []Target{only}})
-			}
-			request := testRequest(fmt.Sprintf("r%d", i), fmt.Sprintf("v%d", i), 1)
-			request.Extent = fmt.Sprintf("k%d", i)
-			h.step(request)
-			h.now += 20 * ms
-			if h.attempts[request.ID] > 0 {
-				h.endAttempt(request.ID, []AttemptStatus{Succeeded, ConnectionReset}[i%2], 20*ms)
-			}
-			for range 5 {
-				h.now += time.Second
-				h.step(Timer{})
-			}
-			for _, action := range h.sends {
-				r := h.scheduler.requests[action.RequestID]
-				if r != nil && r.inFlight != nil {
-					h.endAttempt(r.ID, Succeeded, time.Second)
-				}
-			}
-			h.sends = nil
+			h.playChurn(i)
 		}
 		s := h.scheduler
 		for name, size := range map[string]int{
@@ -66,3 +45,30 @@
 		}
 	}
 }
+
+// playChurn plays five seconds with one request of a new volume and a new extent, and each tenth time with
+// a new target in place of the last. Each second attempt loses its connection.
+func (h *harness) playChurn(i int) {
+	if i%10 == 0 {
+		only := Target{ID: fmt.Sprintf("n%d", i), Started: h.now - time.Hour}
+		h.step(EndpointList{Complete: true, Targets: []Target{only}})
+	}
+	request := testRequest(fmt.Sprintf("r%d", i), fmt.Sprintf("v%d", i), 1)
+	request.Extent = fmt.Sprintf("k%d", i)
+	h.step(request)
+	h.now += 20 * ms
+	if h.attempts[request.ID] > 0 {
+		h.endAttempt(request.ID, []AttemptStatus{Succeeded, ConnectionReset}[i%2], 20*ms)
+	}
+	for range 5 {
+		h.now += time.Second
+		h.step(Timer{})
+	}
+	for _, action := range h.sends {
+		r := h.scheduler.requests[action.RequestID]
+		if r != nil && r.inFlight != nil {
+			h.endAttempt(r.ID, Succeeded, time.Second)
+		}
+	}
+	h.sends = nil
+}
--- a/scheduler/timer.go
+++ b/scheduler/timer.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// nextWorkAt is when the next poll, the next deadline or the next dispatch is due.
+// nextWorkAt returns when the next poll, the next deadline or the next dispatch is due.
 func (s *Scheduler) nextWorkAt() time.Duration {
 	next := s.poller.nextPoll
 	if r := s.deadlines.earliest(); r != nil {
--- a/scheduler/volume.go
+++ b/scheduler/volume.go
@@ -13,6 +13,7 @@
 	usage       serviceRates
 }
 
+// newVolume returns a volume with a full bucket for fair queuing and an empty one for the rate limit.
 func (s *Scheduler) newVolume(plan *Plan, initiators int) *volume {
 	v := &volume{plan: plan}
 	v.setInitiators(initiators)
@@ -21,6 +22,7 @@
 	return v
 }
 
+// setInitiators notes how many initiators carry the volume; a request may tell a new number.
 func (v *volume) setInitiators(count int) { v.initiators = float64(max(1, count)) }
 
 // isIdle reports whether the volume has nothing queued or in flight, and nothing came or was served since
