--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -133,6 +133,19 @@
 	}
 }
 
+// TestSharedSlowStartBudget checks that one of many initiators sends half the overload factor times what
+// the target has served.
+func TestSharedSlowStartBudget(t *testing.T) {
+	policy := newSlowStart(&Settings{
+		Initiators: 100,
+		MeanUnits:  1,
+		SlowStart:  SlowStart{Budget: 20, InitialCapacity: 0.2, Duration: 10 * time.Second, OverloadFactor: 4},
+	})
+	if got := policy.budget(time.Second, 3); !policy.shared || got != 6 {
+		t.Errorf("shared %v, budget %v after 3 units served, want 6", policy.shared, got)
+	}
+}
+
 // TestSlowStartEnds checks that a target is bounded while it warms up alone.
 func TestSlowStartEnds(t *testing.T) {
 	policy := newSlowStart(&Settings{
