--- a/cmd/simadapter/host_test.go
+++ b/cmd/simadapter/host_test.go
@@ -101,7 +101,7 @@
 		{"broken seed", batch(1, strings.Replace(startEvent, "18446744073709551615", "1.5", 1)), "initSeed"},
 		{"no options", batch(1, strings.Replace(startEvent, "options", "opts", 1)), "options: required field is missing"},
 		{"no peers", batch(1, strings.Replace(startEvent, "peersTotal", "peers", 1)), "options.peersTotal"},
-		{"unservable options", batch(1, strings.Replace(startEvent, `"promiseUs":400000`, `"promiseUs":0`, 1)), "needs an aim"},
+		{"unservable options", batch(1, strings.Replace(startEvent, `"promiseUs":400000`, `"promiseUs":0`, 1)), "needs a latency objective"},
 		{"unknown effect", batch(1, strings.Replace(startEvent, "pure", "odd", 1)), `effect: unknown effect "odd"`},
 		{"unknown group", batch(1, strings.Replace(startEvent, `"pure"`, `"token","group":"odd"`, 1)), `unknown group "odd"`},
 		{"unknown outcome", batch(1, startEvent, result("odd")), `unknown outcome "odd"`},
--- a/internal/config/agent.go
+++ b/internal/config/agent.go
@@ -35,9 +35,9 @@
 func (a *Agent) validate() *FieldError {
 	switch {
 	case a.Dir == "":
-		return absent("dir")
+		return Missing("dir")
 	case len(a.Peers) == 0:
-		return absent("peer")
+		return Missing("peer")
 	}
 	ids := map[string]bool{}
 	for i, peer := range a.Peers {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -69,7 +69,7 @@
 func Load(getenv func(string) string) (*Config, error) {
 	path := getenv(envConfigFile)
 	if path == "" {
-		return nil, absent(envConfigFile)
+		return nil, Missing(envConfigFile)
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -114,7 +114,7 @@
 // validate checks the fields that are used as they are, and fills in the defaults of the limits.
 func (f *configFile) validate() error {
 	if f.Name == "" {
-		return absent("name")
+		return Missing("name")
 	}
 	if err := checkAddress("listen", f.Listen); err != nil {
 		return err
@@ -132,7 +132,7 @@
 	}
 	f.Limits.applyDefaults()
 	if f.Settings == nil {
-		return absent("settings")
+		return Missing("settings")
 	}
 	return nil
 }
@@ -204,7 +204,7 @@
 // checkAddress requires a host:port with a numeric port other than 0. An absent address is ErrMissing.
 func checkAddress(field, address string) error {
 	if address == "" {
-		return absent(field)
+		return Missing(field)
 	}
 	if err := checkHostPort(address); err != nil {
 		return &FieldError{Field: field, Err: err}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -64,7 +64,7 @@
 		{`"settings":`, `"other":`, "settings: required"},
 		{`"peersTotal":3,`, "", "peersTotal: required"},
 		{`"effect":"side_effect"`, `"effect":"odd"`, "classes[1].effect"},
-		{`"promiseUs":150000`, `"promiseUs":0`, `class "position-read" needs an aim`},
+		{`"promiseUs":150000`, `"promiseUs":0`, `class "position-read" needs a latency objective`},
 	} {
 		_, err := Parse([]byte(strings.Replace(validConfig, c.old, c.new, 1)), emptyEnvironment)
 		if err == nil || !strings.Contains(err.Error(), c.want) {
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -1,6 +1,9 @@
 package config
 
-import "fmt"
+import (
+	"errors"
+	"fmt"
+)
 
 // FieldError says which field of a configuration, or which environment variable, cannot be used, and why. Callers find it
 // with errors.As; where the field is absent, errors.Is finds ErrMissing.
@@ -20,8 +23,11 @@
 	return &FieldError{Field: field, Err: fmt.Errorf(format, args...)}
 }
 
-// absent returns the error of a required field that is missing.
-func absent(field string) *FieldError { return &FieldError{Field: field, Err: ErrMissing} }
+// ErrMissing is wrapped by the errors of absent fields.
+var ErrMissing = errors.New("required field is missing")
+
+// Missing returns the error of a required field that is absent.
+func Missing(field string) *FieldError { return &FieldError{Field: field, Err: ErrMissing} }
 
 // under returns err with its field's path below parent.
 func under(parent string, err *FieldError) *FieldError {
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -36,7 +36,7 @@
 		return nil, err
 	}
 	if operator.Agent == nil {
-		return nil, operatorError(absent("agent"))
+		return nil, operatorError(Missing("agent"))
 	}
 	return operator.Agent, nil
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -3,7 +3,6 @@
 package config
 
 import (
-	"errors"
 	"fmt"
 	"time"
 
@@ -74,17 +73,11 @@
 // registryModeOnRequest is the registryMode in which the endpoint list must be requested.
 const registryModeOnRequest = "on_request"
 
-// ErrMissing is wrapped by the errors about absent fields.
-var ErrMissing = errors.New("required field is missing")
-
-// Missing returns an error that names an absent field.
-func Missing(field string) error { return fmt.Errorf("%s: %w", field, ErrMissing) }
-
 // Microseconds turns the platform's microseconds into a duration.
 func Microseconds(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
 
-// SchedulerSettings returns the settings in the scheduler's terms. The error names the field that is missing or has an
-// unknown value; what the values must satisfy, scheduler.New checks.
+// SchedulerSettings returns the settings in the scheduler's terms. Its error is a *FieldError of the field that is missing or
+// has an unknown value; what the values must satisfy, scheduler.New checks.
 func (w *WireSettings) SchedulerSettings() (scheduler.Settings, error) {
 	if w.PeersTotal == nil {
 		return scheduler.Settings{}, Missing("options.peersTotal")
@@ -106,7 +99,7 @@
 	for i, wire := range w.Classes {
 		class, err := wire.class()
 		if err != nil {
-			return settings, fmt.Errorf("options.classes[%d].%w", i, err)
+			return settings, under(fmt.Sprintf("options.classes[%d]", i), err)
 		}
 		settings.Classes = append(settings.Classes, class)
 	}
@@ -138,7 +131,7 @@
 	return budget
 }
 
-func (w *wireClass) class() (scheduler.Class, error) {
+func (w *wireClass) class() (scheduler.Class, *FieldError) {
 	idempotency, err := parseIdempotency(w.Effect)
 	if err != nil {
 		return scheduler.Class{}, err
@@ -159,7 +152,7 @@
 	}, nil
 }
 
-func parseIdempotency(effect string) (scheduler.Idempotency, error) {
+func parseIdempotency(effect string) (scheduler.Idempotency, *FieldError) {
 	switch effect {
 	case "pure":
 		return scheduler.Idempotent, nil
@@ -168,10 +161,10 @@
 	case "side_effect":
 		return scheduler.NonIdempotent, nil
 	}
-	return 0, fmt.Errorf("effect: unknown effect %q", effect)
+	return 0, fieldError("effect", "unknown effect %q", effect)
 }
 
-func parseDedupScope(group string) (scheduler.DedupScope, error) {
+func parseDedupScope(group string) (scheduler.DedupScope, *FieldError) {
 	switch group {
 	case "", "all":
 		return scheduler.DedupEverywhere, nil
@@ -180,7 +173,7 @@
 	case "cell":
 		return scheduler.DedupShard, nil
 	}
-	return 0, fmt.Errorf("group: unknown group %q", group)
+	return 0, fieldError("group", "unknown group %q", group)
 }
 
 func (w *wireContract) plan() scheduler.Plan {
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -91,7 +91,7 @@
 // String returns the status' name in logs.
 func (s AttemptStatus) String() string {
 	if s < 0 || int(s) >= len(attemptStatusNames) {
-		return fmt.Sprintf("CODE_%d", int(s))
+		return fmt.Sprintf("STATUS_%d", int(s))
 	}
 	return attemptStatusNames[s]
 }
--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -115,7 +115,7 @@
 		if class.LatencyObjective <= 0 || class.Deadline <= 0 {
 			return &SettingsError{
 				Field:   "Classes",
-				Problem: fmt.Sprintf("class %q needs an aim and a deadline", class.Name),
+				Problem: fmt.Sprintf("class %q needs a latency objective and a deadline", class.Name),
 			}
 		}
 	}
