--- a/internal/faulttest/client_test.go
+++ b/internal/faulttest/client_test.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// crossingWindow is how long after a request's last byte the end of its connection may come that was under way before.
-	// Later, the initiator had the request and ended the connection over it.
+	// crossingWindow is how soon after a request's last byte a close still counts as one that the initiator sent before the
+	// request arrived. Later, it closed the connection over the request.
 	crossingWindow = 5 * time.Millisecond
 	// giveUpAfter is how long past its timeout, and the slack that is judged, a client waits for a response.
 	giveUpAfter = 200 * time.Millisecond
@@ -44,8 +44,8 @@
 // NewClient returns clients of the initiator at addr.
 func NewClient(addr string, ledger *Ledger) *Client { return &Client{Addr: addr, ledger: ledger} }
 
-// Killed notes that the initiator is about to be killed without notice: what is open then is not held against it.
-func (c *Client) Killed(yes bool) { c.killed.Store(yes) }
+// MarkKilled notes that the initiator is about to be killed without notice: requests in flight then are not judged.
+func (c *Client) MarkKilled() { c.killed.Store(true) }
 
 // StopConnecting keeps the clients from opening connections: they go on with those that they have.
 func (c *Client) StopConnecting() { c.reuseOnly.Store(true) }
@@ -124,7 +124,7 @@
 	if q.Disconnects {
 		return c.disconnect(conn, q), false
 	}
-	if err := conn.SetReadDeadline(sentAt.Add(q.Timeout + answerSlack + giveUpAfter)); err != nil {
+	if err := conn.SetReadDeadline(sentAt.Add(q.Timeout + responseSlack + giveUpAfter)); err != nil {
 		return Outcome{Text: err.Error(), err: err}, false
 	}
 	o = c.classify(readResponse(bufio.NewReader(conn), sentAt), reused, sentAt)
@@ -167,7 +167,8 @@
 	return o
 }
 
-// Pipeline sends several requests at once on a connection of their own, and reads their responses in turn.
+// Pipeline sends several requests at once on a connection that no other request uses meanwhile, and reads their responses in
+// turn.
 func (c *Client) Pipeline(requests []Request) {
 	conn, reused, err := c.connect()
 	if err != nil {
@@ -198,7 +199,7 @@
 
 // readPipelined reads the response to one of several requests that were sent at once.
 func (c *Client) readPipelined(conn net.Conn, in *bufio.Reader, reused bool, q Request, sentAt time.Time) Outcome {
-	if err := conn.SetReadDeadline(sentAt.Add(q.Timeout + answerSlack + giveUpAfter)); err != nil {
+	if err := conn.SetReadDeadline(sentAt.Add(q.Timeout + responseSlack + giveUpAfter)); err != nil {
 		return Outcome{Text: err.Error(), err: err}
 	}
 	return c.classify(readResponse(in, sentAt), reused, sentAt)
--- a/internal/faulttest/judge_test.go
+++ b/internal/faulttest/judge_test.go
@@ -63,7 +63,7 @@
 		return lost("no complete response %v after its last byte: %s", last.Elapsed, last.Text)
 	case last.Status == http.StatusOK && !strings.HasPrefix(last.Text, responseFor(r.id)) && !l.usedLateConn(r):
 		return lost("the response is not its own: %.60q", last.Text)
-	case last.Elapsed > r.timeout+answerSlack+l.delays.Max(r.sentAt, last.At):
+	case last.Elapsed > r.timeout+responseSlack+l.delays.Max(r.sentAt, last.At):
 		return lost("response after %v, where the client waits %v", last.Elapsed, r.timeout)
 	}
 	return nil
--- a/internal/faulttest/ledger_test.go
+++ b/internal/faulttest/ledger_test.go
@@ -7,10 +7,11 @@
 	"time"
 )
 
-// The time limits of the protocol that a Ledger judges by.
+// The time limits of the protocol that a Ledger judges by. They are stated here again, so that a wrong constant of the
+// initiator is caught.
 const (
-	// answerSlack is how late a final response may come before its request is lost.
-	answerSlack = 500 * time.Millisecond
+	// responseSlack is how late a final response may come before its request is lost.
+	responseSlack = 500 * time.Millisecond
 	// disconnectSlack is how long after its client has disconnected an attempt may still begin.
 	disconnectSlack = 100 * time.Millisecond
 	// statedTimeoutSlack is by how much an attempt may overstate the time that its client has left.
@@ -59,7 +60,7 @@
 	Unread           bool          // the connection ended without the initiator having read the request
 	Killed           bool          // the initiator was killed without notice
 	err              error         // why there is no complete response
-	partial          bool          // part of a response came
+	partial          bool          // part of a response was read
 	closesConnection bool          // the response says that the connection ends
 }
 
@@ -114,7 +115,8 @@
 	}
 }
 
-// recordLateRepeat notes that a stand-in repeated a response on the connection later than it should, for a delay of its own.
+// recordLateRepeat notes that a stand-in repeated a response on the connection later than it should, because
+// this process was late.
 func (l *Ledger) recordLateRepeat(conn string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/faulttest/malformed_test.go
+++ b/internal/faulttest/malformed_test.go
@@ -35,9 +35,9 @@
 	if err != nil {
 		return nil // an address that is no longer listened at has closed
 	}
-	defer func() { _ = conn.Close() }() // what came is known
+	defer func() { _ = conn.Close() }() // the response is not needed any more
 	begun := time.Now()
-	go func() { _, _ = io.WriteString(conn, string(request)) }() // it may meet the close that is owed
+	go func() { _, _ = io.WriteString(conn, string(request)) }() // may fail: the initiator may close first
 	if err := conn.SetReadDeadline(begun.Add(malformedTimeout)); err != nil {
 		return err
 	}
--- a/internal/faulttest/process_test.go
+++ b/internal/faulttest/process_test.go
@@ -7,6 +7,7 @@
 	"os"
 	"os/exec"
 	"path/filepath"
+	"slices"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -186,11 +187,21 @@
 
 // Log returns the lines of the process's log that contain the text.
 func (p *Process) Log(text string) string {
+	return p.logLines(func(line string) bool { return strings.Contains(line, text) })
+}
+
+// LogOf returns the lines of the process's log on a request.
+func (p *Process) LogOf(requestID string) string {
+	field := "request=" + requestID
+	return p.logLines(func(line string) bool { return slices.Contains(strings.Fields(line), field) })
+}
+
+func (p *Process) logLines(matches func(line string) bool) string {
 	p.log.mu.Lock()
 	defer p.log.mu.Unlock()
 	var found strings.Builder
 	for line := range strings.Lines(p.log.buf.String()) {
-		if strings.Contains(line, text) {
+		if matches(line) {
 			found.WriteString(line)
 		}
 	}
--- a/internal/faulttest/regression_test.go
+++ b/internal/faulttest/regression_test.go
@@ -68,12 +68,12 @@
 	f.discovery = NewDiscovery(f.ledger)
 	t.Cleanup(f.discovery.Stop)
 	f.discovery.Set(Entry{ID: "s-1", Addr: target.Addr().String(), State: Serving})
-	asked, err := f.discovery.Listen()
+	discoveryAddr, err := f.discovery.Listen()
 	if err != nil {
 		t.Fatal(err)
 	}
 	listen := Address()
-	f.process, err = Start(program, t.TempDir(), Config{Listen: listen, Discovery: asked, Classes: []Class{class}, Cores: 1, Sockets: 512})
+	f.process, err = Start(program, t.TempDir(), Config{Listen: listen, Discovery: discoveryAddr, Classes: []Class{class}, Cores: 1, Sockets: 512})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -87,7 +87,7 @@
 func (f *fixture) judge(t *testing.T) {
 	t.Helper()
 	for _, v := range f.ledger.Violations() {
-		t.Errorf("%v\n%s", v, f.process.Log("request="+v.Request+"\n"))
+		t.Errorf("%v\n%s", v, f.process.LogOf(v.Request))
 	}
 	if ended, err := f.process.Ended(); ended {
 		t.Errorf("the initiator ended: %v", err)
@@ -98,13 +98,13 @@
 
 // TestNoAttemptAfterClientDisconnected guards against an attempt that begins after its client has gone.
 //
-// Symptom: a request was forwarded after it had ended.
+// Symptom: a request was forwarded after it had ended; its log has "attempt begins", and then "request ended" with
+// reason=CLIENT_CLOSED.
 // Sequence: while the initiator is paused for 0.14 s, a client sends a request and closes or resets its connection at once.
-// The initiator goes on, reads the request, and its attempt reaches the target 0.14 s after the client left, where 0.1 s
-// are allowed.
-// Cause: the departure is noticed by one goroutine and the attempt is written by another; nothing looked at the client's
-// connection before the first byte, so that the order in which the two came to run decided.
-// Settled by the log of such a request: "attempt begins", and then "request ended" with reason=CLIENT_CLOSED.
+// The initiator continues, reads the request, and its attempt reaches the target 0.14 s after the client disconnected, where
+// 0.1 s is allowed.
+// Cause: one goroutine detects the disconnect and another writes the attempt. Nothing checked the client's connection before
+// the first byte, so the order in which the two ran decided.
 func TestNoAttemptAfterClientDisconnected(t *testing.T) {
 	f := newFixture(t, respondAtOnce)
 	for i := range 12 {
@@ -125,13 +125,14 @@
 
 // TestRepeatedResponseServesNoOtherRequest guards against a response that passes for that of another request.
 //
-// Symptom: a client got an answer that was made for another request.
-// Sequence: a target sends each of its responses a second time, up to 9 ms later, where nothing else waits on the connection.
-// Under a burst four connections to it are open; from then on one that has just brought an answer carries the next request
-// at once. The copy comes between the look at the connection and the first byte of that request, and is read as its answer.
-// Cause: the rest of 10 ms that a connection has after an answer was not kept once there were four connections, and the look
-// at the connection was taken before the attempt was handed to the goroutine that writes it.
-// Settled by the log of such a request: "attempt begins" with idle below 10 ms.
+// Symptom: a client got a response that was made for another request; the log of the request has "attempt begins" with idle
+// below 10 ms.
+// Sequence: a target sends each of its responses a second time, up to 9 ms later, unless another request has arrived on the
+// connection. Under a burst four connections to it are open; from then on one that has just carried a response carries the
+// next request at once. The copy arrives between the check of the connection and the first byte of that request, and is read
+// as its response.
+// Cause: the quarantine of 10 ms after a response was not kept once there were four connections, and the connection was
+// checked before the attempt was handed to the goroutine that writes it.
 func TestRepeatedResponseServesNoOtherRequest(t *testing.T) {
 	f := newFixture(t, func(rng *rand.Rand) Behaviour {
 		return Behaviour{Delay: time.Duration(rng.IntN(3000)) * time.Microsecond,
@@ -154,12 +155,11 @@
 
 // TestOpenRequestIsAnsweredBeforeTheKill guards against requests without a response in a restart.
 //
-// Symptom: requests that were taken got no answer at all in a restart.
-// Sequence: a target hangs; a client that waits 5 s asks, and the initiator is terminatedAt to end at once. SIGKILL comes as early as it
-// may, 3.7 s later, and finds the request open.
-// Cause: only requests taken well after SIGTERM had their time cut to what is left before SIGKILL. Earlier ones kept all of
+// Symptom: accepted requests got no response at all in a restart; "attempt begins" is the last line on them in the log.
+// Sequence: a target hangs, a client sends a request with a timeout of 5 s, and the initiator gets SIGTERM at once. SIGKILL
+// comes as early as it may, 3.7 s later, and finds the request in flight.
+// Cause: only requests accepted well after SIGTERM had their timeouts cut to what is left before SIGKILL. Earlier ones kept
 // theirs, which may be longer than that.
-// Settled by the log: "attempt begins" is the last line on the request.
 func TestOpenRequestIsAnsweredBeforeTheKill(t *testing.T) {
 	f := newFixtureWithClass(t, Class{Name: "read", Deadline: 5 * time.Second}, func(*rand.Rand) Behaviour { return Behaviour{Reply: Hang} })
 	var clients sync.WaitGroup
@@ -175,18 +175,18 @@
 	f.process.Kill()
 	clients.Wait()
 	for _, v := range f.ledger.Violations() {
-		t.Errorf("%v\n%s", v, f.process.Log("request="+v.Request))
+		t.Errorf("%v\n%s", v, f.process.LogOf(v.Request))
 	}
 }
 
 // TestConnectionBeforeTheListenerClosesIsServed guards against connections that the listener resets when it closes.
 //
-// Symptom: requests on new connections got no answer in a restart.
-// Sequence: clients open connections and ask 0.37 s after SIGTERM, while the initiator is paused for 0.14 s. It goes on 0.5 s
-// after SIGTERM, when the time to take connections, 0.45 s, is over.
-// Cause: the timer that closes the listener ran before the goroutine that accepts; what the machine had accepted by then was
-// reset with the listener.
-// Settled by this test: the clients' connections are reset, and the log has no word of them.
+// Symptom: requests on new connections got no response in a restart: the connections are reset, and the log does not mention
+// them.
+// Sequence: clients open connections and send requests 0.37 s after SIGTERM, while the initiator is paused for 0.14 s. It
+// continues 0.5 s after SIGTERM, when the accept grace of 0.45 s is over.
+// Cause: the timer that closes the listener ran before the goroutine that accepts. The connections that the kernel had
+// accepted by then were reset with the listener.
 func TestConnectionBeforeTheListenerClosesIsServed(t *testing.T) {
 	for range 3 {
 		f := newFixture(t, respondAtOnce)
@@ -201,7 +201,7 @@
 					t.Fatal(err)
 				}
 				clients.Go(func() {
-					defer func() { _ = conn.Close() }() // its outcome is known
+					defer func() { _ = conn.Close() }() // the response has been read
 					q := Request{ID: fmt.Sprintf("r%d", i), Class: readClass, Timeout: readClass.Deadline}
 					if o, _ := f.client.exchange(conn, false, q); o.Status != http.StatusOK {
 						t.Errorf("status %d, %s, %v after its last byte", o.Status, o.Text, o.Elapsed)
@@ -218,11 +218,11 @@
 
 // TestRequestAtTheReadTimeoutIsAnswered guards against a close over a request that is there but unread.
 //
-// Symptom: a request had its connection closed with no answer.
-// Sequence: a client opens a connection and sends its first request just before the 2 s that it has for that are over, while the
-// initiator is paused. It goes on after the 2 s.
-// Cause: the time-out ended the connection by the clock, with no look at what had come by then.
-// Settled by this test: the clients' connections are reset, and the log has them as IDLE_TIMEOUT.
+// Symptom: a connection was closed over a request, with no response: the connection is reset, and the log has it as
+// IDLE_TIMEOUT.
+// Sequence: a client opens a connection and sends its first request just before the 2 s that it has for that are over, while
+// the initiator is paused. The initiator continues after the 2 s.
+// Cause: the timeout closed the connection by the clock alone, without a check for unread bytes.
 func TestRequestAtTheReadTimeoutIsAnswered(t *testing.T) {
 	f := newFixture(t, respondAtOnce)
 	begun := time.Now()
@@ -232,7 +232,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer func() { _ = conn.Close() }() // its outcome is known
+		defer func() { _ = conn.Close() }() // the response has been read
 		conns = append(conns, conn)
 	}
 	time.Sleep(time.Until(begun.Add(firstRequestTimeout - 70*time.Millisecond)))
--- a/internal/faulttest/soak_faults_test.go
+++ b/internal/faulttest/soak_faults_test.go
@@ -40,7 +40,7 @@
 	s.discovery.Set(Entry{ID: id, Addr: target.Addr().String(), Cell: shard, State: Serving})
 }
 
-// targetBehaviour draws how often a target does what, and returns what draws its behaviour.
+// targetBehaviour draws a target's fault rates, and returns the function that draws its behaviour for each request.
 func targetBehaviour(plan *rand.Rand) func(*rand.Rand) Behaviour {
 	faults := plan.Float64() * 0.15
 	hangs := 0.0
@@ -159,14 +159,13 @@
 	time.Sleep(soakDuration/4 + time.Duration(rng.Int64N(int64(soakDuration/4))))
 	process, client := s.current()
 	if rng.IntN(4) == 0 {
-		client.Killed(true)
-		s.signalMu.Lock()
+		client.MarkKilled()
 	} else {
 		s.terminate(process, client, rng)
-		s.signalMu.Lock()
 	}
-	process.Kill()
+	s.signalMu.Lock()
 	defer s.signalMu.Unlock()
+	process.Kill()
 	client.StopConnecting()
 	s.start()
 }
--- a/internal/faulttest/soak_test.go
+++ b/internal/faulttest/soak_test.go
@@ -42,8 +42,8 @@
 	delays        *DelayMonitor
 	discovery     *Discovery
 	discoveryAddr string
-	config        Config
-	killAfter     time.Duration // how soon SIGKILL follows SIGTERM
+	config        Config        // its Discovery changes under signalMu while the run goes on
+	killAfter     time.Duration // how soon SIGKILL follows SIGTERM, of config
 	dir           string
 	process       *Process
 	processes     []*Process // all that there were
@@ -164,11 +164,11 @@
 	}
 }
 
-// log returns what all processes logged with the text in it.
-func (s *soak) log(text string) string {
+// logOf returns what all processes logged on a request.
+func (s *soak) logOf(requestID string) string {
 	found := ""
 	for i, p := range s.processes {
-		if lines := p.Log(text); lines != "" {
+		if lines := p.LogOf(requestID); lines != "" {
 			found += fmt.Sprintf("process %d:\n%s", i, lines)
 		}
 	}
@@ -179,7 +179,7 @@
 	process, client := s.current()
 	client.Close()
 	for _, v := range s.ledger.Violations() {
-		s.t.Errorf("%v\n%s", v, s.log("request="+v.Request))
+		s.t.Errorf("%v\n%s", v, s.logOf(v.Request))
 	}
 	if ended, err := process.Ended(); ended {
 		s.t.Errorf("the initiator ended: %v\n%s", err, process.Log("panic"))
--- a/internal/faulttest/target_test.go
+++ b/internal/faulttest/target_test.go
@@ -45,7 +45,7 @@
 	hangTimeout = 4 * time.Second
 	// maxRepeatDelay is the longest that a repeated response may follow the first by: a few milliseconds.
 	maxRepeatDelay = 9500 * time.Microsecond
-	// resetDelay lets the client read what came before a reset, which would discard it.
+	// resetDelay lets the initiator read the bytes before a reset, which would discard it.
 	resetDelay = 5 * time.Millisecond
 )
 
@@ -198,8 +198,8 @@
 		return false
 	}
 	if b.CloseIdleAfter > 0 {
-		came, err := peekWithin(conn, in, b.CloseIdleAfter)
-		return err == nil && came
+		readable, err := peekWithin(conn, in, b.CloseIdleAfter)
+		return err == nil && readable
 	}
 	if b.RepeatAfter > 0 {
 		return t.repeat(conn, in, begun, b.RepeatAfter, response)
@@ -210,8 +210,8 @@
 // repeat sends a response a second time, unless another request comes first. Where this process itself was late with it, the
 // ledger is told: no initiator need be ready for that.
 func (t *Target) repeat(conn net.Conn, in *bufio.Reader, begun time.Time, after time.Duration, response string) bool {
-	came, err := peekWithin(conn, in, after)
-	if err != nil || came {
+	readable, err := peekWithin(conn, in, after)
+	if err != nil || readable {
 		return err == nil
 	}
 	_, err = io.WriteString(conn, response)
@@ -221,8 +221,8 @@
 	return err == nil
 }
 
-// peekWithin waits for a byte for so long. It returns whether one came; an error is the connection's.
-func peekWithin(conn net.Conn, in *bufio.Reader, timeout time.Duration) (came bool, err error) {
+// peekWithin waits for a byte until the timeout, and returns whether there is one. An error is the connection's.
+func peekWithin(conn net.Conn, in *bufio.Reader, timeout time.Duration) (readable bool, err error) {
 	if err := conn.SetReadDeadline(time.Now().Add(timeout)); err != nil {
 		return false, err
 	}
