--- a/internal/clienthttp/accept_test.go
+++ b/internal/clienthttp/accept_test.go
@@ -2,115 +2,101 @@
 
 import (
 	"errors"
-	"io"
 	"net"
 	"os"
 	"sync"
 	"syscall"
 	"testing"
 	"time"
-
-	"dapplegate/internal/dispatcher"
 )
 
-// failingListener fails with each of its errors, and for want of descriptors up to a time, before it accepts.
+// failingListener fails with each of its errors, and with EMFILE until a time, before it accepts.
 type failingListener struct {
 	net.Listener
-	mu    sync.Mutex
-	errs  []error
-	until time.Time
+	mutex      sync.Mutex
+	errnos     []syscall.Errno
+	emfileTill time.Time
 }
 
 func (l *failingListener) Accept() (net.Conn, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if time.Now().Before(l.until) {
-		l.errs = append(l.errs, syscall.EMFILE)
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	if time.Now().Before(l.emfileTill) {
+		l.errnos = append(l.errnos, syscall.EMFILE)
 	}
-	if len(l.errs) == 0 {
+	if len(l.errnos) == 0 {
 		return l.Listener.Accept()
 	}
-	err := l.errs[0]
-	l.errs = l.errs[1:]
-	return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", err)}
+	errno := l.errnos[0]
+	l.errnos = l.errnos[1:]
+	return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", errno)}
 }
 
-// TestAcceptFailsForAMoment
+// TestTransientAcceptErrors has accept fail in each way that accept(2) documents as transient.
 //
-// Symptom: all requests that an initiator had taken were lost with it.
-// Sequence: accept fails for a moment in one of the ways that accept(2) documents, such as for want of buffers.
-// Cause: net/http ends a server on each error of accept that Go does not call temporary, and the program ended with it.
-// Settled by the log: the process's last line is "accept4: no buffer space available".
-func TestAcceptFailsForAMoment(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	failing := &failingListener{Listener: l, errs: []error{syscall.ECONNABORTED, syscall.EINTR, syscall.EMFILE, syscall.ENFILE,
+// All requests in flight were lost when accept failed for a moment, such as for lack of buffers: net/http ends a server on
+// each error of accept that the net package does not call temporary, and the program ended with it. The last line of the
+// process was "accept4: no buffer space available".
+func TestTransientAcceptErrors(t *testing.T) {
+	l := listen(t)
+	failing := &failingListener{Listener: l, errnos: []syscall.Errno{
+		syscall.ECONNABORTED, syscall.EINTR, syscall.EMFILE, syscall.ENFILE,
 		syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.EPERM, syscall.ENETDOWN, syscall.ENOPROTOOPT, syscall.EHOSTDOWN,
-		syscall.ENONET, syscall.EHOSTUNREACH, syscall.EOPNOTSUPP, syscall.ENETUNREACH, syscall.ETIMEDOUT}}
-	s, b, _ := newFront(t, 64)
+		syscall.ENONET, syscall.EHOSTUNREACH, syscall.EOPNOTSUPP, syscall.ENETUNREACH, syscall.ETIMEDOUT,
+	}}
+	d := newFakeDispatcher()
+	s := newTestServer(d, maxTestConns)
 	ended := make(chan error, 1)
 	go func() { ended <- s.Serve(failing) }()
-	go func() { (<-b.jobs).Respond(dispatcher.Response{Payload: []byte("x")}) }()
-	wantServed(t, l.Addr().String(), goodRead, 1)
-	s.http.Close()
-	<-ended
+	go d.respondToNext(1)
+	wantServed(t, l.Addr().String(), validGet, 1)
+	if err := s.http.Close(); err != nil {
+		t.Error(err)
+	}
+	if err := <-ended; err != nil {
+		t.Errorf("ended with %v", err)
+	}
 }
 
-// TestAcceptFailsForGood has accept fail in a way that no wait mends: the server ends with it.
-func TestAcceptFailsForGood(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer l.Close()
-	s, _, _ := newFront(t, 64)
-	if err := s.Serve(&failingListener{Listener: l, errs: []error{syscall.EINVAL}}); !errors.Is(err, syscall.EINVAL) {
+// TestPermanentAcceptError has accept fail in a way that no retry mends: the server ends with that error.
+func TestPermanentAcceptError(t *testing.T) {
+	s := newTestServer(newFakeDispatcher(), maxTestConns)
+	failing := &failingListener{Listener: listen(t), errnos: []syscall.Errno{syscall.EINVAL}}
+	if err := s.Serve(failing); !errors.Is(err, syscall.EINVAL) {
 		t.Errorf("ended with %v, want %v", err, syscall.EINVAL)
 	}
 }
 
-// TestRequestBehindAFailingAcceptHasArrived
+// TestRequestInBacklogCountsAsReceived has accept fail for 0.3 s for lack of file descriptors, while a client connects and
+// sends a request, which is read 0.3 s later.
 //
-// Symptom: a request had its answer after its client's time was over, and its target was told more time than the client had left.
-// Sequence: accept fails for 0.3 s, for want of descriptors. A client connects and asks meanwhile; its connection waits at the
-// listener, and its request is read 0.3 s later.
-// Cause: a request's time was counted from when it was read, as if nothing could have waited before the connection was taken.
-// Settled by the log: "accept failed", and "request taken" with age=10µs for a request that was sent 0.3 s before.
-func TestRequestBehindAFailingAcceptHasArrived(t *testing.T) {
+// Such a request got its response after its client's timeout, and its target was told more time than the client had left:
+// the timeout was counted from when the request was read, as if nothing could have waited before the connection was
+// accepted. The log had "accept failed", and then the request with an age of 10 µs that had been sent 0.3 s before.
+func TestRequestInBacklogCountsAsReceived(t *testing.T) {
 	const failsFor = 300 * time.Millisecond
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	failing := &failingListener{Listener: l, until: time.Now().Add(failsFor)}
-	s, b, _ := newFront(t, 64)
-	go s.Serve(failing)
-	c, err := net.Dial("tcp", l.Addr().String())
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer c.Close()
-	sent := time.Now()
-	io.WriteString(c, goodRead)
-	j := <-b.jobs
-	if late := j.ReceivedAt.Sub(sent); late > failsFor/10 {
-		t.Errorf("the request came %v after it was sent", late)
+	l := listen(t)
+	addr := l.Addr().String()
+	d := newFakeDispatcher()
+	serve(t, newTestServer(d, maxTestConns), &failingListener{Listener: l, emfileTill: time.Now().Add(failsFor)})
+
+	queued := dial(t, addr)
+	sentAt := time.Now()
+	send(queued, validGet)
+	call := <-d.calls
+	if late := call.ReceivedAt.Sub(sentAt); late > failsFor/10 {
+		t.Errorf("the request counts as received %v after it was sent", late)
 	}
-	j.Respond(dispatcher.Response{Payload: []byte("x")})
-	// Once the listener has nothing left that waited, a connection is as new as it looks.
+	call.Respond(servedX)
+
+	// Once the backlog is empty, a request counts as received when it is read.
 	time.Sleep(failsFor)
-	fresh, err := net.Dial("tcp", l.Addr().String())
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer fresh.Close()
-	sent = time.Now()
-	io.WriteString(fresh, goodRead)
-	j = <-b.jobs
-	if j.ReceivedAt.Before(sent) {
-		t.Errorf("the request came %v before it was sent", sent.Sub(j.ReceivedAt))
+	fresh := dial(t, addr)
+	sentAt = time.Now()
+	send(fresh, validGet)
+	call = <-d.calls
+	if call.ReceivedAt.Before(sentAt) {
+		t.Errorf("the request counts as received %v before it was sent", sentAt.Sub(call.ReceivedAt))
 	}
-	j.Respond(dispatcher.Response{Payload: []byte("x")})
+	call.Respond(servedX)
 }
--- /dev/null
+++ b/internal/clienthttp/conn_test.go
@@ -0,0 +1,127 @@
+package clienthttp
+
+import (
+	"errors"
+	"log/slog"
+	"net"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// TestPipelinedRequestCountsAsReceivedWhenSent has a client send several requests at once, or further ones while the first
+// is in flight at a target that hangs. The second is read only when the first has its response.
+//
+// Such a request got its response long after its client's timeout, or none, and its target was told more time than the
+// client had left: the timeout was counted from when its last byte was read, though it may have waited unread since the
+// request before it arrived. The log had an age of 10 µs for a request that had been sent seconds before.
+func TestPipelinedRequestCountsAsReceivedWhenSent(t *testing.T) {
+	const inFlightFor = 300 * time.Millisecond
+	for name, gap := range map[string]time.Duration{
+		"in one step":          0,
+		"a little later":       20 * time.Millisecond,
+		"while one is running": inFlightFor / 2,
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			_, d, addr := startServer(t, maxTestConns)
+			conn := dial(t, addr)
+			var sentAt []time.Time
+			for range 3 {
+				sentAt = append(sentAt, time.Now())
+				send(conn, validGet)
+				time.Sleep(gap)
+			}
+			for i := range sentAt {
+				call := <-d.calls
+				if late := call.ReceivedAt.Sub(sentAt[i]); late > inFlightFor/10 {
+					t.Errorf("request %d counts as received %v after it was sent", i, late)
+				}
+				time.Sleep(inFlightFor)
+				call.Respond(servedX)
+			}
+		})
+	}
+}
+
+// afterRead runs a function once bytes have been read, before the reader gets to see them.
+type afterRead struct {
+	syscall.RawConn
+	run func()
+}
+
+func (r afterRead) Read(f func(uintptr) bool) error {
+	err := r.RawConn.Read(f)
+	r.run()
+	return err
+}
+
+// TestEvictionAfterRead evicts an idle connection in the moment in which a request has been read on it, and nothing that
+// follows the read has run. If the connection still counted as idle then, the request would be lost with it: it must not be
+// closed. A connection that was closed gives no more bytes.
+func TestEvictionAfterRead(t *testing.T) {
+	client, accepted := connPair(t)
+	table := newConnTable(8, 8, slog.New(slog.DiscardHandler))
+	c := table.add(accepted)
+	rawConn := c.rawConn
+
+	closed := false
+	c.rawConn = afterRead{rawConn, func() { closed = evictLocked(table, c, stateIdle) }}
+	send(client, "G")
+	if n, err := c.Read(make([]byte, 8)); n != 1 || err != nil || closed {
+		t.Errorf("read %d, %v; closed over it: %v", n, err, closed)
+	}
+
+	c.state.Store(stateIdle)
+	c.rawConn = afterRead{rawConn, func() {}}
+	if !evictLocked(table, c, stateIdle) {
+		t.Error("an idle connection was not closed")
+	}
+	if n, err := c.Read(make([]byte, 8)); n != 0 || !errors.Is(err, net.ErrClosed) {
+		t.Errorf("after the end: read %d, %v", n, err)
+	}
+}
+
+// pausedRead stops a read when it has begun, before it takes any byte.
+type pausedRead struct {
+	syscall.RawConn
+	begun, resume chan bool
+}
+
+func (r pausedRead) Read(f func(uintptr) bool) error {
+	return r.RawConn.Read(func(fd uintptr) bool {
+		r.begun <- true
+		<-r.resume
+		return f(fd)
+	})
+}
+
+// TestEvictionDuringRead evicts an idle connection while a read on it has begun. Close waits for that read, so a read that
+// waited for the eviction would deadlock, and the table with all its connections with it.
+func TestEvictionDuringRead(t *testing.T) {
+	_, accepted := connPair(t)
+	table := newConnTable(8, 8, slog.New(slog.DiscardHandler))
+	c := table.add(accepted)
+	read := pausedRead{c.rawConn, make(chan bool), make(chan bool)}
+	c.rawConn = read
+	readEnded := make(chan error, 1)
+	closed := make(chan bool, 1)
+	go func() {
+		_, err := c.Read(make([]byte, 8))
+		readEnded <- err
+	}()
+	<-read.begun
+	go func() { closed <- evictLocked(table, c, stateIdle) }()
+	for c.state.Load() != stateClosed {
+		time.Sleep(time.Millisecond)
+	}
+	read.resume <- true
+	select {
+	case ok := <-closed:
+		if err := <-readEnded; !ok || !errors.Is(err, net.ErrClosed) {
+			t.Errorf("closed %v, the read ended with %v", ok, err)
+		}
+	case <-time.After(10 * time.Second):
+		t.Fatal("the eviction and the read wait for each other")
+	}
+}
--- /dev/null
+++ b/internal/clienthttp/drain_test.go
@@ -0,0 +1,114 @@
+package clienthttp
+
+import (
+	"context"
+	"net"
+	"net/http"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"dapplegate/internal/dispatcher"
+)
+
+const readinessCheck = "GET " + readinessPath + " HTTP/1.1\r\nHost: a\r\n\r\n"
+
+// startShutdown calls Shutdown, and returns once it has begun.
+func startShutdown(s *Server) (ended <-chan error) {
+	result := make(chan error, 1)
+	go func() { result <- s.Shutdown(context.Background()) }()
+	for s.shutdownAt.Load() == nil {
+		time.Sleep(time.Millisecond)
+	}
+	return result
+}
+
+// TestGracefulShutdown checks the order of a shutdown: not ready at once, new connections served meanwhile, and what was
+// accepted finished before Shutdown returns.
+func TestGracefulShutdown(t *testing.T) {
+	s, d, addr := startServer(t, maxTestConns)
+	if response, _, _ := roundTripOnNewConn(t, addr, readinessCheck); response.StatusCode != http.StatusOK {
+		t.Fatalf("ready: %d", response.StatusCode)
+	}
+	inFlightConn := dial(t, addr)
+	var inFlight sync.WaitGroup
+	inFlight.Go(func() {
+		response, body, err := exchange(inFlightConn, validPut)
+		if err != nil || response.StatusCode != http.StatusOK || body != "late" {
+			t.Errorf("accepted before the shutdown: %+v, %q, %v", response, body, err)
+		}
+	})
+	call := <-d.calls
+	ended := startShutdown(s)
+	response, _, openConn := roundTripOnNewConn(t, addr, readinessCheck)
+	if response.StatusCode != http.StatusServiceUnavailable {
+		t.Errorf("ready during shutdown: %d", response.StatusCode)
+	}
+	time.Sleep(dispatcher.AcceptGrace + 100*time.Millisecond)
+	if conn, err := net.Dial("tcp", addr); err == nil {
+		_ = conn.Close()
+		t.Error("still accepting after the grace")
+	}
+	wantServedDuringShutdown(t, s, d, openConn)
+	select {
+	case err := <-ended:
+		t.Fatalf("ended with a request in flight, and with %v", err)
+	case <-time.After(s.shutdown.ServeConnsFor):
+	}
+	call.Respond(dispatcher.Response{Payload: []byte("late")})
+	inFlight.Wait()
+	if err := <-ended; err != nil {
+		t.Error(err)
+	}
+}
+
+// wantServedDuringShutdown wants a request on an open connection served, within the time that is left.
+func wantServedDuringShutdown(t *testing.T, s *Server, d *fakeDispatcher, openConn net.Conn) {
+	t.Helper()
+	timeout := make(chan time.Duration, 1)
+	go func() {
+		call := <-d.calls
+		timeout <- call.ClientTimeout
+		call.Respond(dispatcher.Response{Payload: []byte("kept")})
+	}()
+	longRequest := strings.Replace(validPut, "480", "9999", 1)
+	if response, body := roundTrip(t, openConn, longRequest); response.StatusCode != http.StatusOK || body != "kept" {
+		t.Errorf("on a connection from before: %d, %q", response.StatusCode, body)
+	}
+	if got, longest := <-timeout, s.shutdown.AnswerBy-dispatcher.AcceptGrace; got > longest {
+		t.Errorf("it may take %v, past the end of %v", got, longest)
+	}
+}
+
+// TestShutdownReadsPartialRequests shuts down with half a request read on a connection that was used before, and half on a
+// new one. Both requests would be lost if their connections were closed: both must be read completely, and get a response
+// that closes their connection.
+func TestShutdownReadsPartialRequests(t *testing.T) {
+	s, d, addr := startServer(t, maxTestConns)
+	go d.respondToAll()
+	defer close(d.calls)
+	_, _, used := roundTripOnNewConn(t, addr, validPut)
+	awaitIdle(t, s, 1)
+	fresh := dial(t, addr)
+	ended := startShutdown(s)
+	closingAt := s.shutdownAt.Load().Add(s.shutdown.ServeConnsFor)
+	dispatcher.WaitUntil(context.Background(), closingAt.Add(-requestTimeout/4))
+	half := len(validPut) / 2
+	for _, conn := range []net.Conn{used, fresh} {
+		send(conn, validPut[:half])
+	}
+	for !s.closeAfterResponse.Load() {
+		time.Sleep(time.Millisecond)
+	}
+	time.Sleep(4 * shutdownPollInterval)
+	for name, conn := range map[string]net.Conn{"used": used, "new": fresh} {
+		response, _ := roundTrip(t, conn, validPut[half:])
+		if response.StatusCode != http.StatusOK || !response.Close {
+			t.Errorf("%s: status %d, closes %v; want it served and closed", name, response.StatusCode, response.Close)
+		}
+	}
+	if err := <-ended; err != nil {
+		t.Error(err)
+	}
+}
--- /dev/null
+++ b/internal/clienthttp/handler_test.go
@@ -0,0 +1,286 @@
+package clienthttp
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"runtime"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"dapplegate/internal/dispatcher"
+	"dapplegate/internal/httpmsg"
+)
+
+// TestResponses passes a complete request to the dispatcher, and each kind of response back to the client.
+func TestResponses(t *testing.T) {
+	_, d, addr := startServer(t, maxTestConns)
+	for _, c := range []struct {
+		response   dispatcher.Response
+		status     int
+		retryAfter string
+		body       string
+	}{
+		{dispatcher.Response{Payload: []byte("data")}, 200, "", "data"},
+		{dispatcher.Response{Status: dispatcher.Rejected, RetryAfter: 250 * time.Millisecond}, 503, "0.250",
+			"refused: trying again is harmless\n"},
+		{dispatcher.Response{Status: dispatcher.Rejected}, 503, "", "refused: trying again is harmless\n"},
+		{dispatcher.Response{Status: dispatcher.Duplicate}, 409, "", "Request-Id: a request of that id is open or may have run\n"},
+		{dispatcher.Response{Status: dispatcher.Failed}, 502, "", "failed: it may have run\n"},
+	} {
+		go func() { (<-d.calls).Respond(c.response) }()
+		response, body, _ := roundTripOnNewConn(t, addr, validPut)
+		retryAfter := response.Header.Get("Retry-After")
+		if response.StatusCode != c.status || body != c.body || retryAfter != c.retryAfter {
+			t.Errorf("%+v: status %d, Retry-After %q, body %q", c.response, response.StatusCode, retryAfter, body)
+		}
+	}
+	go func() {
+		call := <-d.calls
+		message := call.Payload.(*httpmsg.Request)
+		text := fmt.Sprint(call.Class, call.Plan, call.Volume, call.Extent, call.Units, call.Shard, call.Initiators,
+			call.ClientTimeout, message.Method, message.URI, message.ID, string(message.Body))
+		call.Respond(dispatcher.Response{Payload: []byte(text)})
+	}()
+	want := fmt.Sprint("put", "std", "00000003b4d60021", "7f3a9c21e0b4d655", 2.0, 5, 3,
+		480*time.Millisecond, "PUT", "/put/x/7f3a9c21e0b4d655?q=1", "id1", "body")
+	if _, body, _ := roundTripOnNewConn(t, addr, validPut); body != want {
+		t.Errorf("received as %q, want %q", body, want)
+	}
+}
+
+// TestReadinessNeedsEndpointList checks that no client is invited before there is a target to forward to.
+func TestReadinessNeedsEndpointList(t *testing.T) {
+	s := newTestServer(newFakeDispatcher(), maxTestConns)
+	hasList := false
+	s.options.Ready = func() bool { return hasList }
+	for _, want := range []int{http.StatusServiceUnavailable, http.StatusOK} {
+		recorder := httptest.NewRecorder()
+		s.ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, readinessPath, nil))
+		if recorder.Code != want {
+			t.Errorf("has a list %v: status %d, want %d", hasList, recorder.Code, want)
+		}
+		hasList = true
+	}
+}
+
+// TestZeroTimeoutKeepsConnection sends a late retry that has no whole millisecond left. It is no malformed request, over
+// which the connection would be closed: the dispatcher rejects it, and the connection stays open.
+func TestZeroTimeoutKeepsConnection(t *testing.T) {
+	_, d, addr := startServer(t, maxTestConns)
+	go func() { (<-d.calls).Respond(dispatcher.Response{Status: dispatcher.Rejected}) }()
+	response, _, conn := roundTripOnNewConn(t, addr, strings.Replace(validPut, "480", "0", 1))
+	if response.StatusCode != http.StatusServiceUnavailable || response.Close {
+		t.Errorf("status %d, closes %v; want it rejected on a connection that stays open", response.StatusCode, response.Close)
+	}
+	go d.respondToNext(1)
+	if response, _ := roundTrip(t, conn, validPut); response.StatusCode != http.StatusOK {
+		t.Errorf("the next request: status %d", response.StatusCode)
+	}
+}
+
+// TestAbandonedRequestIsNeverServed has the client close while its request is in flight. If the handler returned without a
+// response, net/http would write an empty 200, and serve something that no target gave: it must abort the connection.
+func TestAbandonedRequestIsNeverServed(t *testing.T) {
+	d := newFakeDispatcher()
+	s := newTestServer(d, maxTestConns)
+	ctx, clientCloses := context.WithCancel(context.Background())
+	request := httptest.NewRequest(http.MethodGet, "/get/7f3a9c21e0b4d655", nil).WithContext(ctx)
+	request.Header.Set("Request-Id", "i")
+	request.Header.Set("Tier", "std")
+	request.Header.Set("Request-Timeout-Ms", "480")
+	request.Header.Set("IO-Info", "volume=00000003b4d60021,units=2,shard=5,hosts=3")
+	go func() {
+		<-d.calls
+		clientCloses()
+	}()
+	defer func() {
+		if err, _ := recover().(error); !errors.Is(err, http.ErrAbortHandler) {
+			t.Errorf("the handler ended with %v, want it to abort the connection", err)
+		}
+	}()
+	s.ServeHTTP(httptest.NewRecorder(), request)
+}
+
+// wantCancelled wants the call cancelled, and no other.
+func wantCancelled(t *testing.T, d *fakeDispatcher, call *dispatcher.Call) {
+	t.Helper()
+	select {
+	case cancelled := <-d.cancelled:
+		if cancelled != call {
+			t.Error("another call was cancelled")
+		}
+	case <-time.After(testTimeout):
+		t.Fatal("the call was not cancelled")
+	}
+}
+
+// TestClientCloseCancelsCall has a client close with a request in flight: its call is cancelled.
+func TestClientCloseCancelsCall(t *testing.T) {
+	_, d, addr := startServer(t, maxTestConns)
+	conn := dial(t, addr)
+	send(conn, validPut)
+	call := <-d.calls
+	if err := conn.Close(); err != nil {
+		t.Fatal(err)
+	}
+	wantCancelled(t, d, call)
+}
+
+// manyRequests is more pipelined requests than net/http reads ahead.
+const manyRequests = 40
+
+// TestClientCloseBehindPipelinedRequests has a client send more requests at once than net/http reads ahead, and close. The
+// end of the connection is then behind unread requests, where net/http does not detect it: the request in flight must be
+// cancelled, and none of the others accepted.
+func TestClientCloseBehindPipelinedRequests(t *testing.T) {
+	_, d, addr := startServer(t, maxTestConns)
+	conn := dial(t, addr)
+	send(conn, strings.Repeat(validPut, manyRequests))
+	call := <-d.calls
+	if err := conn.CloseWrite(); err != nil {
+		t.Fatal(err)
+	}
+	wantCancelled(t, d, call)
+	readUntilClosed(conn) // the server resets it, over what it did not read
+	if accepted := len(d.calls); accepted > 0 {
+		t.Errorf("%d more were accepted", accepted)
+	}
+}
+
+// TestPipelinedRequestsAreServed has a client send more requests at once than net/http reads ahead, and stay: all are
+// served, those in flight for longer than the checks for its close included.
+func TestPipelinedRequestsAreServed(t *testing.T) {
+	_, d, addr := startServer(t, maxTestConns)
+	conn := dial(t, addr)
+	send(conn, strings.Repeat(validPut, manyRequests))
+	reader := bufio.NewReader(conn)
+	for i := range manyRequests {
+		call := <-d.calls
+		if i%8 == 0 {
+			time.Sleep(2 * peerCheckInterval)
+		}
+		call.Respond(servedX)
+		response, err := http.ReadResponse(reader, nil)
+		if err != nil || response.StatusCode != http.StatusOK {
+			t.Fatalf("request %d: %+v, %v", i, response, err)
+		}
+		if _, err := io.Copy(io.Discard, response.Body); err != nil {
+			t.Fatalf("request %d: %v", i, err)
+		}
+	}
+}
+
+// TestClientCloseBetweenPipelinedRequests has a client send many requests at once, and close just as the first gets its
+// response. Those that net/http had read ahead must not be accepted any more.
+func TestClientCloseBetweenPipelinedRequests(t *testing.T) {
+	_, d, addr := startServer(t, maxTestConns)
+	conn := dial(t, addr)
+	send(conn, strings.Repeat(validPut, manyRequests))
+	call := <-d.calls
+	if err := conn.CloseWrite(); err != nil {
+		t.Fatal(err)
+	}
+	time.Sleep(5 * time.Millisecond) // for the close to arrive, still before the first check for it
+	call.Respond(servedX)
+	readUntilClosed(conn)
+	if accepted := len(d.calls); accepted > 0 {
+		t.Errorf("%d more were accepted", accepted)
+	}
+}
+
+// TestSlowClients has clients send nothing, too little or too slowly, one of them after a first request. Each would keep a
+// connection for ever: each must get an error or a close within 3 s. A request in flight for longer is none of them.
+func TestSlowClients(t *testing.T) {
+	const endsWithin = 3 * time.Second
+	_, d, addr := startServer(t, maxTestConns)
+	var clients sync.WaitGroup
+	for _, c := range []struct {
+		name, raw string
+		want      string // part of what the server writes
+		endsIn    time.Duration
+	}{
+		{"silent", "", "", endsWithin},
+		{"half a head", validPutHead, "", endsWithin},
+		{"half a body", partialPut, " 408 ", endsWithin},
+		{"a malformed head with half a body", strings.Replace(partialPut, "std", "odd", 1), " 422 ", testTimeout},
+		{"idle", validPut, " 200 ", endsWithin},
+	} {
+		conn := dial(t, addr)
+		clients.Go(func() {
+			begunAt := time.Now()
+			setDeadline(t, conn, begunAt.Add(testTimeout))
+			send(conn, c.raw)
+			got, err := io.ReadAll(conn)
+			if took := time.Since(begunAt); err != nil || took > c.endsIn {
+				t.Errorf("%s: ended after %v: %v", c.name, took, err)
+			}
+			if !strings.Contains(string(got), c.want) {
+				t.Errorf("%s: got %q, want %s", c.name, got, c.want)
+			}
+		})
+	}
+	d.respondToNext(1) // the idle client's
+	inFlight := dial(t, addr)
+	clients.Go(func() {
+		response, _, err := exchange(inFlight, strings.Replace(validPut, "480", "9999", 1))
+		if err != nil || response.StatusCode != http.StatusOK {
+			t.Errorf("in flight for long: %+v, %v", response, err)
+		}
+	})
+	call := <-d.calls
+	time.Sleep(requestTimeout + 200*time.Millisecond)
+	call.Respond(servedX)
+	clients.Wait()
+	if accepted, cancelled := len(d.calls), len(d.cancelled); accepted+cancelled > 0 {
+		t.Errorf("%d more calls were accepted, %d cancelled", accepted, cancelled)
+	}
+}
+
+// TestReadTimeoutDoesNotCancel lets the time for a request to arrive run out between its last byte and its handler.
+// net/http must lift that deadline before its background read, or it would take the timeout for the client's close and the
+// request would get no response.
+func TestReadTimeoutDoesNotCancel(t *testing.T) {
+	const readTimeout = 50 * time.Millisecond
+	addr := startServerWithDelay(t, readTimeout, func(*Server) { time.Sleep(2 * readTimeout) })
+	wantServed(t, addr, validGet, 1)
+}
+
+// TestHugeBody sends a body far beyond the limit. A reset over what was not read would take the response from the client,
+// which is still sending: the server must read it all, and must not keep it.
+func TestHugeBody(t *testing.T) {
+	const size = 60 << 20
+	const maxAllocated = 8 << 20
+	_, _, addr := startServer(t, maxTestConns)
+	conn := dial(t, addr)
+	setDeadline(t, conn, time.Now().Add(testTimeout))
+	var before, after runtime.MemStats
+	runtime.ReadMemStats(&before)
+	send(conn, fmt.Sprintf("%sContent-Length: %d\r\n\r\n", validPutHead, size))
+	sendZeros(t, conn, size)
+	runtime.ReadMemStats(&after)
+	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
+	if err != nil || response.StatusCode != http.StatusRequestEntityTooLarge {
+		t.Errorf("got %+v, %v", response, err)
+	}
+	if allocated := after.TotalAlloc - before.TotalAlloc; allocated > maxAllocated {
+		t.Errorf("%d bytes were allocated", allocated)
+	}
+}
+
+func sendZeros(t *testing.T, conn net.Conn, size int) {
+	t.Helper()
+	part := make([]byte, 64<<10)
+	for sent := 0; sent < size; sent += len(part) {
+		if _, err := conn.Write(part); err != nil {
+			t.Fatalf("after %d bytes: %v", sent, err)
+		}
+	}
+}
--- /dev/null
+++ b/internal/clienthttp/helpers_test.go
@@ -0,0 +1,259 @@
+package clienthttp
+
+import (
+	"bufio"
+	"io"
+	"log/slog"
+	"net"
+	"net/http"
+	"testing"
+	"time"
+
+	"dapplegate/internal/dispatcher"
+	"dapplegate/internal/seeded"
+)
+
+const (
+	// testTimeout is longer than anything takes that a test waits for, also on a busy machine.
+	testTimeout = 20 * time.Second
+	// maxTestConns is a limit of connections that no test with it reaches.
+	maxTestConns = 64
+)
+
+const validPutHead = "PUT /put/x/7f3a9c21e0b4d655?q=1 HTTP/1.1\r\nHost: a\r\nRequest-Id: id1\r\nTier: std\r\n" +
+	"Request-Timeout-Ms: 480\r\nIO-Info: volume=00000003b4d60021,units=2,shard=5,hosts=3\r\n"
+
+const validPut = validPutHead + "Content-Length: 4\r\n\r\nbody"
+
+const validGet = "GET /get/x/7f3a9c21e0b4d655 HTTP/1.1\r\nHost: a\r\nRequest-Id: id1\r\nTier: std\r\n" +
+	"Request-Timeout-Ms: 4800\r\nIO-Info: volume=00000003b4d60021,units=2,shard=5,hosts=3\r\n\r\n"
+
+// partialPut lacks the end of its body.
+const partialPut = validPutHead + "Content-Length: 9\r\n\r\nbo"
+
+// servedX is the response of a target whose data is "x".
+var servedX = dispatcher.Response{Payload: []byte("x")}
+
+func TestMain(m *testing.M) { seeded.Main(m) }
+
+// fakeDispatcher hands submitted and cancelled calls to the test.
+type fakeDispatcher struct {
+	calls     chan *dispatcher.Call
+	cancelled chan *dispatcher.Call
+	full      bool // rejects every call
+}
+
+func newFakeDispatcher() *fakeDispatcher {
+	return &fakeDispatcher{calls: make(chan *dispatcher.Call, 64), cancelled: make(chan *dispatcher.Call, 64)}
+}
+
+func (d *fakeDispatcher) Submit(call *dispatcher.Call) bool {
+	if d.full {
+		return false
+	}
+	d.calls <- call
+	return true
+}
+
+func (d *fakeDispatcher) Cancel(call *dispatcher.Call) { d.cancelled <- call }
+
+// respondToNext waits for so many calls, and responds to each with "x".
+func (d *fakeDispatcher) respondToNext(count int) {
+	for range count {
+		(<-d.calls).Respond(servedX)
+	}
+}
+
+// respondToAll responds to each call with "x", until the channel of calls is closed.
+func (d *fakeDispatcher) respondToAll() {
+	for call := range d.calls {
+		call.Respond(servedX)
+	}
+}
+
+// newTestServer returns a server that does not serve yet.
+func newTestServer(d Dispatcher, maxConns int) *Server {
+	return New(d, Options{
+		Classes:      map[string]bool{"get": true, "put": true},
+		Plans:        map[string]bool{"std": true},
+		MaxConns:     maxConns,
+		MaxIdleConns: maxConns,
+		MaxDeadline:  5 * time.Second,
+		Logger:       slog.New(slog.DiscardHandler),
+	})
+}
+
+// listen returns a listener on the loopback, closed at the end of the test.
+func listen(t *testing.T) net.Listener {
+	t.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = l.Close() })
+	return l
+}
+
+// serve has the server serve on the listener until the end of the test.
+func serve(t *testing.T, s *Server, l net.Listener) {
+	t.Helper()
+	go func() { _ = s.Serve(l) }()
+	t.Cleanup(func() { _ = s.http.Close() })
+}
+
+// startServer returns a server that serves on the address until the end of the test.
+func startServer(t *testing.T, maxConns int) (s *Server, d *fakeDispatcher, addr string) {
+	t.Helper()
+	d = newFakeDispatcher()
+	s = newTestServer(d, maxConns)
+	l := listen(t)
+	serve(t, s, l)
+	return s, d, l.Addr().String()
+}
+
+// startServerWithDelay serves all requests with "x". Before each reaches its handler, which is when net/http has read its
+// head, delay runs, as if the process had been held up there.
+func startServerWithDelay(t *testing.T, readTimeout time.Duration, delay func(*Server)) (addr string) {
+	t.Helper()
+	const responseTime = 20 * time.Millisecond
+	d := newFakeDispatcher()
+	s := newTestServer(d, maxTestConns)
+	s.http.ReadTimeout = readTimeout
+	s.http.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		delay(s)
+		s.ServeHTTP(w, r)
+	})
+	go func() {
+		for call := range d.calls {
+			time.AfterFunc(responseTime, func() { call.Respond(servedX) })
+		}
+	}()
+	l := listen(t)
+	serve(t, s, l)
+	return l.Addr().String()
+}
+
+// dial returns a connection to the address, closed at the end of the test.
+func dial(t *testing.T, addr string) *net.TCPConn {
+	t.Helper()
+	conn, err := net.Dial("tcp", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = conn.Close() })
+	return conn.(*net.TCPConn)
+}
+
+// setDeadline bounds what the test reads and writes on the connection. Any goroutine may call it.
+func setDeadline(t *testing.T, conn net.Conn, deadline time.Time) {
+	t.Helper()
+	if err := conn.SetDeadline(deadline); err != nil {
+		t.Error(err)
+	}
+}
+
+// send writes on a connection that the server may already have closed: what it responded is for the test to read.
+func send(conn net.Conn, raw string) {
+	_, _ = io.WriteString(conn, raw)
+}
+
+// readUntilClosed discards what the server still writes, until it closes or resets the connection.
+func readUntilClosed(conn net.Conn) {
+	_, _ = io.Copy(io.Discard, conn)
+}
+
+// exchange writes raw bytes on a connection and reads one response. A body that ends early is returned as far as it came.
+// Any goroutine may call it.
+func exchange(conn net.Conn, raw string) (response *http.Response, body string, err error) {
+	if err := conn.SetDeadline(time.Now().Add(testTimeout)); err != nil {
+		return nil, "", err
+	}
+	send(conn, raw)
+	response, err = http.ReadResponse(bufio.NewReader(conn), nil)
+	if err != nil {
+		return nil, "", err
+	}
+	content, _ := io.ReadAll(response.Body)
+	return response, string(content), nil
+}
+
+// roundTrip is exchange for the test's own goroutine.
+func roundTrip(t *testing.T, conn net.Conn, raw string) (response *http.Response, body string) {
+	t.Helper()
+	response, body, err := exchange(conn, raw)
+	if err != nil {
+		t.Fatalf("%q: %v", raw, err)
+	}
+	return response, body
+}
+
+// roundTripOnNewConn is roundTrip on a connection of its own.
+func roundTripOnNewConn(t *testing.T, addr, raw string) (response *http.Response, body string, conn *net.TCPConn) {
+	t.Helper()
+	conn = dial(t, addr)
+	response, body = roundTrip(t, conn, raw)
+	return response, body, conn
+}
+
+// wantServed writes what a client sends, and wants so many responses with a target's "x".
+func wantServed(t *testing.T, addr, raw string, responses int) {
+	t.Helper()
+	conn := dial(t, addr)
+	setDeadline(t, conn, time.Now().Add(testTimeout))
+	send(conn, raw)
+	reader := bufio.NewReader(conn)
+	for i := range responses {
+		response, err := http.ReadResponse(reader, nil)
+		if err != nil {
+			t.Fatalf("response %d: %v", i, err)
+		}
+		if body, _ := io.ReadAll(response.Body); response.StatusCode != http.StatusOK || string(body) != "x" {
+			t.Errorf("response %d: status %d, body %q", i, response.StatusCode, body)
+		}
+	}
+}
+
+// connPair returns both ends of a connection over the loopback.
+func connPair(t *testing.T) (client, accepted *net.TCPConn) {
+	t.Helper()
+	l := listen(t)
+	client = dial(t, l.Addr().String())
+	conn, err := l.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = conn.Close() })
+	return client, conn.(*net.TCPConn)
+}
+
+// evictLocked calls evict with the table locked, as the table itself does.
+func evictLocked(table *connTable, c *clientConn, seen connState) bool {
+	table.mutex.Lock()
+	defer table.mutex.Unlock()
+	return table.evict(c, seen, reasonConnectionLimit)
+}
+
+// awaitIdle waits until so many connections are idle. net/http reports that only after the response has been written, so a
+// client may be ahead of it.
+func awaitIdle(t *testing.T, s *Server, want int) {
+	t.Helper()
+	giveUpAt := time.Now().Add(testTimeout)
+	for countIdle(s) != want {
+		if time.Now().After(giveUpAt) {
+			t.Fatalf("%d connections are idle after %v, want %d", countIdle(s), testTimeout, want)
+		}
+		time.Sleep(time.Millisecond)
+	}
+}
+
+func countIdle(s *Server) int {
+	s.conns.mutex.Lock()
+	defer s.conns.mutex.Unlock()
+	count := 0
+	for c := range s.conns.open {
+		if c.state.Load() == stateIdle {
+			count++
+		}
+	}
+	return count
+}
