--- /dev/null
+++ b/internal/socket/socket_test.go
@@ -0,0 +1,213 @@
+package socket
+
+import (
+	"errors"
+	"io"
+	"net"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// waitLimit is longer than anything takes that a test waits for, also on a busy machine.
+const waitLimit = 10 * time.Second
+
+func listen(t *testing.T) net.Listener {
+	t.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = l.Close() })
+	return l
+}
+
+func dial(t *testing.T, l net.Listener) *net.TCPConn {
+	t.Helper()
+	conn, err := net.Dial("tcp", l.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = conn.Close() })
+	if err := conn.SetDeadline(time.Now().Add(waitLimit)); err != nil {
+		t.Fatal(err)
+	}
+	return conn.(*net.TCPConn)
+}
+
+// connPair returns both ends of a connection over the loopback.
+func connPair(t *testing.T) (client, accepted *net.TCPConn) {
+	t.Helper()
+	l := listen(t)
+	client = dial(t, l)
+	conn, err := l.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = conn.Close() })
+	return client, conn.(*net.TCPConn)
+}
+
+func write(t *testing.T, conn net.Conn, text string) {
+	t.Helper()
+	if _, err := io.WriteString(conn, text); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// await waits until the condition holds: what one end does takes a moment to show at the other.
+func await(t *testing.T, what string, condition func() bool) {
+	t.Helper()
+	giveUpAt := time.Now().Add(waitLimit)
+	for !condition() {
+		if time.Now().After(giveUpAt) {
+			t.Fatalf("not within %v: %s", waitLimit, what)
+		}
+		time.Sleep(time.Millisecond)
+	}
+}
+
+func agree() bool { return true }
+
+// TestIsQuiet checks the three states of a pooled connection, and that the look takes nothing from it.
+func TestIsQuiet(t *testing.T) {
+	client, accepted := connPair(t)
+	if !IsQuiet(accepted) {
+		t.Error("an open connection with nothing unread is not quiet")
+	}
+	write(t, client, "ab")
+	await(t, "unread bytes show", func() bool { return !IsQuiet(accepted) })
+	buffer := make([]byte, 2)
+	if _, err := io.ReadFull(accepted, buffer); err != nil || string(buffer) != "ab" {
+		t.Errorf("read %q, %v after the look", buffer, err)
+	}
+	if !IsQuiet(accepted) {
+		t.Error("not quiet after all was read")
+	}
+	if err := client.Close(); err != nil {
+		t.Fatal(err)
+	}
+	await(t, "the close shows", func() bool { return !IsQuiet(accepted) })
+}
+
+// TestShutdownIfQuiet shuts an idle connection down: the client gets the final message and the end.
+func TestShutdownIfQuiet(t *testing.T) {
+	client, accepted := connPair(t)
+	if !ShutdownIfQuiet(accepted, "bye", agree) {
+		t.Fatal("not shut down")
+	}
+	if got, err := io.ReadAll(client); err != nil || string(got) != "bye" {
+		t.Errorf("the client read %q, %v", got, err)
+	}
+}
+
+// TestShutdownKeepsUnreadBytes wants a connection left alone on which a byte has arrived: a request would be lost with it.
+// The claim is not even asked.
+func TestShutdownKeepsUnreadBytes(t *testing.T) {
+	client, accepted := connPair(t)
+	write(t, client, "G")
+	await(t, "the byte arrives", func() bool { return !IsQuiet(accepted) })
+	claimed := false
+	claim := func() bool {
+		claimed = true
+		return true
+	}
+	if ShutdownIfQuiet(accepted, "bye", claim) || claimed {
+		t.Errorf("shut down over an unread byte, or claimed: %v", claimed)
+	}
+	wantOpen(t, client, accepted)
+}
+
+// TestShutdownNeedsClaim wants a connection left alone if the claim says no.
+func TestShutdownNeedsClaim(t *testing.T) {
+	client, accepted := connPair(t)
+	if ShutdownIfQuiet(accepted, "bye", func() bool { return false }) {
+		t.Error("shut down against the claim")
+	}
+	wantOpen(t, client, accepted)
+}
+
+// wantOpen wants what the accepted end writes to be the next that the client reads.
+func wantOpen(t *testing.T, client, accepted net.Conn) {
+	t.Helper()
+	write(t, accepted, "x")
+	buffer := make([]byte, 1)
+	if _, err := io.ReadFull(client, buffer); err != nil || string(buffer) != "x" {
+		t.Errorf("the client read %q, %v; want an open connection", buffer, err)
+	}
+}
+
+// TestIsPeerClosed has the client write and then close: the close must show while its bytes are still unread.
+func TestIsPeerClosed(t *testing.T) {
+	client, accepted := connPair(t)
+	write(t, client, "request")
+	await(t, "the bytes arrive", func() bool { return !IsQuiet(accepted) })
+	if IsPeerClosed(accepted) {
+		t.Error("closed before the client closed")
+	}
+	if err := client.CloseWrite(); err != nil {
+		t.Fatal(err)
+	}
+	await(t, "the close shows behind unread bytes", func() bool { return IsPeerClosed(accepted) })
+	if err := accepted.Close(); err != nil {
+		t.Fatal(err)
+	}
+	if !IsPeerClosed(accepted) {
+		t.Error("a connection closed on this side counts as open")
+	}
+}
+
+// TestDrainListenerEmptiesBacklog has clients wait in the backlog while the accepting goroutine is held up. The kernel
+// resets what is left there when the listener closes: all must be accepted before.
+func TestDrainListenerEmptiesBacklog(t *testing.T) {
+	const clients = 4
+	l := listen(t)
+	for range clients {
+		dial(t, l)
+	}
+	drained := make(chan error, 1)
+	go func() { drained <- DrainListener(l, time.Now().Add(waitLimit)) }()
+	for i := range clients {
+		time.Sleep(20 * time.Millisecond) // as if held up
+		conn, err := l.Accept()
+		if err != nil {
+			t.Fatalf("accepted %d of %d: %v", i, clients, err)
+		}
+		t.Cleanup(func() { _ = conn.Close() })
+	}
+	if err := <-drained; err != nil {
+		t.Error(err)
+	}
+	if _, err := l.Accept(); !errors.Is(err, net.ErrClosed) {
+		t.Errorf("accept after the drain: %v, want %v", err, net.ErrClosed)
+	}
+}
+
+// TestDrainListenerEndsAtDeadline has nobody accept: the listener is closed all the same, and the client is reset.
+func TestDrainListenerEndsAtDeadline(t *testing.T) {
+	const wait = 50 * time.Millisecond
+	l := listen(t)
+	client := dial(t, l)
+	begunAt := time.Now()
+	if err := DrainListener(l, begunAt.Add(wait)); err != nil {
+		t.Error(err)
+	}
+	if took := time.Since(begunAt); took < wait {
+		t.Errorf("closed after %v over a connection in the backlog", took)
+	}
+	if _, err := client.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
+		t.Errorf("the client read %v, want %v", err, syscall.ECONNRESET)
+	}
+}
+
+// TestNoSystemSocket takes connections without a system socket as open with nothing unread.
+func TestNoSystemSocket(t *testing.T) {
+	conn, peer := net.Pipe()
+	t.Cleanup(func() {
+		_ = conn.Close()
+		_ = peer.Close()
+	})
+	if !IsQuiet(conn) || IsPeerClosed(conn) || !ShutdownIfQuiet(conn, "", agree) {
+		t.Errorf("quiet %v, closed by peer %v", IsQuiet(conn), IsPeerClosed(conn))
+	}
+}
