--- a/internal/clienthttp/conn.go
+++ b/internal/clienthttp/conn.go
@@ -23,7 +23,7 @@
 // end exclude each other, so that no request is lost between them.
 //
 // Reads come from one goroutine at a time: the one that serves the connection, or net/http's background read while a
-// request is in flight. "Reader" below is either.
+// request is in flight. "Reader" below is either; "state hook" is connTable.onConnState.
 type clientConn struct {
 	net.Conn
 	// rawConn is nil where the connection offers none, in which case reads go through Conn.
@@ -59,12 +59,14 @@
 	// foundEmpty is whether net/http's last background read found nothing to read. Only the reader uses it.
 	foundEmpty bool
 
-	// idleSince is when the connection last became idle. Guarded by connTable.mutex.
+	// idleSince is when the connection was accepted, last became idle, or could not be evicted since a request was arriving.
+	// Guarded by connTable.mutex.
 	idleSince time.Time
 	// overLimit is whether the connection was accepted over the limit with none to evict for it. Set before the first read.
 	overLimit bool
 }
 
+// newClientConn wraps an accepted connection, from which nothing has been read.
 func newClientConn(conn net.Conn) *clientConn {
 	c := &clientConn{Conn: conn, idleSince: time.Now(), pipelined: make(chan struct{})}
 	if raw, ok := conn.(syscall.Conn); ok {
--- a/internal/clienthttp/connstate.go
+++ b/internal/clienthttp/connstate.go
@@ -19,7 +19,8 @@
 //	rejected   closed     table       the same, whatever is unread
 //	idle       closed     reader      the time for the first request is over, and nothing is unread
 //
-// The one exception is a new connection far over the limit: it is stored as closed before anything is read from it.
+// The reader is the goroutine that reads from the connection, the state hook is connTable.onConnState. The one exception to
+// the compare-and-swaps is a new connection far over the limit: it is stored as closed before anything is read from it.
 type connState int32
 
 const (
--- a/internal/clienthttp/eviction_test.go
+++ b/internal/clienthttp/eviction_test.go
@@ -13,7 +13,7 @@
 )
 
 // TestUselessConnectionsAreEvicted uses up the limit with connections that send nothing, stop within a head or a body, or
-// have been rejected and never end their body. Usual clients must be served all the same, and a connection with a request
+// have been rejected and never end their body. Well-behaved clients must be served all the same, and a connection with a request
 // in flight must stay.
 func TestUselessConnectionsAreEvicted(t *testing.T) {
 	const maxConns = 8
@@ -36,7 +36,7 @@
 			go d.respondToNext(useless)
 			for range useless {
 				if response, _, _ := roundTripOnNewConn(t, addr, validPut); response.StatusCode != http.StatusOK {
-					t.Errorf("a usual client got status %d", response.StatusCode)
+					t.Errorf("a well-behaved client got status %d", response.StatusCode)
 				}
 			}
 			call.Respond(servedX)
--- a/internal/clienthttp/handler.go
+++ b/internal/clienthttp/handler.go
@@ -129,7 +129,9 @@
 //
 // It guards against forwarding requests of a client that has closed: once a pipelined request has arrived, net/http stops its
 // background reads and never cancels the context. From then on the connection itself is checked.
-func awaitResponse(ctx context.Context, conn *clientConn, responses <-chan dispatcher.Response) (response dispatcher.Response, ok bool) {
+func awaitResponse(
+	ctx context.Context, conn *clientConn, responses <-chan dispatcher.Response,
+) (response dispatcher.Response, ok bool) {
 	pipelined := conn.pipelined
 	var peerCheck <-chan time.Time
 	for {
--- a/internal/clienthttp/handler_test.go
+++ b/internal/clienthttp/handler_test.go
@@ -32,7 +32,8 @@
 		{dispatcher.Response{Status: dispatcher.Rejected, RetryAfter: 250 * time.Millisecond}, 503, "0.250",
 			"refused: trying again is harmless\n"},
 		{dispatcher.Response{Status: dispatcher.Rejected}, 503, "", "refused: trying again is harmless\n"},
-		{dispatcher.Response{Status: dispatcher.Duplicate}, 409, "", "Request-Id: a request of that id is open or may have run\n"},
+		{dispatcher.Response{Status: dispatcher.Duplicate}, 409, "",
+			"Request-Id: a request of that id is open or may have run\n"},
 		{dispatcher.Response{Status: dispatcher.Failed}, 502, "", "failed: it may have run\n"},
 	} {
 		go func() { (<-d.calls).Respond(c.response) }()
--- a/internal/clienthttp/parse.go
+++ b/internal/clienthttp/parse.go
@@ -68,7 +68,8 @@
 	}
 	requestID := r.Header.Get(headerRequestID)
 	if !isRequestID(requestID) {
-		return nil, nil, requestErrorf(http.StatusBadRequest, "%s: wanted 1 to %d visible characters", headerRequestID, maxRequestIDLength)
+		return nil, nil, requestErrorf(http.StatusBadRequest, "%s: wanted 1 to %d visible characters",
+			headerRequestID, maxRequestIDLength)
 	}
 	timeout, err := parseClientTimeout(r.Header.Get(headerClientTimeout))
 	if err != nil {
@@ -126,7 +127,8 @@
 	class, rest, found := strings.Cut(path[1:], "/")
 	extent = rest[strings.LastIndexByte(rest, '/')+1:]
 	if !found || class == "" || !isHex(extent, extentKeyLength) {
-		return "", "", requestErrorf(http.StatusBadRequest, "path: wanted /class/…/key with a key of %d hex digits", extentKeyLength)
+		return "", "", requestErrorf(http.StatusBadRequest, "path: wanted /class/…/key with a key of %d hex digits",
+			extentKeyLength)
 	}
 	return class, extent, nil
 }
@@ -141,7 +143,8 @@
 func parseClientTimeout(value string) (time.Duration, *RequestError) {
 	millis, err := strconv.ParseUint(value, 10, 31)
 	if err != nil || millis > maxClientTimeoutMillis {
-		return 0, requestErrorf(http.StatusBadRequest, "%s: wanted whole milliseconds, 0 to %d", headerClientTimeout, maxClientTimeoutMillis)
+		return 0, requestErrorf(http.StatusBadRequest, "%s: wanted whole milliseconds, 0 to %d",
+			headerClientTimeout, maxClientTimeoutMillis)
 	}
 	return time.Duration(millis) * time.Millisecond, nil
 }
