--- a/internal/clienthttp/conn_test.go
+++ b/internal/clienthttp/conn_test.go
@@ -4,9 +4,12 @@
 	"errors"
 	"log/slog"
 	"net"
+	"os"
 	"syscall"
 	"testing"
 	"time"
+
+	"dapplegate/internal/socket"
 )
 
 // TestPipelinedRequestCountsAsReceivedWhenSent has a client send several requests at once, or further ones while the first
@@ -125,3 +128,61 @@
 		t.Fatal("the eviction and the read wait for each other")
 	}
 }
+
+// readAfterDeadline is a socket whose reads find their deadline over, as after the process was held up.
+type readAfterDeadline struct {
+	syscall.RawConn
+}
+
+func (readAfterDeadline) Read(func(uintptr) bool) error {
+	return os.ErrDeadlineExceeded
+}
+
+// TestRequestAtReadDeadlineIsRead has a client's first request arrive just before the time for it is over, while the process
+// is held up until after that time.
+//
+// Such a request had its connection closed without a response: the deadline ended the connection, without a look at what
+// had arrived by then. A connection on which nothing has arrived is closed.
+func TestRequestAtReadDeadlineIsRead(t *testing.T) {
+	for name, c := range map[string]struct {
+		sent      string
+		wantError error
+		wantState connState
+	}{
+		"request": {"GET", nil, stateReceiving},
+		"nothing": {"", os.ErrDeadlineExceeded, stateClosed},
+	} {
+		t.Run(name, func(t *testing.T) {
+			client, accepted := connPair(t)
+			conn := newClientConn(accepted)
+			conn.rawConn = readAfterDeadline{conn.rawConn}
+			send(client, c.sent)
+			if c.sent != "" {
+				awaitUnread(t, accepted)
+			}
+			buffer := make([]byte, 8)
+			n, err := conn.Read(buffer)
+			if string(buffer[:n]) != c.sent || !errors.Is(err, c.wantError) {
+				t.Errorf("read %q, %v; want %q, %v", buffer[:n], err, c.sent, c.wantError)
+			}
+			if state := conn.state.Load(); state != c.wantState {
+				t.Errorf("the connection is %v, want %v", state, c.wantState)
+			}
+			if reason := conn.closeReason.Load(); c.wantState == stateClosed && (reason == nil || *reason != reasonIdleTimeout) {
+				t.Errorf("closed with reason %v, want %v", reason, reasonIdleTimeout)
+			}
+		})
+	}
+}
+
+// awaitUnread waits until what the other end has sent has arrived.
+func awaitUnread(t *testing.T, conn net.Conn) {
+	t.Helper()
+	giveUpAt := time.Now().Add(testTimeout)
+	for socket.IsQuiet(conn) {
+		if time.Now().After(giveUpAt) {
+			t.Fatalf("nothing arrived within %v", testTimeout)
+		}
+		time.Sleep(time.Millisecond)
+	}
+}
--- a/internal/clienthttp/connstate.go
+++ b/internal/clienthttp/connstate.go
@@ -17,7 +17,7 @@
 //	idle       closed     table       eviction, keep-alive timeout or shutdown, if nothing is unread
 //	receiving  closed     table       the same, of a request that has stalled, if nothing is unread
 //	rejected   closed     table       the same, whatever is unread
-//	idle       closed     reader      the time for the first request is over, and nothing is unread
+//	idle       closed     reader      the deadline of a read is over, and nothing is unread
 //
 // The reader is the goroutine that reads from the connection, the state hook is connTable.onConnState. The one exception to
 // the compare-and-swaps is a new connection far over the limit: it is stored as closed before anything is read from it.
--- a/internal/clienthttp/conntable_test.go
+++ b/internal/clienthttp/conntable_test.go
@@ -2,8 +2,12 @@
 
 import (
 	"errors"
+	"fmt"
 	"io"
+	"log/slog"
+	"net"
 	"net/http"
+	"strings"
 	"testing"
 	"time"
 )
@@ -58,3 +62,45 @@
 		t.Errorf("the end came after %v, %v; want it within %v", time.Since(begunAt), err, endsWithin)
 	}
 }
+
+// TestConnectionEndedLog checks the line that tells why a connection ended, by which operators and incident pages find lost
+// requests: its fields, and the reason that was noted first. A read that fails after this side's close is no reason.
+func TestConnectionEndedLog(t *testing.T) {
+	for name, c := range map[string]struct {
+		noted        []closeReason
+		shuttingDown bool
+		state        connState
+		wantReason   string
+		wantState    string
+	}{
+		"client closed":     {[]closeReason{reasonClientClosed, reasonWriteFailed}, false, stateIdle, "CLIENT_CLOSED", "IDLE"},
+		"after a response":  {nil, false, stateResponded, "CLOSED_BY_SERVER", "RESPONDED"},
+		"read after close":  {[]closeReason{reasonReadFailed}, false, stateRejected, "CLOSED_BY_SERVER", "REJECTED"},
+		"shutdown":          {[]closeReason{reasonNone}, true, stateInFlight, "SHUTDOWN", "IN_FLIGHT"},
+		"client at the end": {[]closeReason{reasonClientReset}, true, stateReceiving, "CLIENT_RESET", "RECEIVING"},
+	} {
+		t.Run(name, func(t *testing.T) {
+			var log strings.Builder
+			table := newConnTable(8, 8, slog.New(slog.NewTextHandler(&log, nil)))
+			conn, _ := net.Pipe()
+			added := table.add(conn)
+			table.onConnState(added, http.StateActive)
+			for _, reason := range c.noted {
+				added.noteCloseReason(reason)
+			}
+			added.state.Store(c.state)
+			if c.shuttingDown {
+				table.beginShutdown()
+			}
+			table.onConnState(added, http.StateClosed)
+			want := fmt.Sprintf(`msg="connection ended" side=client peer=pipe reason=%s requests=1 request="" state=%s`,
+				c.wantReason, c.wantState)
+			if !strings.Contains(log.String(), want) {
+				t.Errorf("logged %q, want %q", log.String(), want)
+			}
+			if len(table.open) != 0 {
+				t.Error("the connection is still in the table")
+			}
+		})
+	}
+}
--- a/internal/clienthttp/parse_test.go
+++ b/internal/clienthttp/parse_test.go
@@ -16,6 +16,7 @@
 func TestMalformedRequests(t *testing.T) {
 	_, d, addr := startServer(t, maxTestConns)
 	with := func(before, after string) string { return strings.Replace(validPut, before, after, 1) }
+	oldCoding := with("Content-Length: 4", "Content-Length: 4\r\nTransfer-Encoding: chunked")
 	longBody := strings.Repeat("x", 65537)
 	const ioInfo = "IO-Info: volume=00000003b4d60021,units=2,shard=5,hosts=3\r\n"
 	for _, c := range []struct {
@@ -34,8 +35,7 @@
 		{"length and coding", with("Content-Length: 4\r\n\r\nbody",
 			"Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"+validPut), 411},
 		{"coding alone", with("Content-Length: 4\r\n\r\nbody", "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n"), 411},
-		{"length and coding in HTTP/1.0", strings.Replace(with("Content-Length: 4",
-			"Content-Length: 4\r\nTransfer-Encoding: chunked"), "HTTP/1.1", "HTTP/1.0", 1), 505},
+		{"length and coding in HTTP/1.0", strings.Replace(oldCoding, "HTTP/1.1", "HTTP/1.0", 1), 505},
 		{"read with a body", strings.Replace(with("PUT", "GET"), "/put/", "/get/", 1), 400},
 		{"two ids", with("Tier:", "Request-Id: id2\r\nTier:"), 400},
 		{"two plans", with("Tier: std", "Tier: std\r\nTier: std"), 400},
