--- a/internal/clienthttp/parse_test.go
+++ b/internal/clienthttp/parse_test.go
@@ -59,7 +59,8 @@
 	} {
 		response, body, conn := roundTripOnNewConn(t, addr, c.raw)
 		if response.StatusCode != c.want || !response.Close {
-			t.Errorf("%s: status %d (%q), closes %v, want %d and a close", c.name, response.StatusCode, body, response.Close, c.want)
+			t.Errorf("%s: status %d (%q), closes %v, want %d and a close",
+				c.name, response.StatusCode, body, response.Close, c.want)
 		}
 		_ = conn.CloseWrite() // fails where the server has reset the connection
 		if rest, _ := io.ReadAll(conn); len(rest) > 0 {
