--- /dev/null
+++ b/internal/clienthttp/conntable_test.go
@@ -0,0 +1,106 @@
+package clienthttp
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"log/slog"
+	"net"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+)
+
+// TestConnectionLimitEvictsIdle uses up the limit with idle connections: a new one is served all the same, and the one idle
+// longest is closed.
+func TestConnectionLimitEvictsIdle(t *testing.T) {
+	s, d, addr := startServer(t, 2)
+	go d.respondToAll()
+	defer close(d.calls)
+	_, _, first := roundTripOnNewConn(t, addr, validPut)
+	awaitIdle(t, s, 1)
+	_, _, second := roundTripOnNewConn(t, addr, validPut)
+	awaitIdle(t, s, 2)
+	if response, _, _ := roundTripOnNewConn(t, addr, validPut); response.StatusCode != http.StatusOK {
+		t.Errorf("over the limit: status %d", response.StatusCode)
+	}
+	setDeadline(t, first, time.Now().Add(testTimeout))
+	if _, err := first.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
+		t.Errorf("the connection idle longest: %v, want it closed", err)
+	}
+	if response, _ := roundTrip(t, second, validPut); response.StatusCode != http.StatusOK {
+		t.Errorf("the one used later: status %d", response.StatusCode)
+	}
+}
+
+// TestConnectionLimitRejects uses up the limit with a request in flight: one more is rejected at once, and its connection
+// closed.
+func TestConnectionLimitRejects(t *testing.T) {
+	_, d, addr := startServer(t, 1)
+	send(dial(t, addr), validPut)
+	inFlight := <-d.calls
+	response, _, _ := roundTripOnNewConn(t, addr, validPut)
+	if response.StatusCode != http.StatusServiceUnavailable || !response.Close || len(d.calls) != 0 {
+		t.Errorf("status %d, closes %v, %d calls; want a rejection that reaches no dispatcher",
+			response.StatusCode, response.Close, len(d.calls))
+	}
+	inFlight.Respond(servedX)
+}
+
+// TestStallInFirstBytes has a client send the first bytes of a further request and nothing more: its connection must end
+// within 3 s. net/http gave it the 4.8 s of an idle connection, which bounds its reading of the first four bytes.
+func TestStallInFirstBytes(t *testing.T) {
+	const endsWithin = 3 * time.Second
+	addr := startServerWithDelay(t, requestTimeout, func(*Server) {})
+	conn := dial(t, addr)
+	roundTrip(t, conn, validGet)
+	send(conn, "GE")
+	begunAt := time.Now()
+	setDeadline(t, conn, begunAt.Add(2*endsWithin))
+	if _, err := io.ReadAll(conn); err != nil || time.Since(begunAt) > endsWithin {
+		t.Errorf("the end came after %v, %v; want it within %v", time.Since(begunAt), err, endsWithin)
+	}
+}
+
+// TestConnectionEndedLog checks the line that tells why a connection ended, by which operators and incident pages find lost
+// requests: its fields, and the reason that was noted first. A read that fails after this side's close is no reason.
+func TestConnectionEndedLog(t *testing.T) {
+	for name, c := range map[string]struct {
+		noted        []closeReason
+		shuttingDown bool
+		state        connState
+		wantReason   string
+		wantState    string
+	}{
+		"client closed":     {[]closeReason{reasonClientClosed, reasonWriteFailed}, false, stateIdle, "CLIENT_CLOSED", "IDLE"},
+		"after a response":  {nil, false, stateResponded, "CLOSED_BY_SERVER", "RESPONDED"},
+		"read after close":  {[]closeReason{reasonReadFailed}, false, stateRejected, "CLOSED_BY_SERVER", "REJECTED"},
+		"shutdown":          {[]closeReason{reasonNone}, true, stateInFlight, "SHUTDOWN", "IN_FLIGHT"},
+		"client at the end": {[]closeReason{reasonClientReset}, true, stateReceiving, "CLIENT_RESET", "RECEIVING"},
+	} {
+		t.Run(name, func(t *testing.T) {
+			var log strings.Builder
+			table := newConnTable(8, 8, slog.New(slog.NewTextHandler(&log, nil)))
+			conn, _ := net.Pipe()
+			added := table.add(conn)
+			table.onConnState(added, http.StateActive)
+			for _, reason := range c.noted {
+				added.noteCloseReason(reason)
+			}
+			added.state.Store(c.state)
+			if c.shuttingDown {
+				table.beginShutdown()
+			}
+			table.onConnState(added, http.StateClosed)
+			want := fmt.Sprintf(`msg="connection ended" side=client peer=pipe reason=%s requests=1 request="" state=%s`,
+				c.wantReason, c.wantState)
+			if !strings.Contains(log.String(), want) {
+				t.Errorf("logged %q, want %q", log.String(), want)
+			}
+			if len(table.open) != 0 {
+				t.Error("the connection is still in the table")
+			}
+		})
+	}
+}
