--- a/internal/configstore/client.go
+++ b/internal/configstore/client.go
@@ -14,11 +14,12 @@
 )
 
 const (
-	// callTimeout bounds a command, with all its attempts.
+	// callTimeout bounds Get, List and Put with all their attempts. It is shorter than attemptTimeout: a server that accepts
+	// the request and does not answer takes all of it.
 	callTimeout = 8 * time.Second
 	// watchTimeout is how long a watch waits for a change.
 	watchTimeout = 30 * time.Second
-	// attemptTimeout bounds one HTTP request, which may be a watch.
+	// attemptTimeout bounds one HTTP request with its redirects. Only a watch can take so long.
 	attemptTimeout = callTimeout + watchTimeout
 	statusTimeout  = 2 * time.Second
 	// retryInterval is the pause after all servers have failed.
@@ -68,8 +69,11 @@
 }
 
 // Put writes a configuration; a nil one deletes the entry. A non-empty ifVersion makes the write conditional on the present
-// version, "0" on there being no entry. A rejected write is a *StatusError. After any other error the write may still take
-// effect. The returned entry holds no configuration.
+// version, "0" on there being no entry. The returned entry holds no configuration.
+//
+// A rejected write is a *StatusError with a status of 4xx. Its 409 Conflict may also mean that an earlier attempt of this call,
+// whose answer was lost, has taken effect: Get tells. After a *StatusError with 503 Service Unavailable, and after any other
+// error, the write may still take effect.
 func (c *Client) Put(ctx context.Context, name string, config []byte, ifVersion string) (Entry, error) {
 	method := http.MethodPut
 	if config == nil {
--- a/internal/configstore/doc.go
+++ b/internal/configstore/doc.go
@@ -3,5 +3,7 @@
 // initiator an instance. It is off on the platform.
 //
 // A write has taken effect once it is confirmed: a majority of the servers has it in its log. An unconfirmed one may or may
-// not take effect later. A read at the leader sees every confirmed write; a stale read, and a follower, may lag behind.
+// not take effect later. A read at the leader sees every write that this leader has confirmed. A leader that was elected a
+// moment ago may not have applied the last writes of its predecessor yet, so that a read may miss them. A stale read, and
+// Client.Follow, may lag behind.
 package configstore
--- a/internal/configstore/follow.go
+++ b/internal/configstore/follow.go
@@ -9,9 +9,14 @@
 	"time"
 )
 
-// Follow calls notify with an initiator's configuration, first with the present one and then at each change, until ctx ends.
-// It accepts what any server has, so that an initiator starts and keeps running also without a leader. Versions only grow: a
-// server that lags behind the one asked before cannot bring an older configuration back.
+// Follow watches an initiator's configuration until ctx ends: it calls notify with the present one, and then with each newer
+// version that it sees. Of several writes in short order it may see only the last; a deletion is not notified. It is no
+// follower in the sense of Raft, and accepts what any server has, so that an initiator starts and keeps running also without a
+// leader.
+//
+// Versions only grow: a server that lags behind the one asked before cannot bring an older configuration back. Servers that
+// were rebuilt without their data begin with low versions again. Until these exceed the last version seen, nothing is
+// notified, and nothing is logged; a new call of Follow begins anew.
 func (c *Client) Follow(ctx context.Context, name string, log *slog.Logger, notify func(Entry)) {
 	var version uint64
 	for attempt := 0; ctx.Err() == nil; attempt++ {
@@ -31,7 +36,7 @@
 	}
 }
 
-// errBehind says that a server has no newer version than was seen elsewhere.
+// errBehind says that a server has an older version than was seen elsewhere. It is not logged: it is usual for a short time.
 var errBehind = errors.New("the server lags behind another")
 
 // followServer watches one server until it fails, lags behind or ctx ends. It returns the latest version seen.
--- a/internal/configstore/handlers.go
+++ b/internal/configstore/handlers.go
@@ -16,6 +16,7 @@
 	// ifVersionHeader makes a write conditional on the version of the present entry; 0: there is none.
 	ifVersionHeader = "If-Version"
 
+	// applyTimeout bounds the wait until Raft takes a change for its log. The wait for the majority has no bound of its own.
 	applyTimeout    = 5 * time.Second
 	maxConfigBytes  = 4 << 20
 	maxWatchTimeout = time.Minute
@@ -34,8 +35,8 @@
 
 // Status is a server's view of the Raft group.
 type Status struct {
-	ID      string `json:"id"`
-	State   string `json:"state"`   // Leader, Follower or Candidate
+	ID      string `json:"id"`      // of the server; from Client.Status its address if it did not answer
+	State   string `json:"state"`   // Leader, Follower, Candidate or Shutdown; from Client.Status the error of a failed call
 	Leader  string `json:"leader"`  // ID; empty: none is known
 	Applied uint64 `json:"applied"` // index of the last log entry applied
 }
@@ -164,7 +165,8 @@
 }
 
 // redirectToLeader redirects the client to the leader, or answers 503 if none is known. It returns false, with nothing
-// answered, where this server leads: the majority has confirmed that just now, so that a read sees every confirmed write.
+// answered, where this server leads, which a majority has confirmed just now: no other server can have confirmed a write that
+// is not in this one's log. It does not wait until the log is applied, see the package comment.
 func (s *Server) redirectToLeader(w http.ResponseWriter, r *http.Request) bool {
 	if s.raft.isLeader() {
 		return false
--- a/internal/configstore/raft.go
+++ b/internal/configstore/raft.go
@@ -27,7 +27,8 @@
 	transport *raft.NetworkTransport
 }
 
-// openRaft opens the durable data in opt.Dir and joins the group; it founds the group if there is no data yet.
+// openRaft opens the durable data in opt.Dir and starts this server's member of the Raft group. It bootstraps the group if
+// there is no data yet.
 func openRaft(opt Options, self Peer, fsm raft.FSM) (_ *raftNode, err error) {
 	n := &raftNode{}
 	defer func() {
@@ -85,8 +86,8 @@
 	return config
 }
 
-// bootstrap founds the group from the peers, unless this server already has a part in one: a second founding would forget
-// what the group has since confirmed.
+// bootstrap writes the peers as the group's first configuration, unless this server has Raft state already: a second bootstrap
+// would forget what the group has confirmed since.
 func (n *raftNode) bootstrap(config *raft.Config, snapshots raft.SnapshotStore, peers []Peer) error {
 	exists, err := raft.HasExistingState(n.log, n.log, snapshots)
 	if err != nil || exists {
@@ -99,12 +100,13 @@
 	return raft.BootstrapCluster(config, n.log, n.log, snapshots, n.transport, members)
 }
 
-// isLeader reports whether this server leads, confirmed by a majority just now.
+// isLeader reports whether this server leads, confirmed by a majority just now. It does not say that this server has applied
+// all that is committed.
 func (n *raftNode) isLeader() bool {
 	return n.State() == raft.Leader && n.VerifyLeader().Error() == nil
 }
 
-// close leaves the group and closes the durable data.
+// close stops this server, which stays a voter of the group, and closes the durable data.
 func (n *raftNode) close() error {
 	err := n.Shutdown().Error()
 	n.release()
--- a/internal/configstore/server.go
+++ b/internal/configstore/server.go
@@ -35,7 +35,7 @@
 	// Validate returns an error if an initiator of that name could not start from the configuration; such a one is rejected.
 	Validate func(name string, config []byte) error
 	Logger   *slog.Logger
-	// ElectionTimeout is Raft's heartbeat and election timeout; 0: one second.
+	// ElectionTimeout is Raft's heartbeat and election timeout; 0: one second. Tests shorten it.
 	ElectionTimeout time.Duration
 }
 
@@ -47,8 +47,8 @@
 	http    http.Server
 }
 
-// Start opens the durable data and joins the Raft group. A server without data founds the group from Options.Peers; one with
-// data continues from its log. Errors start with the operator's field that they come from.
+// Start opens the durable data and starts this server's member of the Raft group. A server without data bootstraps the group
+// from Options.Peers; one with data continues from its log. Errors start with the operator's field that they come from.
 func Start(opt Options) (*Server, error) {
 	self, err := opt.self()
 	if err != nil {
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// Shutdown ends the HTTP API, leaves the Raft group and closes the durable data.
+// Shutdown ends the HTTP API, stops this server's part in the Raft group, where it stays a voter, and closes the durable data.
 func (s *Server) Shutdown() error {
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
--- a/internal/nvme/command.go
+++ b/internal/nvme/command.go
@@ -58,7 +58,9 @@
 )
 
 const (
-	// maxIOQueues is the number of I/O queues of an association.
+	// maxIOQueues bounds the I/O queues of one association, on both sides. Towards a target that is the attempts in flight at
+	// it, since each has a queue of its own, and its idle connections. Other limits are apart from it: the scheduler's
+	// concurrency limit bounds the attempts at a target, upstream.Options.MaxConnsPerTarget its connections of any protocol.
 	maxIOQueues = 16
 	// adminQueueSize is the smallest maximum that the specification allows for an admin queue, in entries.
 	adminQueueSize = 32
--- a/internal/nvme/hostassociation.go
+++ b/internal/nvme/hostassociation.go
@@ -11,7 +11,7 @@
 	// unusedTimeout is how long an association without I/O queues is kept. Its target may have left the endpoint list.
 	unusedTimeout     = 30 * time.Second
 	readyPollInterval = 5 * time.Millisecond
-	// maxUnreadAborts bounds the Aborts whose completions have not been read: they take entries of the admin queue.
+	// maxUnreadAborts bounds the Aborts since the last Keep Alive: one without a completion takes an entry of the admin queue.
 	maxUnreadAborts   = 3
 	abortWriteTimeout = 10 * time.Millisecond
 )
@@ -32,7 +32,7 @@
 	maxInCapsuleData int // bytes of a write that a capsule may hold
 	queuesInUse      map[uint16]bool
 	lastUsed         time.Time
-	unreadAborts     int // Aborts whose completions nobody has read yet
+	unreadAborts     int // Aborts since the last Keep Alive; nobody waits for their completions
 }
 
 // queueSlot is a reserved queue ID in an established association.
@@ -192,13 +192,15 @@
 	_, _, err := admin.execute(newCommand(opKeepAlive, admin.nextCommandID(), 0, false), nil)
 	admin.setDeadline(time.Time{})
 	a.mu.Lock()
-	a.unreadAborts = 0 // their completions came before this one
+	// Most completions of the Aborts were read before that of the Keep Alive. A controller may complete commands in any
+	// order, though: those that are late are read by the next Keep Alive, and the limit leaves entries for them.
+	a.unreadAborts = 0
 	a.mu.Unlock()
 	return err
 }
 
 // abort sends an Abort for a command whose connection is being closed. It spares the target work; nothing depends on it.
-// So it does not wait: neither for the admin queue nor for its completion, which the next Keep Alive reads.
+// So it does not wait: neither for the admin queue nor for its completion, which a later Keep Alive skips.
 func (a *hostAssociation) abort(queueID, commandID uint16) {
 	select {
 	case a.adminLock <- struct{}{}:
--- a/internal/nvme/hostqueue.go
+++ b/internal/nvme/hostqueue.go
@@ -34,8 +34,11 @@
 func (q *ioQueue) IsIdle() bool { return q.in.Buffered() == 0 && socket.IsQuiet(q.Conn) }
 
 // RoundTrip implements upstream.Conn for one read or write, an *IORequest. A write's data is in the capsule where it fits,
-// else it is sent when the controller asks for it. A write cannot have been executed before the last byte of its data was
-// sent: until then an error is ConnectFailed, which permits another attempt.
+// else it is sent when the controller asks for it.
+//
+// An error before the last byte of the capsule and of a write's data was sent is ConnectFailed, which permits another attempt,
+// also if half of the data was sent. That relies on targets that execute a write only once they have all of its data, as the
+// controller side of this package does. The specification alone does not promise it.
 func (q *ioQueue) RoundTrip(attempt dispatcher.Attempt, mayStart func() bool) upstream.RoundTripResult {
 	e := newExchange(q, attempt.Payload.(*IORequest))
 	capsule := e.capsule()
@@ -94,7 +97,8 @@
 	return appendPDU(nil, e.queue.framing, pduCommand, 0, e.entry[:], inCapsule)
 }
 
-// failure returns the attempt's status after an error. Once all data is sent, the target may have executed the command.
+// failure returns the attempt's status after an error. Once all data is sent, the target may have executed the command; before
+// that it has not, see RoundTrip.
 func (e *exchange) failure(err error) scheduler.AttemptStatus {
 	switch {
 	case !e.sent:
--- a/internal/nvme/iocommand.go
+++ b/internal/nvme/iocommand.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// checkIO checks the range of blocks, and that the data descriptor fits it.
+// checkIO checks the range of blocks, and that the data descriptor fits it. It does not check extents: see Namespace.request.
 func checkIO(entry *command, namespace *Namespace, request *IORequest, inCapsule []byte) status {
 	if request.StartLBA >= namespace.Blocks || uint64(request.Blocks) > namespace.Blocks-request.StartLBA {
 		return statusLBAOutOfRange
@@ -69,7 +69,8 @@
 	return statusSuccess
 }
 
-// hold counts a command's data against the limit. It returns false if the server accepts no further commands for now.
+// hold counts a command's data against MaxHeldBytes. It returns false if the server accepts no further commands for now.
+// Connections check and add independently of each other, so that the sum may exceed the limit by one command for each.
 func (q *queue) hold(p *pendingCommand, request *IORequest) bool {
 	bytes := int64(request.Bytes)
 	if q.server.rejecting.Load() || q.server.heldBytes.Load()+bytes > q.server.options.MaxHeldBytes {
--- a/internal/nvme/namespace.go
+++ b/internal/nvme/namespace.go
@@ -28,7 +28,8 @@
 	BulkBlocks uint32
 }
 
-// request returns the scheduler's request for a command. A command that spans extents counts for the first.
+// request returns the scheduler's request for a command. A command that spans extents is not split: all of it goes to the
+// shard of its first extent, and counts for that extent.
 func (n *Namespace) request(io *IORequest) scheduler.Request {
 	extent := io.StartLBA / n.StripeBlocks
 	return scheduler.Request{
--- a/internal/nvme/pdu.go
+++ b/internal/nvme/pdu.go
@@ -92,7 +92,9 @@
 	flags  byte
 	header []byte // complete, from the common header on
 	data   []byte
-	// dataDigestError marks data whose digest does not match. The command fails; the connection stays open.
+	// dataDigestError marks data whose digest does not match. The command fails. The connection stays open, except if the
+	// data is an H2CData with others to follow: the next one is for a command that is no longer pending, which ends the
+	// connection.
 	dataDigestError bool
 }
 
--- a/internal/nvme/queue.go
+++ b/internal/nvme/queue.go
@@ -43,20 +43,22 @@
 	sqHead          uint16                     // submission queue head pointer
 	commandCount    int                        // since the connection was accepted
 	commands        map[uint16]*pendingCommand // without a completion, by command ID; nil: the connection is closed
-	lastTransferTag uint16
+	lastTransferTag uint16                     // of the queue's last R2T; wraps to 0 after 65535
 }
 
 // pendingCommand is a command without a completion.
 type pendingCommand struct {
 	entry command
-	io    *IORequest // nil: not a read or write, or rejected at once
+	io    *IORequest       // nil: not a read or write, or rejected at once
+	call  *dispatcher.Call // nil: not at the dispatcher
 
-	// of a write whose data the host sends after R2T
-	transferTag uint16 // 0: no data is expected
-	received    int    // bytes
-	dataTimer   *time.Timer
+	// The rest is of a write whose data the host sends after an R2T.
 
-	call *dispatcher.Call // nil: not at the dispatcher
+	// transferTag is the tag of the R2T. 0 means that no data is expected. The counter of tags wraps, so that every 65536th
+	// R2T of a queue has tag 0 too, and its data is taken for unexpected.
+	transferTag uint16
+	received    int // bytes
+	dataTimer   *time.Timer
 }
 
 func newQueue(s *Server, conn net.Conn) *queue {
@@ -248,7 +250,7 @@
 	case !p.entry.isValid():
 		q.fail(p, statusInvalidField)
 	case capsule.dataDigestError:
-		q.complete(p, statusTransientTransport, 0, nil) // not begun: a retry is harmless
+		q.complete(p, statusTransientTransport, 0, nil) // without DNR: nothing has been executed
 	case q.association == nil:
 		q.connect(p, capsule.data)
 	case p.entry.opcode() == opFabrics:
--- a/internal/nvme/server.go
+++ b/internal/nvme/server.go
@@ -19,7 +19,9 @@
 	Namespaces []Namespace
 	QueueDepth int // entries of an I/O queue
 	MaxConns   int // hosts' connections at a time
-	// MaxHeldBytes bounds the data of all commands in flight; commands beyond it are rejected.
+	// MaxHeldBytes bounds the data of the commands without a completion, in bytes; reads and writes beyond it are rejected.
+	// Data counts from the command's arrival until its completion is queued for sending: data that waits in a connection's
+	// outbox is no longer counted.
 	MaxHeldBytes int64
 	// ClassDeadlines is how long hosts wait for a command of each class: NVMe commands carry no deadline of their own.
 	ClassDeadlines map[string]time.Duration
@@ -34,7 +36,7 @@
 }
 
 const (
-	acceptRetryInterval = 10 * time.Millisecond // after a failed accept: out of descriptors, say
+	acceptRetryInterval = 10 * time.Millisecond // after a failed accept, which would else be retried in a busy loop
 	drainPollInterval   = 2 * time.Millisecond
 )
 
@@ -61,7 +63,7 @@
 	namespaces map[uint32]*Namespace
 	schedule   dispatcher.ShutdownSchedule
 
-	heldBytes    atomic.Int64              // data of the commands in flight
+	heldBytes    atomic.Int64              // data that counts against MaxHeldBytes
 	openCommands atomic.Int64              // commands at the dispatcher
 	shutdownAt   atomic.Pointer[time.Time] // when Shutdown was called; nil: not yet
 	rejecting    atomic.Bool               // new commands are rejected
@@ -102,7 +104,8 @@
 	return highest
 }
 
-// Serve accepts connections on l until l is closed or Shutdown ends it.
+// Serve accepts connections on l until l is closed, by Shutdown or another, and then returns nil. Any other error of Accept is
+// retried for as long as it lasts: running out of file descriptors passes when connections end.
 func (s *Server) Serve(l net.Listener) error {
 	s.mu.Lock()
 	s.listener = l
@@ -127,7 +130,8 @@
 	}
 }
 
-// admit adds a connection, and evicts another if there are too many. It returns false if none can be evicted.
+// admit adds a connection, and evicts another if there are MaxConns. It returns false if none can be evicted. An evicted
+// connection is no longer counted, but stays open until its writer has sent its outbox.
 func (s *Server) admit(q *queue) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -140,7 +144,8 @@
 
 // evictUnconnected ends the connection that has been longest without a Connect, and returns false if there is none. Without
 // it, silent connections up to the limit would shut out all hosts: each is refused until the handshake timeout ends one of
-// them. A connection that has joined an association is never evicted, so that no command is lost. The caller holds mu.
+// them. A connection whose Connect has completed is never evicted, so that no command is lost: a host sends none before that.
+// One whose Connect is being handled may still be evicted. The caller holds mu.
 func (s *Server) evictUnconnected() bool {
 	var oldest *queue
 	for q := range s.queues {
--- a/internal/nvme/status.go
+++ b/internal/nvme/status.go
@@ -68,8 +68,16 @@
 	return len(retryDelays)
 }
 
-// completionStatus returns the status for a command's final response. Only a rejected command, which nothing has executed, may
-// be retried. What may have been executed has DNR set, so that no host sends it again by itself: a write would run twice.
+// completionStatus returns the status for a command's final response:
+//
+//	response                         status                     DNR    promise to the host
+//	Served                           Successful Completion      -      executed
+//	Rejected                         Namespace Not Ready        clear  not executed: may be retried, with CRD if it has ACRE
+//	Failed, the last attempt ended   Transient Transport Error  set    none: may have been executed
+//	by its deadline or a reset
+//	any other                        Internal Error             set    none: may have been executed
+//
+// DNR keeps a host from sending a command again by itself: a write would run twice.
 func completionStatus(response dispatcher.Response, advancedRetry bool) status {
 	switch response.Status {
 	case dispatcher.Served:
@@ -86,8 +94,9 @@
 	return statusInternalError | statusDoNotRetry
 }
 
-// attemptStatus returns the scheduler's status for a target's completion. Only Namespace Not Ready without DNR promises that
-// the command was not executed.
+// attemptStatus returns the scheduler's status for a target's completion. Namespace Not Ready without DNR is this program's
+// convention for "not executed", on both sides; the specification does not give it that meaning. Any other error status
+// promises nothing.
 func attemptStatus(s status) scheduler.AttemptStatus {
 	switch {
 	case s == statusSuccess:
--- a/internal/nvme/writedata.go
+++ b/internal/nvme/writedata.go
@@ -17,7 +17,8 @@
 	q.send(pduReadyToTransfer, readyToTransfer.header())
 }
 
-// handleData handles a part of a write's data. The parts must come in order, and be what the R2T asked for.
+// handleData handles a part of a write's data. The parts must come in order, and be what the R2T asked for. Data for a command
+// that is no longer pending, because a part before it was damaged or the host aborted the command, ends the connection.
 func (q *queue) handleData(part *pdu) error {
 	header := parseTransfer(part)
 	q.mu.Lock()
@@ -27,7 +28,7 @@
 		return err
 	}
 	if part.dataDigestError {
-		q.complete(p, statusTransientTransport, 0, nil) // not begun: a retry is harmless
+		q.complete(p, statusTransientTransport, 0, nil) // without DNR: nothing has been executed
 		return nil
 	}
 	copy(p.io.Data[header.offset:], part.data)
