--- a/cmd/initiator/nvme.go
+++ b/cmd/initiator/nvme.go
@@ -25,13 +25,13 @@
 		namespaces = append(namespaces, nvmeNamespace(&settings.Namespaces[i]))
 	}
 	return nvme.Options{
-		Subsystem:      settings.Subsystem,
-		Namespaces:     namespaces,
-		QueueDepth:     settings.QueueDepth,
-		MaxConns:       cfg.MaxClientConns(),
-		MaxHeldBytes:   cfg.MaxBufferedBytes(),
-		ClassDeadlines: cfg.ClassDeadlines(),
-		Logger:         log,
+		Subsystem:        settings.Subsystem,
+		Namespaces:       namespaces,
+		QueueDepth:       settings.QueueDepth,
+		MaxConns:         cfg.MaxClientConns(),
+		MaxBufferedBytes: cfg.MaxBufferedBytes(),
+		ClassDeadlines:   cfg.ClassDeadlines(),
+		Logger:           log,
 	}
 }
 
--- a/cmd/initiator/nvme_test.go
+++ b/cmd/initiator/nvme_test.go
@@ -31,7 +31,7 @@
 	cfg, operator := newTestbed(t).mustLoad(t, deployedNVMe(t))
 	server := nvmeServerOptions(cfg, operator.NVMe, discardLog)
 	if len(server.Namespaces) != 1 || server.ClassDeadlines["position-read"] != 20*time.Second ||
-		server.QueueDepth != 64 || server.MaxConns != cfg.MaxClientConns() || server.MaxHeldBytes != 48<<20 {
+		server.QueueDepth != 64 || server.MaxConns != cfg.MaxClientConns() || server.MaxBufferedBytes != 48<<20 {
 		t.Errorf("controller side: %+v", server)
 	}
 	namespace := server.Namespaces[0]
--- a/internal/nvme/admin.go
+++ b/internal/nvme/admin.go
@@ -1,7 +1,7 @@
 package nvme
 
 // handleAdmin handles an admin command.
-func (q *queue) handleAdmin(p *pendingCommand, data []byte) {
+func (q *controllerQueue) handleAdmin(p *pendingCommand, data []byte) {
 	switch p.entry.opcode() {
 	case opKeepAlive:
 		q.association.keepAlive()
@@ -13,15 +13,15 @@
 	case opSetFeatures, opGetFeatures:
 		q.handleFeatures(p, data)
 	default:
-		q.fail(p, statusInvalidOpcode)
+		q.fail(p, statusInvalidCommandOpcode)
 	}
 }
 
 // handleAbort aborts a command of any queue of the association. The result is whether it was aborted.
-func (q *queue) handleAbort(p *pendingCommand) {
+func (q *controllerQueue) handleAbort(p *pendingCommand) {
 	const aborted, notAborted = 0, 1
-	target := q.association.queue(p.entry.u16(sqeAbortQueueID))
-	if target != nil && target.abort(p.entry.u16(sqeAbortCommandID)) {
+	owner := q.association.queue(p.entry.u16(sqeAbortQueueID))
+	if owner != nil && owner.abort(p.entry.u16(sqeAbortCommandID)) {
 		q.succeed(p, aborted)
 		return
 	}
@@ -30,7 +30,7 @@
 
 // handleFeatures handles the features of the subset: the number of queues, which is fixed, and the host's support of retry
 // delays.
-func (q *queue) handleFeatures(p *pendingCommand, data []byte) {
+func (q *controllerQueue) handleFeatures(p *pendingCommand, data []byte) {
 	const bothQueueCounts = (maxIOQueues-1)<<16 | (maxIOQueues - 1) // 0-based
 	feature := p.entry[sqeFeatureID]
 	switch {
@@ -40,6 +40,6 @@
 		q.association.setAdvancedRetry(data[0] == 1)
 		q.succeed(p, 0)
 	default:
-		q.fail(p, statusInvalidField)
+		q.fail(p, statusInvalidFieldInCommand)
 	}
 }
--- a/internal/nvme/command.go
+++ b/internal/nvme/command.go
@@ -52,9 +52,10 @@
 
 	// maxInCapsuleData is how much of a write's data a capsule to this controller may hold.
 	maxInCapsuleData = 8192
-	// maxTransferLen is the largest data of one command, as 2 to the power of maxTransferPages pages of 4 KiB.
-	maxTransferLen   = 4096 << maxTransferPages
-	maxTransferPages = 5
+	// maxTransferLen is the largest data of one command. MDTS announces it as a power of two of the smallest pages.
+	maxTransferLen = minPageBytes << mdts
+	mdts           = 5
+	minPageBytes   = 4096 // CAP.MPSMIN is 0
 )
 
 const (
@@ -167,7 +168,7 @@
 
 // header returns the entry as the fields of a response capsule after the common header.
 func (c completion) header() []byte {
-	header := make([]byte, responseLen-commonHeaderLen)
+	header := make([]byte, capsuleRespHeaderLen-commonHeaderLen)
 	binary.LittleEndian.PutUint64(header, c.result)
 	binary.LittleEndian.PutUint16(header[8:], c.sqHead)
 	binary.LittleEndian.PutUint16(header[10:], c.queueID)
--- a/internal/nvme/connect.go
+++ b/internal/nvme/connect.go
@@ -35,16 +35,16 @@
 
 // connect handles the first command of a connection, which must be Connect: it makes an association, or joins an I/O queue to
 // one.
-func (q *queue) connect(p *pendingCommand, data []byte) {
+func (q *controllerQueue) connect(p *pendingCommand, data []byte) {
 	switch {
 	case !p.entry.isConnect():
-		q.fail(p, statusSequenceError)
+		q.fail(p, statusCommandSequenceError)
 		return
 	case len(data) != connectDataLen:
-		q.fail(p, statusInvalidField)
+		q.fail(p, statusInvalidFieldInCommand)
 		return
 	case p.entry.u16(sqeConnectFormat) != 0:
-		q.fail(p, statusConnectFormat)
+		q.fail(p, statusConnectIncompatibleFormat)
 		return
 	}
 	request := parseConnect(&p.entry, data)
@@ -64,7 +64,7 @@
 }
 
 // connect returns the association of a queue, or the status with which Connect fails.
-func (s *Server) connect(q *queue, request connectRequest) (*association, status) {
+func (s *Server) connect(q *controllerQueue, request connectRequest) (*controllerAssociation, status) {
 	if !s.isAcceptable(request) {
 		return nil, statusConnectInvalidParameters | statusDoNotRetry
 	}
@@ -84,24 +84,24 @@
 		request.queueSize >= 2 && request.queueSize <= maxSize
 }
 
-func (s *Server) connectAdmin(q *queue, request connectRequest) (*association, status) {
+func (s *Server) connectAdmin(q *controllerQueue, request connectRequest) (*controllerAssociation, status) {
 	if request.controllerID != anyControllerID {
 		return nil, statusConnectInvalidParameters | statusDoNotRetry
 	}
 	a := s.newAssociation(q, request.hostNQN, request.keepAliveTimeout)
 	if a == nil {
-		return nil, statusControllerBusy
+		return nil, statusConnectControllerBusy
 	}
 	return a, statusSuccess
 }
 
-func (s *Server) connectIO(q *queue, request connectRequest) (*association, status) {
+func (s *Server) connectIO(q *controllerQueue, request connectRequest) (*controllerAssociation, status) {
 	a := s.association(request.controllerID)
 	if a == nil || a.hostNQN != request.hostNQN || request.queueID > maxIOQueues {
 		return nil, statusConnectInvalidParameters | statusDoNotRetry
 	}
 	if !a.join(q, request.queueID) {
-		return nil, statusSequenceError | statusDoNotRetry
+		return nil, statusCommandSequenceError | statusDoNotRetry
 	}
 	return a, statusSuccess
 }
--- a/internal/nvme/association.go
+++ b/internal/nvme/controllerassociation.go
@@ -8,8 +8,9 @@
 // maxControllerID is the highest controller ID that is given out; the values above it are reserved.
 const maxControllerID = 0xFF00
 
-// association is a host's association with one controller: an admin queue and I/O queues. It ends with the admin queue.
-type association struct {
+// controllerAssociation is the controller side of a host's association with one controller: an admin queue and I/O queues. It
+// ends with the admin queue.
+type controllerAssociation struct {
 	controllerID uint16
 	server       *Server
 	hostNQN      string
@@ -17,27 +18,28 @@
 	keepAliveTimeout time.Duration
 	keepAliveTimer   *time.Timer // nil: the host asked for none
 
-	mu               sync.Mutex
-	queues           map[uint16]*queue // by queue ID
-	configuration    uint32            // property CC
-	controllerStatus uint32            // property CSTS
-	advancedRetry    bool              // the host honours retry delays (ACRE)
+	mu            sync.Mutex
+	queues        map[uint16]*controllerQueue // by queue ID
+	cc            uint32                      // property CC
+	csts          uint32                      // property CSTS
+	advancedRetry bool                        // the host honours retry delays (ACRE)
 }
 
-// newAssociation makes an association for a host's admin queue. It returns nil if all controller IDs are in use.
-func (s *Server) newAssociation(admin *queue, hostNQN string, keepAliveTimeout time.Duration) *association {
+// newAssociation makes an association for a host's admin queue, with the next free controller ID. It returns nil if all are in
+// use.
+func (s *Server) newAssociation(admin *controllerQueue, hostNQN string, keepAliveTimeout time.Duration) *controllerAssociation {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	id := s.freeControllerID()
 	if id == 0 {
 		return nil
 	}
-	a := &association{
+	a := &controllerAssociation{
 		controllerID:     id,
 		server:           s,
 		hostNQN:          hostNQN,
 		keepAliveTimeout: keepAliveTimeout,
-		queues:           map[uint16]*queue{0: admin},
+		queues:           map[uint16]*controllerQueue{0: admin},
 	}
 	if keepAliveTimeout > 0 {
 		a.keepAliveTimer = time.AfterFunc(keepAliveTimeout, func() { a.endAllQueues(reasonKeepAliveTimeout) })
@@ -57,17 +59,17 @@
 	return 0
 }
 
-func (s *Server) association(controllerID uint16) *association {
+func (s *Server) association(controllerID uint16) *controllerAssociation {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.associations[controllerID]
 }
 
 // join adds an I/O queue. It returns false if the controller is not ready, or has a queue of that ID.
-func (a *association) join(q *queue, queueID uint16) bool {
+func (a *controllerAssociation) join(q *controllerQueue, queueID uint16) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.controllerStatus&cstsReady == 0 || a.queues[queueID] != nil || a.queues[0] == nil {
+	if a.csts&cstsReady == 0 || a.queues[queueID] != nil || a.queues[0] == nil {
 		return false
 	}
 	a.queues[queueID] = q
@@ -75,7 +77,7 @@
 }
 
 // leave removes a queue whose connection is closed. If it is the admin queue, the association ends.
-func (a *association) leave(q *queue) {
+func (a *controllerAssociation) leave(q *controllerQueue) {
 	a.mu.Lock()
 	if a.queues[q.id] == q {
 		delete(a.queues, q.id)
@@ -91,13 +93,13 @@
 }
 
 // queue returns the queue of an ID, or nil.
-func (a *association) queue(id uint16) *queue {
+func (a *controllerAssociation) queue(id uint16) *controllerQueue {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.queues[id]
 }
 
-func (a *association) endAllQueues(reason string) {
+func (a *controllerAssociation) endAllQueues(reason string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.keepAliveTimer != nil {
@@ -108,7 +110,7 @@
 	}
 }
 
-func (a *association) endIOQueues(reason string) {
+func (a *controllerAssociation) endIOQueues(reason string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for id, q := range a.queues {
@@ -119,19 +121,19 @@
 }
 
 // keepAlive restarts the keep-alive timer.
-func (a *association) keepAlive() {
+func (a *controllerAssociation) keepAlive() {
 	if a.keepAliveTimer != nil {
 		a.keepAliveTimer.Reset(a.keepAliveTimeout)
 	}
 }
 
-func (a *association) setAdvancedRetry(enabled bool) {
+func (a *controllerAssociation) setAdvancedRetry(enabled bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.advancedRetry = enabled
 }
 
-func (a *association) hasAdvancedRetry() bool {
+func (a *controllerAssociation) hasAdvancedRetry() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.advancedRetry
--- a/internal/nvme/queue.go
+++ b/internal/nvme/controllerqueue.go
@@ -20,9 +20,10 @@
 	readBufferLen    = 16 << 10
 )
 
-// queue is a connection of a host: the submission and completion queue of one ID in an association. The reader's goroutine
-// handles PDUs from the host, the writer's sends those in the outbox and closes the connection.
-type queue struct {
+// controllerQueue is a connection of a host: the submission and completion queue of one ID in an association. The reader's
+// goroutine, readLoop, handles PDUs from the host. The writer's, writeLoop, sends those in the outbox and closes the
+// connection. Any goroutine may end the queue, abort its commands or complete them.
+type controllerQueue struct {
 	server     *Server
 	conn       net.Conn
 	acceptedAt time.Time
@@ -33,17 +34,20 @@
 	endReason string
 	done      chan struct{} // closed after the connection
 
-	// set by Connect
-	connected   atomic.Bool
-	association *association // nil before Connect
-	id          uint16       // queue ID; 0: admin queue
-	size        uint16       // entries; 0 before Connect
+	// connected says that Connect has completed. The accepting goroutine reads it.
+	connected atomic.Bool
+	// association is nil before Connect. The reader writes it once, in connect, without mu; the writer reads it in close.
+	association *controllerAssociation
 
-	mu              sync.Mutex
-	sqHead          uint16                     // submission queue head pointer
-	commandCount    int                        // since the connection was accepted
-	commands        map[uint16]*pendingCommand // without a completion, by command ID; nil: the connection is closed
-	lastTransferTag uint16                     // of the queue's last R2T; wraps to 0 after 65535
+	mu sync.Mutex
+	// The reader writes id and size once, in connect, under mu, and reads them without it; others read them under mu. The
+	// writer reads id and commandCount without mu when it closes the connection.
+	id           uint16                     // queue ID; 0: admin queue
+	size         uint16                     // entries; 0 before Connect
+	sqHead       uint16                     // submission queue head pointer
+	commandCount int                        // since the connection was accepted; the reader counts under mu
+	commands     map[uint16]*pendingCommand // without a completion, by command ID; nil: the connection is closed
+	lastTTAG     uint16                     // of the queue's last R2T; wraps to 0 after 65535
 }
 
 // pendingCommand is a command without a completion.
@@ -54,15 +58,15 @@
 
 	// The rest is of a write whose data the host sends after an R2T.
 
-	// transferTag is the tag of the R2T. 0 means that no data is expected. The counter of tags wraps, so that every 65536th
+	// ttag is the tag of the R2T. 0 means that no data is expected. The counter of tags wraps, so that every 65536th
 	// R2T of a queue has tag 0 too, and its data is taken for unexpected.
-	transferTag uint16
-	received    int // bytes
-	dataTimer   *time.Timer
+	ttag      uint16
+	received  int // bytes
+	dataTimer *time.Timer
 }
 
-func newQueue(s *Server, conn net.Conn) *queue {
-	return &queue{
+func newQueue(s *Server, conn net.Conn) *controllerQueue {
+	return &controllerQueue{
 		server:     s,
 		conn:       conn,
 		acceptedAt: time.Now(),
@@ -73,7 +77,7 @@
 }
 
 // end closes the connection after the PDUs that are in the outbox. Only the first reason counts.
-func (q *queue) end(reason string) {
+func (q *controllerQueue) end(reason string) {
 	q.endOnce.Do(func() {
 		q.endReason = reason
 		q.outbox.Put(nil)
@@ -81,7 +85,7 @@
 }
 
 // writeLoop sends what is in the outbox until the connection ends.
-func (q *queue) writeLoop() {
+func (q *controllerQueue) writeLoop() {
 	defer q.close()
 	var spare [][]byte
 	for {
@@ -100,7 +104,7 @@
 	}
 }
 
-func (q *queue) write(pdu []byte) error {
+func (q *controllerQueue) write(pdu []byte) error {
 	if err := q.conn.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return err
 	}
@@ -110,7 +114,7 @@
 
 // close closes the connection, cancels its commands, whose host no longer waits, and leaves the association; with the admin
 // queue that ends.
-func (q *queue) close() {
+func (q *controllerQueue) close() {
 	_ = q.conn.Close() // nothing is written any more
 	q.mu.Lock()
 	abandoned := q.commands
@@ -133,12 +137,12 @@
 }
 
 // release returns the resources of a command that is no longer pending.
-func (q *queue) release(p *pendingCommand) {
+func (q *controllerQueue) release(p *pendingCommand) {
 	if p.dataTimer != nil {
 		p.dataTimer.Stop()
 	}
 	if p.io != nil {
-		q.server.heldBytes.Add(-int64(p.io.Bytes))
+		q.server.bufferedBytes.Add(-int64(p.io.Bytes))
 	}
 	if p.call != nil {
 		q.server.openCommands.Add(-1)
@@ -147,11 +151,11 @@
 
 // readLoop handles PDUs until the connection fails or the host ends it. A violation of the protocol is answered with a
 // termination request.
-func (q *queue) readLoop() {
+func (q *controllerQueue) readLoop() {
 	err := q.serve()
 	var violation *protocolError
 	if errors.As(err, &violation) {
-		q.outbox.Put(terminationPDU(pduC2HTermination, violation))
+		q.outbox.Put(terminationPDU(pduC2HTermReq, violation))
 		q.server.options.Logger.Warn("host violated the protocol", slog.String("error", violation.Error()))
 	}
 	q.end(endReason(err))
@@ -175,7 +179,7 @@
 }
 
 // serve does the handshake, and handles PDUs until an error, which it returns.
-func (q *queue) serve() error {
+func (q *controllerQueue) serve() error {
 	in := bufio.NewReaderSize(q.conn, readBufferLen)
 	q.setReadDeadline(time.Now().Add(handshakeTimeout))
 	if err := q.handshake(in); err != nil {
@@ -198,23 +202,23 @@
 }
 
 // setReadDeadline bounds reads until t. It fails only on a closed connection, which the next read reports.
-func (q *queue) setReadDeadline(t time.Time) { _ = q.conn.SetReadDeadline(t) }
+func (q *controllerQueue) setReadDeadline(t time.Time) { _ = q.conn.SetReadDeadline(t) }
 
 // handshake answers ICReq with ICResp: the host chooses the digests and the alignment of the data it gets.
-func (q *queue) handshake(in io.Reader) error {
+func (q *controllerQueue) handshake(in io.Reader) error {
 	p, err := readPDU(in, framing{})
 	if err != nil {
 		return err
 	}
 	if p.kind != pduICReq {
-		return &protocolError{status: fesSequence, cause: "connection must begin with ICReq", header: p.header}
+		return &protocolError{fes: fesSequence, cause: "connection must begin with ICReq", header: p.header}
 	}
 	if p.u16(offsetFormatVersion) != 0 {
-		return &protocolError{status: fesUnsupported, info: offsetFormatVersion, cause: "PDU format version", header: p.header}
+		return &protocolError{fes: fesUnsupported, fei: offsetFormatVersion, cause: "PDU format version", header: p.header}
 	}
 	dataAlignment := p.header[offsetDataAlignment]
 	if dataAlignment > maxDataAlignment {
-		return &protocolError{status: fesInvalidHeader, info: offsetDataAlignment, cause: "data alignment", header: p.header}
+		return &protocolError{fes: fesInvalidHeader, fei: offsetDataAlignment, cause: "data alignment", header: p.header}
 	}
 	digests := p.header[offsetDigests] & (enableHeaderDigest | enableDataDigest)
 	q.framing = newFraming(digests, dataAlignment)
@@ -223,32 +227,32 @@
 }
 
 // handle handles a PDU after the handshake.
-func (q *queue) handle(p *pdu) error {
+func (q *controllerQueue) handle(p *pdu) error {
 	switch p.kind {
-	case pduCommand:
+	case pduCapsuleCmd:
 		return q.handleCommand(p)
 	case pduH2CData:
 		return q.handleData(p)
-	case pduH2CTermination:
+	case pduH2CTermReq:
 		return errHostTerminated
 	}
-	return &protocolError{status: fesSequence, cause: "PDU type not for a controller", header: p.header}
+	return &protocolError{fes: fesSequence, cause: "PDU type not for a controller", header: p.header}
 }
 
 // send puts a PDU without data into the outbox.
-func (q *queue) send(kind pduType, header []byte) {
+func (q *controllerQueue) send(kind pduType, header []byte) {
 	q.outbox.Put(appendPDU(nil, q.framing, kind, 0, header, nil))
 }
 
 // handleCommand accepts a command capsule and dispatches it by queue and opcode.
-func (q *queue) handleCommand(capsule *pdu) error {
+func (q *controllerQueue) handleCommand(capsule *pdu) error {
 	p, err := q.register(capsule)
 	if p == nil || err != nil {
 		return err
 	}
 	switch {
 	case !p.entry.isValid():
-		q.fail(p, statusInvalidField)
+		q.fail(p, statusInvalidFieldInCommand)
 	case capsule.dataDigestError:
 		q.complete(p, statusTransientTransport, 0, nil) // without DNR: nothing has been executed
 	case q.association == nil:
@@ -265,7 +269,7 @@
 
 // register makes the entry of a command capsule a pending command. It returns nil if it has none: the connection is closed,
 // or the command ID is in use, which is completed at once.
-func (q *queue) register(capsule *pdu) (*pendingCommand, error) {
+func (q *controllerQueue) register(capsule *pdu) (*pendingCommand, error) {
 	p := &pendingCommand{}
 	copy(p.entry[:], capsule.header[commonHeaderLen:])
 	id := p.entry.id()
@@ -279,7 +283,7 @@
 	case q.commands == nil:
 		return nil, nil
 	case q.size > 0 && len(q.commands) >= int(q.size):
-		return nil, &protocolError{status: fesSequence, cause: "more commands than the queue holds", header: capsule.header}
+		return nil, &protocolError{fes: fesSequence, cause: "more commands than the queue holds", header: capsule.header}
 	case q.commands[id] != nil:
 		q.sendCompletion(id, statusCommandIDConflict|statusDoNotRetry, 0)
 		return nil, nil
@@ -289,18 +293,18 @@
 }
 
 // fail completes a command with an error that a retry would meet again.
-func (q *queue) fail(p *pendingCommand, s status) {
+func (q *controllerQueue) fail(p *pendingCommand, s status) {
 	q.complete(p, s|statusDoNotRetry, 0, nil)
 }
 
 // succeed completes a command with a command specific result.
-func (q *queue) succeed(p *pendingCommand, result uint64) {
+func (q *controllerQueue) succeed(p *pendingCommand, result uint64) {
 	q.complete(p, statusSuccess, result, nil)
 }
 
 // complete sends the completion of a command, with its data before it. It returns false if the command is not pending any
 // more: a command has exactly one completion.
-func (q *queue) complete(p *pendingCommand, s status, result uint64, data []byte) bool {
+func (q *controllerQueue) complete(p *pendingCommand, s status, result uint64, data []byte) bool {
 	id := p.entry.id()
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -319,12 +323,12 @@
 }
 
 // sendCompletion puts a response capsule into the outbox. The caller holds mu.
-func (q *queue) sendCompletion(commandID uint16, s status, result uint64) {
-	q.send(pduResponse, completion{result: result, sqHead: q.sqHead, queueID: q.id, commandID: commandID, status: s}.header())
+func (q *controllerQueue) sendCompletion(commandID uint16, s status, result uint64) {
+	q.send(pduCapsuleResp, completion{result: result, sqHead: q.sqHead, queueID: q.id, commandID: commandID, status: s}.header())
 }
 
 // abort completes a command that the host aborts on the admin queue. It returns false if there is no such command.
-func (q *queue) abort(commandID uint16) bool {
+func (q *controllerQueue) abort(commandID uint16) bool {
 	q.mu.Lock()
 	p := q.commands[commandID]
 	q.mu.Unlock()
--- a/internal/nvme/doc.go
+++ b/internal/nvme/doc.go
@@ -5,12 +5,12 @@
 // A command outside the subset ends with the status that the specification has for it, a PDU that violates the transport's
 // rules with a termination request: never with silence.
 //
-// The controller side: server.go accepts connections, queue.go is a connection with its reader and writer, connect.go and
-// association.go make it a queue of an association, property.go, admin.go and identify.go serve the admin queue,
+// The controller side: server.go accepts connections, controllerqueue.go is a connection with its reader and writer, connect.go
+// and controllerassociation.go make it a queue of an association, property.go, admin.go and identify.go serve the admin queue,
 // iocommand.go and writedata.go the I/O queues.
 //
-// The host side: host.go opens I/O queues, hostassociation.go keeps the admin queue of each target, hostconn.go is a
-// connection, hostqueue.go carries one command.
+// The host side: host.go opens I/O queues, targetassociation.go keeps the admin queue of each target, hostconn.go is a
+// connection, targetqueue.go carries one command.
 //
 // Both use pdu.go, pdureader.go, command.go and status.go.
 package nvme
--- a/internal/nvme/endtoend_test.go
+++ b/internal/nvme/endtoend_test.go
@@ -29,9 +29,9 @@
 
 		const blocks = 200
 		large := bytes.Repeat([]byte("0123456789abcdef"), blocks*blockSize/16)
-		queue := &ioQueue{
+		queue := &targetQueue{
 			hostConn:         h.io,
-			association:      &hostAssociation{adminLock: make(chan struct{}, 1)},
+			association:      &targetAssociation{adminLock: make(chan struct{}, 1)},
 			maxInCapsuleData: maxInCapsuleData,
 		}
 		roundTrip := func(request *IORequest) upstream.RoundTripResult {
--- a/internal/nvme/errors.go
+++ b/internal/nvme/errors.go
@@ -19,15 +19,15 @@
 
 // protocolError is a violation of the transport's rules by the peer. It ends the connection with a termination request.
 type protocolError struct {
-	status fatalErrorStatus
-	info   uint32 // FEI: the offset of the wrong field, or the digest received
+	fes    fatalErrorStatus
+	fei    uint32 // fatal error information: the offset of the wrong field, or the digest received
 	cause  string
 	header []byte // of the wrong PDU
 }
 
 // Error returns the cause with both fields of the termination request.
 func (e *protocolError) Error() string {
-	return fmt.Sprintf("%s (FES %#x, FEI %#x)", e.cause, uint16(e.status), e.info)
+	return fmt.Sprintf("%s (FES %#x, FEI %#x)", e.cause, uint16(e.fes), e.fei)
 }
 
 // commandError is a command that the controller completed with an error.
--- a/internal/nvme/helpers_test.go
+++ b/internal/nvme/helpers_test.go
@@ -52,7 +52,7 @@
 	t.Helper()
 	s := New(d, Options{
 		Subsystem: subsystem, Namespaces: []Namespace{testNamespace()},
-		QueueDepth: 8, MaxConns: 64, MaxHeldBytes: 8 << 20,
+		QueueDepth: 8, MaxConns: 64, MaxBufferedBytes: 8 << 20,
 		ClassDeadlines: map[string]time.Duration{"position-read": testTimeout, "event-write": testTimeout},
 		Logger:         discardLog,
 	})
@@ -268,7 +268,7 @@
 	var data []byte
 	for {
 		p := h.nextPDU()
-		if p.kind == pduResponse {
+		if p.kind == pduCapsuleResp {
 			return parseCompletion(p), data
 		}
 		data = append(data, p.data...)
--- a/internal/nvme/host.go
+++ b/internal/nvme/host.go
@@ -25,14 +25,14 @@
 	options HostOptions
 
 	mu           sync.Mutex
-	associations map[string]*hostAssociation // by target address
+	associations map[string]*targetAssociation // by target address
 }
 
 var _ upstream.Dialer = (*Host)(nil)
 
 // NewHost returns a host without associations. They are made when first needed.
 func NewHost(opt HostOptions) *Host {
-	return &Host{options: opt, associations: map[string]*hostAssociation{}}
+	return &Host{options: opt, associations: map[string]*targetAssociation{}}
 }
 
 // Dial implements upstream.Dialer. It opens an I/O queue at the target, and an association before it if there is none.
@@ -53,16 +53,16 @@
 		return nil, err
 	}
 	conn.setDeadline(time.Time{})
-	return &ioQueue{hostConn: conn, association: a, id: slot.queueID, maxInCapsuleData: slot.maxInCapsuleData}, nil
+	return &targetQueue{hostConn: conn, association: a, id: slot.queueID, maxInCapsuleData: slot.maxInCapsuleData}, nil
 }
 
 // association returns the association with a target; it may have no admin queue yet.
-func (h *Host) association(addr string) *hostAssociation {
+func (h *Host) association(addr string) *targetAssociation {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	a := h.associations[addr]
 	if a == nil {
-		a = &hostAssociation{host: h, addr: addr, queuesInUse: map[uint16]bool{}, adminLock: make(chan struct{}, 1)}
+		a = &targetAssociation{host: h, addr: addr, queuesInUse: map[uint16]bool{}, adminLock: make(chan struct{}, 1)}
 		h.associations[addr] = a
 	}
 	return a
--- a/internal/nvme/host_test.go
+++ b/internal/nvme/host_test.go
@@ -20,9 +20,9 @@
 		b, _ := io.ReadAll(far)
 		bytesSent <- len(b)
 	}()
-	queue := &ioQueue{
+	queue := &targetQueue{
 		hostConn:    &hostConn{Conn: near},
-		association: &hostAssociation{adminLock: make(chan struct{}, 1), queuesInUse: map[uint16]bool{}},
+		association: &targetAssociation{adminLock: make(chan struct{}, 1), queuesInUse: map[uint16]bool{}},
 	}
 	attempt := dispatcher.Attempt{
 		Deadline: time.Now().Add(testTimeout),
--- a/internal/nvme/hostconn.go
+++ b/internal/nvme/hostconn.go
@@ -82,14 +82,14 @@
 	p, err := readPDU(c.in, c.framing)
 	var violation *protocolError
 	if errors.As(err, &violation) {
-		_, _ = c.Write(terminationPDU(pduH2CTermination, violation)) // the connection ends either way
+		_, _ = c.Write(terminationPDU(pduH2CTermReq, violation)) // the connection ends either way
 	}
 	return p, err
 }
 
 // sendCommand sends a command capsule.
 func (c *hostConn) sendCommand(entry *command, inCapsule []byte) error {
-	_, err := c.Write(appendPDU(nil, c.framing, pduCommand, 0, entry[:], inCapsule))
+	_, err := c.Write(appendPDU(nil, c.framing, pduCapsuleCmd, 0, entry[:], inCapsule))
 	return err
 }
 
@@ -117,7 +117,7 @@
 				return completion{}, nil, &controllerError{cause: "data out of order"}
 			}
 			data = append(data, p.data...)
-		case pduResponse:
+		case pduCapsuleResp:
 			result := parseCompletion(p)
 			if result.commandID != entry.id() {
 				continue // of an Abort, which nobody waits for
@@ -167,7 +167,7 @@
 // setConfiguration sets the property CC.
 func (c *hostConn) setConfiguration(value uint64) error {
 	entry := newFabricsCommand(fabricsPropertySet, c.nextCommandID(), 0)
-	entry.putU32(sqePropertyOffset, propertyConfiguration)
+	entry.putU32(sqePropertyOffset, propertyCC)
 	entry.putU64(sqePropertyValue, value)
 	_, _, err := c.execute(entry, nil)
 	return err
@@ -176,7 +176,7 @@
 // identifyController returns the data structure Identify Controller.
 func (c *hostConn) identifyController() ([]byte, error) {
 	entry := newCommand(opIdentify, c.nextCommandID(), identifyDataLen, false)
-	entry.putU32(sqeIdentifyCNS, identifyController)
+	entry.putU32(sqeIdentifyCNS, cnsController)
 	_, data, err := c.execute(entry, nil)
 	if err == nil && len(data) != identifyDataLen {
 		err = &controllerError{cause: "controller's identify page is not whole"}
--- a/internal/nvme/identify.go
+++ b/internal/nvme/identify.go
@@ -5,48 +5,52 @@
 	"math/bits"
 )
 
-// Data structures of Identify (CNS).
+// Data structures of Identify, by their CNS.
 const (
-	identifyNamespace            = 0x00
-	identifyController           = 0x01
-	identifyActiveNamespaces     = 0x02
-	identifyNamespaceDescriptors = 0x03
+	cnsNamespace            = 0x00
+	cnsController           = 0x01
+	cnsActiveNamespaces     = 0x02
+	cnsNamespaceDescriptors = 0x03
 )
 
-// Offsets in Identify Namespace.
+// Offsets in the Identify Namespace data structure. Names end with the specification's abbreviation.
 const (
-	namespaceSize        = 0   // NSZE, blocks
-	namespaceCapacity    = 8   // NCAP
-	namespaceUtilization = 16  // NUSE
-	namespaceLBADataSize = 130 // LBADS of format 0, a power of two
+	offsetIDNSNSZE  = 0   // namespace size, blocks
+	offsetIDNSNCAP  = 8   // namespace capacity, blocks
+	offsetIDNSNUSE  = 16  // namespace utilization, blocks
+	offsetIDNSLBADS = 130 // LBA data size of format 0, a power of two of bytes
 )
 
-// Offsets and lengths in Identify Controller.
+// Offsets in the Identify Controller data structure. Names end with the specification's abbreviation.
 const (
-	controllerSerialNumber       = 4
-	serialNumberLen              = 20
-	controllerModelNumber        = 24
-	modelNumberLen               = 40
-	controllerFirmwareRevision   = 64
-	firmwareRevisionLen          = 8
-	controllerMaxTransferSize    = 77 // MDTS, a power of two of pages
-	controllerIdentifier         = 78
-	controllerVersion            = 80
-	controllerType               = 111
-	controllerRetryDelays        = 128 // CRDT1 to CRDT3
-	controllerAbortLimit         = 258 // ACL, 0-based
-	controllerKeepAliveSupport   = 320 // KAS, in units of 100 ms
-	controllerSQEntrySize        = 512
-	controllerCQEntrySize        = 513
-	controllerMaxCommands        = 514
-	controllerNamespaceCount     = 516
-	controllerSGLSupport         = 536
-	controllerSubsystemNQN       = 768
-	subsystemNQNLen              = 256
-	controllerIOCapsuleLen       = 1792 // IOCCSZ, in units of 16 bytes
-	controllerResponseCapsuleLen = 1796 // IORCSZ, in units of 16 bytes
-	controllerMaxSGLDescriptors  = 1803
-	capsuleLenUnit               = 16
+	offsetIDCtrlSN        = 4    // serial number
+	offsetIDCtrlMN        = 24   // model number
+	offsetIDCtrlFR        = 64   // firmware revision
+	offsetIDCtrlMDTS      = 77   // maximum data transfer size, a power of two of pages
+	offsetIDCtrlCNTLID    = 78   // controller ID
+	offsetIDCtrlVER       = 80   // version
+	offsetIDCtrlCNTRLTYPE = 111  // controller type
+	offsetIDCtrlCRDT1     = 128  // command retry delay times; CRDT2 and CRDT3 follow
+	offsetIDCtrlACL       = 258  // abort command limit, 0-based
+	offsetIDCtrlKAS       = 320  // granularity of the keep-alive timeout, in units of 100 ms
+	offsetIDCtrlSQES      = 512  // submission queue entry size
+	offsetIDCtrlCQES      = 513  // completion queue entry size
+	offsetIDCtrlMAXCMD    = 514  // maximum outstanding commands
+	offsetIDCtrlNN        = 516  // number of namespaces
+	offsetIDCtrlSGLS      = 536  // SGL support
+	offsetIDCtrlSUBNQN    = 768  // NQN of the subsystem
+	offsetIDCtrlIOCCSZ    = 1792 // I/O queue command capsule size, in units of capsuleLenUnit
+	offsetIDCtrlIORCSZ    = 1796 // I/O queue response capsule size, in units of capsuleLenUnit
+	offsetIDCtrlMSDBD     = 1803 // maximum SGL data block descriptors
+)
+
+// Lengths in bytes.
+const (
+	serialNumberLen     = 20
+	modelNumberLen      = 40
+	firmwareRevisionLen = 8
+	subsystemNQNLen     = 256
+	capsuleLenUnit      = 16
 )
 
 const (
@@ -55,20 +59,20 @@
 	firmwareRevision = "1"
 
 	typeIOController  = 1
-	abortLimit        = 4 // commands at a time
-	sqEntrySizes      = 0x66
+	abortLimit        = 4    // Aborts outstanding at a time
+	sqEntrySizes      = 0x66 // smallest and largest, powers of two of bytes
 	cqEntrySizes      = 0x44
-	maxCommands       = 1024
+	maxCommands       = 1024      // of an I/O queue, as announced to hosts
 	sglSupport        = 1 | 1<<20 // SGLs, with offsets into the capsule
 	descriptorTypeEUI = 1
 	descriptorEUILen  = 8
 	descriptorHeader  = 4
 )
 
-func (q *queue) handleIdentify(p *pendingCommand) {
+func (q *controllerQueue) handleIdentify(p *pendingCommand) {
 	data := q.identify(&p.entry)
 	if data == nil || p.entry.sglType() != sglTransport || p.entry.sglLength() != identifyDataLen {
-		q.fail(p, statusInvalidField)
+		q.fail(p, statusInvalidFieldInCommand)
 		return
 	}
 	q.complete(p, statusSuccess, 0, data)
@@ -76,18 +80,18 @@
 
 // identify returns the data structure that an Identify command asks for, nil if it is not in the subset or there is no such
 // namespace.
-func (q *queue) identify(entry *command) []byte {
+func (q *controllerQueue) identify(entry *command) []byte {
 	namespace := q.server.namespaces[entry.namespaceID()]
 	switch entry[sqeIdentifyCNS] {
-	case identifyController:
+	case cnsController:
 		return q.server.identifyController(q.association.controllerID)
-	case identifyActiveNamespaces:
+	case cnsActiveNamespaces:
 		return q.server.identifyActiveNamespaces(entry.namespaceID())
-	case identifyNamespace:
+	case cnsNamespace:
 		if namespace != nil {
 			return namespace.identify()
 		}
-	case identifyNamespaceDescriptors:
+	case cnsNamespaceDescriptors:
 		if namespace != nil {
 			return namespace.identifyDescriptors()
 		}
@@ -97,37 +101,37 @@
 
 func (n *Namespace) identify() []byte {
 	data := make([]byte, identifyDataLen)
-	for _, offset := range []int{namespaceSize, namespaceCapacity, namespaceUtilization} {
+	for _, offset := range []int{offsetIDNSNSZE, offsetIDNSNCAP, offsetIDNSNUSE} {
 		binary.LittleEndian.PutUint64(data[offset:], n.Blocks)
 	}
-	data[namespaceLBADataSize] = byte(bits.TrailingZeros(uint(n.BlockBytes)))
+	data[offsetIDNSLBADS] = byte(bits.TrailingZeros(uint(n.BlockBytes)))
 	return data
 }
 
 func (s *Server) identifyController(id uint16) []byte {
 	data := make([]byte, identifyDataLen)
 	subsystem := s.options.Subsystem
-	putText(data[controllerSerialNumber:], serialNumberLen, subsystem[max(0, len(subsystem)-serialNumberLen):])
-	putText(data[controllerModelNumber:], modelNumberLen, modelNumber)
-	putText(data[controllerFirmwareRevision:], firmwareRevisionLen, firmwareRevision)
-	data[controllerMaxTransferSize] = maxTransferPages
-	binary.LittleEndian.PutUint16(data[controllerIdentifier:], id)
-	binary.LittleEndian.PutUint32(data[controllerVersion:], specificationVersion)
-	data[controllerType] = typeIOController
+	putText(data[offsetIDCtrlSN:], serialNumberLen, subsystem[max(0, len(subsystem)-serialNumberLen):])
+	putText(data[offsetIDCtrlMN:], modelNumberLen, modelNumber)
+	putText(data[offsetIDCtrlFR:], firmwareRevisionLen, firmwareRevision)
+	data[offsetIDCtrlMDTS] = mdts
+	binary.LittleEndian.PutUint16(data[offsetIDCtrlCNTLID:], id)
+	binary.LittleEndian.PutUint32(data[offsetIDCtrlVER:], specificationVersion)
+	data[offsetIDCtrlCNTRLTYPE] = typeIOController
 	for i, delay := range retryDelays {
-		binary.LittleEndian.PutUint16(data[controllerRetryDelays+2*i:], delay)
+		binary.LittleEndian.PutUint16(data[offsetIDCtrlCRDT1+2*i:], delay)
 	}
-	data[controllerAbortLimit] = abortLimit - 1
-	binary.LittleEndian.PutUint16(data[controllerKeepAliveSupport:], 1)
-	data[controllerSQEntrySize] = sqEntrySizes
-	data[controllerCQEntrySize] = cqEntrySizes
-	binary.LittleEndian.PutUint16(data[controllerMaxCommands:], maxCommands)
-	binary.LittleEndian.PutUint32(data[controllerNamespaceCount:], s.maxNamespaceID())
-	binary.LittleEndian.PutUint32(data[controllerSGLSupport:], sglSupport)
-	copy(data[controllerSubsystemNQN:][:subsystemNQNLen], subsystem)
-	binary.LittleEndian.PutUint32(data[controllerIOCapsuleLen:], (commandLen+maxInCapsuleData)/capsuleLenUnit)
-	binary.LittleEndian.PutUint32(data[controllerResponseCapsuleLen:], 1)
-	data[controllerMaxSGLDescriptors] = 1
+	data[offsetIDCtrlACL] = abortLimit - 1
+	binary.LittleEndian.PutUint16(data[offsetIDCtrlKAS:], 1)
+	data[offsetIDCtrlSQES] = sqEntrySizes
+	data[offsetIDCtrlCQES] = cqEntrySizes
+	binary.LittleEndian.PutUint16(data[offsetIDCtrlMAXCMD:], maxCommands)
+	binary.LittleEndian.PutUint32(data[offsetIDCtrlNN:], s.maxNamespaceID())
+	binary.LittleEndian.PutUint32(data[offsetIDCtrlSGLS:], sglSupport)
+	copy(data[offsetIDCtrlSUBNQN:][:subsystemNQNLen], subsystem)
+	binary.LittleEndian.PutUint32(data[offsetIDCtrlIOCCSZ:], (commandLen+maxInCapsuleData)/capsuleLenUnit)
+	binary.LittleEndian.PutUint32(data[offsetIDCtrlIORCSZ:], 1)
+	data[offsetIDCtrlMSDBD] = 1
 	return data
 }
 
--- a/internal/nvme/iocommand.go
+++ b/internal/nvme/iocommand.go
@@ -8,9 +8,9 @@
 )
 
 // handleIO handles a command on an I/O queue: a read or a write, whose data is in the capsule or asked for by R2T.
-func (q *queue) handleIO(p *pendingCommand, inCapsule []byte) {
+func (q *controllerQueue) handleIO(p *pendingCommand, inCapsule []byte) {
 	if op := p.entry.opcode(); op != opRead && op != opWrite {
-		q.fail(p, statusInvalidOpcode)
+		q.fail(p, statusInvalidCommandOpcode)
 		return
 	}
 	namespace := q.server.namespaces[p.entry.namespaceID()]
@@ -23,7 +23,7 @@
 		q.fail(p, s)
 		return
 	}
-	if !q.hold(p, request) {
+	if !q.reserveBytes(p, request) {
 		q.reject(p, q.association.hasAdvancedRetry())
 		return
 	}
@@ -54,7 +54,7 @@
 		return statusLBAOutOfRange
 	}
 	if request.Bytes > maxTransferLen || int(entry.sglLength()) != request.Bytes {
-		return statusInvalidField
+		return statusInvalidFieldInCommand
 	}
 	isValid := false
 	switch entry.sglType() {
@@ -64,32 +64,32 @@
 		isValid = len(inCapsule) == 0
 	}
 	if !isValid {
-		return statusInvalidField
+		return statusInvalidFieldInCommand
 	}
 	return statusSuccess
 }
 
-// hold counts a command's data against MaxHeldBytes. It returns false if the server accepts no further commands for now.
+// reserveBytes counts a command's data against MaxBufferedBytes. It returns false if the server accepts no further commands for now.
 // Connections check and add independently of each other, so that the sum may exceed the limit by one command for each.
-func (q *queue) hold(p *pendingCommand, request *IORequest) bool {
+func (q *controllerQueue) reserveBytes(p *pendingCommand, request *IORequest) bool {
 	bytes := int64(request.Bytes)
-	if q.server.rejecting.Load() || q.server.heldBytes.Load()+bytes > q.server.options.MaxHeldBytes {
+	if q.server.rejecting.Load() || q.server.bufferedBytes.Load()+bytes > q.server.options.MaxBufferedBytes {
 		return false
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	p.io = request
-	q.server.heldBytes.Add(bytes)
+	q.server.bufferedBytes.Add(bytes)
 	return true
 }
 
 // reject completes a command of which nothing was begun: the host may retry it, here or elsewhere.
-func (q *queue) reject(p *pendingCommand, advancedRetry bool) {
+func (q *controllerQueue) reject(p *pendingCommand, advancedRetry bool) {
 	q.complete(p, completionStatus(dispatcher.Overloaded, advancedRetry), 0, nil)
 }
 
 // submit hands a command to the dispatcher, which responds to it exactly once.
-func (q *queue) submit(p *pendingCommand) {
+func (q *controllerQueue) submit(p *pendingCommand) {
 	advancedRetry := q.association.hasAdvancedRetry()
 	call := q.newCall(p, advancedRetry)
 	if !q.submitPending(p, call) {
@@ -100,7 +100,7 @@
 // submitPending submits the call of a command that is still pending. It returns false if the dispatcher does not take it.
 // The lock is held throughout: otherwise an Abort could complete the command between the check and the submission, find no
 // call to cancel, and the command would still run. Submit neither waits nor responds.
-func (q *queue) submitPending(p *pendingCommand, call *dispatcher.Call) bool {
+func (q *controllerQueue) submitPending(p *pendingCommand, call *dispatcher.Call) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.commands[p.entry.id()] != p {
@@ -111,7 +111,7 @@
 	return q.server.dispatcher.Submit(call)
 }
 
-func (q *queue) newCall(p *pendingCommand, advancedRetry bool) *dispatcher.Call {
+func (q *controllerQueue) newCall(p *pendingCommand, advancedRetry bool) *dispatcher.Call {
 	namespace := q.server.namespaces[p.io.NamespaceID]
 	call := &dispatcher.Call{
 		Request:    namespace.request(p.io),
@@ -126,7 +126,7 @@
 }
 
 // respond completes a command with the dispatcher's response. A read is served with exactly its data or not at all.
-func (q *queue) respond(p *pendingCommand, response dispatcher.Response, advancedRetry bool) {
+func (q *controllerQueue) respond(p *pendingCommand, response dispatcher.Response, advancedRetry bool) {
 	if response.Status != dispatcher.Served || p.io.Write {
 		q.complete(p, completionStatus(response, advancedRetry), 0, nil)
 		return
--- a/internal/nvme/pdu.go
+++ b/internal/nvme/pdu.go
@@ -10,17 +10,17 @@
 type pduType byte
 
 const (
-	pduICReq           pduType = 0x00 // initialize connection request
-	pduICResp          pduType = 0x01 // initialize connection response
-	pduH2CTermination  pduType = 0x02
-	pduC2HTermination  pduType = 0x03
-	pduCommand         pduType = 0x04 // command capsule
-	pduResponse        pduType = 0x05 // response capsule
-	pduH2CData         pduType = 0x06
-	pduC2HData         pduType = 0x07
-	pduReadyToTransfer pduType = 0x09 // R2T
-
-	firstTypeWithDigests = pduCommand
+	pduICReq       pduType = 0x00 // initialize connection request
+	pduICResp      pduType = 0x01 // initialize connection response
+	pduH2CTermReq  pduType = 0x02 // termination request
+	pduC2HTermReq  pduType = 0x03 // termination request
+	pduCapsuleCmd  pduType = 0x04 // command capsule
+	pduCapsuleResp pduType = 0x05 // response capsule
+	pduH2CData     pduType = 0x06
+	pduC2HData     pduType = 0x07
+	pduR2T         pduType = 0x09 // ready to transfer
+
+	firstTypeWithDigests = pduCapsuleCmd
 )
 
 // PDU flags.
@@ -39,12 +39,12 @@
 
 // Lengths in bytes.
 const (
-	commonHeaderLen   = 8
-	icLen             = 128
-	commandCapsuleLen = commonHeaderLen + commandLen
-	responseLen       = 24
-	transferHeaderLen = 24 // also of a termination request
-	digestLen         = 4
+	commonHeaderLen      = 8
+	icHeaderLen          = 128
+	capsuleCmdHeaderLen  = commonHeaderLen + commandLen
+	capsuleRespHeaderLen = 24
+	transferHeaderLen    = 24 // also of a termination request
+	digestLen            = 4
 
 	// maxTerminationPayload is how much of the wrong PDU a termination request may hold.
 	maxTerminationPayload = 128
@@ -76,7 +76,7 @@
 
 	// of R2T, H2CData and C2HData
 	offsetCommandID      = 8
-	offsetTransferTag    = 10
+	offsetTTAG           = 10
 	offsetTransferOffset = 12
 	offsetTransferLength = 16
 
@@ -107,12 +107,12 @@
 func (t pduType) headerLen() int {
 	switch t {
 	case pduICReq, pduICResp:
-		return icLen
-	case pduCommand:
-		return commandCapsuleLen
-	case pduResponse:
-		return responseLen
-	case pduH2CData, pduC2HData, pduReadyToTransfer, pduH2CTermination, pduC2HTermination:
+		return icHeaderLen
+	case pduCapsuleCmd:
+		return capsuleCmdHeaderLen
+	case pduCapsuleResp:
+		return capsuleRespHeaderLen
+	case pduH2CData, pduC2HData, pduR2T, pduH2CTermReq, pduC2HTermReq:
 		return transferHeaderLen
 	}
 	return 0
@@ -189,7 +189,7 @@
 // icPDU returns an ICReq or ICResp of format version 0. The sender accepts data at any alignment. maxData is ICResp's
 // MAXH2CDATA; ICReq's MAXR2T, which is 0-based, is at the same place.
 func icPDU(kind pduType, digests byte, maxData uint32) []byte {
-	header := make([]byte, icLen-commonHeaderLen)
+	header := make([]byte, icHeaderLen-commonHeaderLen)
 	header[offsetDigests-commonHeaderLen] = digests
 	binary.LittleEndian.PutUint32(header[offsetMaxH2CData-commonHeaderLen:], maxData)
 	return appendPDU(nil, framing{}, kind, 0, header, nil)
@@ -198,15 +198,15 @@
 // terminationPDU returns a termination request for an error, with the start of the wrong PDU.
 func terminationPDU(kind pduType, e *protocolError) []byte {
 	header := make([]byte, transferHeaderLen-commonHeaderLen)
-	binary.LittleEndian.PutUint16(header, uint16(e.status))
-	binary.LittleEndian.PutUint32(header[2:], e.info)
+	binary.LittleEndian.PutUint16(header, uint16(e.fes))
+	binary.LittleEndian.PutUint32(header[2:], e.fei)
 	return appendPDU(nil, framing{}, kind, 0, header, e.header[:min(len(e.header), maxTerminationPayload)])
 }
 
 // transfer is the header of R2T, H2CData and C2HData: a part of a command's data.
 type transfer struct {
 	commandID uint16
-	tag       uint16 // of the R2T; 0 in C2HData
+	ttag      uint16 // of the R2T; 0 in C2HData
 	offset    uint32
 	length    uint32
 }
@@ -215,7 +215,7 @@
 func (t transfer) header() []byte {
 	header := make([]byte, transferHeaderLen-commonHeaderLen)
 	binary.LittleEndian.PutUint16(header, t.commandID)
-	binary.LittleEndian.PutUint16(header[2:], t.tag)
+	binary.LittleEndian.PutUint16(header[2:], t.ttag)
 	binary.LittleEndian.PutUint32(header[4:], t.offset)
 	binary.LittleEndian.PutUint32(header[8:], t.length)
 	return header
@@ -224,7 +224,7 @@
 func parseTransfer(p *pdu) transfer {
 	return transfer{
 		commandID: p.u16(offsetCommandID),
-		tag:       p.u16(offsetTransferTag),
+		ttag:      p.u16(offsetTTAG),
 		offset:    p.u32(offsetTransferOffset),
 		length:    p.u32(offsetTransferLength),
 	}
@@ -232,7 +232,7 @@
 
 // dataPDUs returns data as H2CData or C2HData PDUs of at most maxData bytes each. offset is where data lies in the command's
 // data; the last PDU has the last-PDU flag.
-func dataPDUs(f framing, kind pduType, commandID, tag uint16, offset int, data []byte, maxData int) iter.Seq[[]byte] {
+func dataPDUs(f framing, kind pduType, commandID, ttag uint16, offset int, data []byte, maxData int) iter.Seq[[]byte] {
 	return func(yield func([]byte) bool) {
 		for start := 0; start < len(data); start += maxData {
 			part := data[start:min(start+maxData, len(data))]
@@ -240,7 +240,7 @@
 			if start+len(part) == len(data) {
 				flags = flagLastPDU
 			}
-			header := transfer{commandID: commandID, tag: tag, offset: uint32(offset + start), length: uint32(len(part))}
+			header := transfer{commandID: commandID, ttag: ttag, offset: uint32(offset + start), length: uint32(len(part))}
 			if !yield(appendPDU(nil, f, kind, flags, header.header(), part)) {
 				return
 			}
--- a/internal/nvme/pdu_test.go
+++ b/internal/nvme/pdu_test.go
@@ -17,8 +17,8 @@
 		want string
 	}{
 		{"ICReq", icPDU(pduICReq, enableHeaderDigest|enableDataDigest, 0)[:16], "00008000800000000000000300000000"},
-		{"R2T", appendPDU(nil, framing{}, pduReadyToTransfer, 0,
-			transfer{commandID: 0x0102, tag: 0x0304, offset: 0x1000, length: 0x2000}.header(), nil),
+		{"R2T", appendPDU(nil, framing{}, pduR2T, 0,
+			transfer{commandID: 0x0102, ttag: 0x0304, offset: 0x1000, length: 0x2000}.header(), nil),
 			"090018001800000002010403001000000020000000000000"},
 		{"data with both digests", appendPDU(nil, digests, pduC2HData, flagLastPDU,
 			transfer{commandID: 1, length: 4}.header(), []byte("1234"))[:8], "0707181c24000000"},
@@ -44,7 +44,7 @@
 			dataAlignment: rapid.IntRange(0, maxDataAlignment).Draw(t, "data alignment"),
 		}
 		data := rapid.SliceOfN(rapid.Byte(), 0, 300).Draw(t, "data")
-		kind := rapid.SampledFrom([]pduType{pduCommand, pduH2CData, pduC2HData}).Draw(t, "type")
+		kind := rapid.SampledFrom([]pduType{pduCapsuleCmd, pduH2CData, pduC2HData}).Draw(t, "type")
 		headerLen := kind.headerLen() - commonHeaderLen
 		header := rapid.SliceOfN(rapid.Byte(), headerLen, headerLen).Draw(t, "header")
 		valid := appendPDU(nil, f, kind, 0, header, data)
--- a/internal/nvme/pdureader.go
+++ b/internal/nvme/pdureader.go
@@ -52,7 +52,7 @@
 
 // invalid returns the error of a field that has a value it must not have.
 func (h *commonHeader) invalid(field uint32, cause string) error {
-	return &protocolError{status: fesInvalidHeader, info: field, cause: cause, header: h.raw[:]}
+	return &protocolError{fes: fesInvalidHeader, fei: field, cause: cause, header: h.raw[:]}
 }
 
 func (h *commonHeader) hasHeaderDigest(f framing) bool { return h.kind.hasDigests() && f.headerDigest }
@@ -98,7 +98,7 @@
 		return nil, err
 	}
 	if digest != crc32.Checksum(p.header, castagnoli) {
-		return nil, &protocolError{status: fesHeaderDigest, info: digest, cause: "header digest", header: p.header}
+		return nil, &protocolError{fes: fesHeaderDigest, fei: digest, cause: "header digest", header: p.header}
 	}
 	return p, nil
 }
@@ -142,9 +142,9 @@
 // padding returns the bytes between header and data, of the remaining bytes of the PDU.
 func (h *commonHeader) padding(f framing, remaining int) (int, error) {
 	switch h.kind {
-	case pduICReq, pduICResp, pduResponse, pduReadyToTransfer:
+	case pduICReq, pduICResp, pduCapsuleResp, pduR2T:
 		return 0, h.invalid(offsetPDULen, "data where the type has none")
-	case pduH2CTermination, pduC2HTermination:
+	case pduH2CTermReq, pduC2HTermReq:
 		if remaining > maxTerminationPayload {
 			return 0, h.invalid(offsetPDULen, "termination request too long")
 		}
--- a/internal/nvme/property.go
+++ b/internal/nvme/property.go
@@ -2,15 +2,15 @@
 
 // Controller properties, by offset.
 const (
-	propertyCapabilities  = 0x00 // CAP, 8 bytes
-	propertyVersion       = 0x08 // VS
-	propertyConfiguration = 0x14 // CC
-	propertyStatus        = 0x1C // CSTS
+	propertyCAP  = 0x00 // controller capabilities, 8 bytes
+	propertyVS   = 0x08 // version
+	propertyCC   = 0x14 // controller configuration
+	propertyCSTS = 0x1C // controller status
 )
 
 const (
-	// capabilities is CAP without MQES: contiguous queues, ready within ten times 500 ms, the NVM command set.
-	capabilities = 1<<16 | 10<<24 | 1<<37
+	// capWithoutMQES is CAP without MQES: contiguous queues, ready within ten times 500 ms, the NVM command set.
+	capWithoutMQES = 1<<16 | 10<<24 | 1<<37
 
 	specificationVersion = 0x00010400 // 1.4
 
@@ -27,34 +27,34 @@
 )
 
 // handleFabrics handles the Fabrics commands of a connected queue: Property Get and Set on the admin queue.
-func (q *queue) handleFabrics(p *pendingCommand) {
+func (q *controllerQueue) handleFabrics(p *pendingCommand) {
 	fabricsType := p.entry.fabricsType()
 	switch {
 	case fabricsType == fabricsConnect:
-		q.fail(p, statusSequenceError)
+		q.fail(p, statusCommandSequenceError)
 	case q.id == 0 && fabricsType == fabricsPropertyGet:
 		q.getProperty(p)
 	case q.id == 0 && fabricsType == fabricsPropertySet:
 		q.setProperty(p)
 	default:
-		q.fail(p, statusInvalidOpcode)
+		q.fail(p, statusInvalidCommandOpcode)
 	}
 }
 
-func (q *queue) getProperty(p *pendingCommand) {
+func (q *controllerQueue) getProperty(p *pendingCommand) {
 	offset := p.entry.u32(sqePropertyOffset)
 	value, known := q.association.property(offset)
-	if !known || p.entry.isWideProperty() != (offset == propertyCapabilities) {
-		q.fail(p, statusInvalidField)
+	if !known || p.entry.isWideProperty() != (offset == propertyCAP) {
+		q.fail(p, statusInvalidFieldInCommand)
 		return
 	}
 	q.succeed(p, value)
 }
 
 // setProperty sets CC, the only property that is not read-only here.
-func (q *queue) setProperty(p *pendingCommand) {
-	if p.entry.u32(sqePropertyOffset) != propertyConfiguration || p.entry.isWideProperty() {
-		q.fail(p, statusInvalidField)
+func (q *controllerQueue) setProperty(p *pendingCommand) {
+	if p.entry.u32(sqePropertyOffset) != propertyCC || p.entry.isWideProperty() {
+		q.fail(p, statusInvalidFieldInCommand)
 		return
 	}
 	q.association.configure(p.entry.u32(sqePropertyValue))
@@ -64,35 +64,35 @@
 // isWideProperty reports whether a property command is for 8 bytes instead of 4.
 func (c *command) isWideProperty() bool { return c[sqePropertySize]&propertySizeMask == propertySize8 }
 
-func (a *association) property(offset uint32) (value uint64, known bool) {
+func (a *controllerAssociation) property(offset uint32) (value uint64, known bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	switch offset {
-	case propertyCapabilities:
-		return capabilities | uint64(a.server.options.QueueDepth-1), true // MQES is 0-based
-	case propertyVersion:
+	case propertyCAP:
+		return capWithoutMQES | uint64(a.server.options.QueueDepth-1), true // MQES is 0-based
+	case propertyVS:
 		return specificationVersion, true
-	case propertyConfiguration:
-		return uint64(a.configuration), true
-	case propertyStatus:
-		return uint64(a.controllerStatus), true
+	case propertyCC:
+		return uint64(a.cc), true
+	case propertyCSTS:
+		return uint64(a.csts), true
 	}
 	return 0, false
 }
 
 // configure sets CC, which enables, resets or shuts down the controller. A reset ends its I/O queues.
-func (a *association) configure(configuration uint32) {
+func (a *controllerAssociation) configure(cc uint32) {
 	a.mu.Lock()
-	wasEnabled := a.configuration&ccEnable != 0
-	isEnabled := configuration&ccEnable != 0
-	a.configuration = configuration
+	wasEnabled := a.cc&ccEnable != 0
+	isEnabled := cc&ccEnable != 0
+	a.cc = cc
 	switch {
 	case !isEnabled:
-		a.controllerStatus = 0
-	case configuration&ccShutdown != 0:
-		a.controllerStatus |= cstsShutdownComplete
+		a.csts = 0
+	case cc&ccShutdown != 0:
+		a.csts |= cstsShutdownComplete
 	default:
-		a.controllerStatus = cstsReady
+		a.csts = cstsReady
 	}
 	a.mu.Unlock()
 	if wasEnabled && !isEnabled {
--- a/internal/nvme/server.go
+++ b/internal/nvme/server.go
@@ -19,10 +19,10 @@
 	Namespaces []Namespace
 	QueueDepth int // entries of an I/O queue
 	MaxConns   int // hosts' connections at a time
-	// MaxHeldBytes bounds the data of the commands without a completion, in bytes; reads and writes beyond it are rejected.
+	// MaxBufferedBytes bounds the data of the commands without a completion, in bytes; reads and writes beyond it are rejected.
 	// Data counts from the command's arrival until its completion is queued for sending: data that waits in a connection's
 	// outbox is no longer counted.
-	MaxHeldBytes int64
+	MaxBufferedBytes int64
 	// ClassDeadlines is how long hosts wait for a command of each class: NVMe commands carry no deadline of their own.
 	ClassDeadlines map[string]time.Duration
 	Logger         *slog.Logger
@@ -36,8 +36,8 @@
 }
 
 const (
-	acceptRetryInterval = 10 * time.Millisecond // after a failed accept, which would else be retried in a busy loop
-	drainPollInterval   = 2 * time.Millisecond
+	acceptRetryInterval  = 10 * time.Millisecond // after a failed accept, which would else be retried in a busy loop
+	shutdownPollInterval = 2 * time.Millisecond
 )
 
 // Reasons of the log lines about ended connections.
@@ -63,14 +63,14 @@
 	namespaces map[uint32]*Namespace
 	schedule   dispatcher.ShutdownSchedule
 
-	heldBytes    atomic.Int64              // data that counts against MaxHeldBytes
-	openCommands atomic.Int64              // commands at the dispatcher
-	shutdownAt   atomic.Pointer[time.Time] // when Shutdown was called; nil: not yet
-	rejecting    atomic.Bool               // new commands are rejected
+	bufferedBytes atomic.Int64              // data that counts against MaxBufferedBytes
+	openCommands  atomic.Int64              // commands at the dispatcher
+	shutdownAt    atomic.Pointer[time.Time] // when Shutdown was called; nil: not yet
+	rejecting     atomic.Bool               // new commands are rejected
 
 	mu               sync.Mutex
-	associations     map[uint16]*association // by controller ID
-	queues           map[*queue]bool
+	associations     map[uint16]*controllerAssociation // by controller ID
+	queues           map[*controllerQueue]bool
 	lastControllerID uint16
 	listener         net.Listener
 }
@@ -81,8 +81,8 @@
 		options:      opt,
 		dispatcher:   d,
 		namespaces:   map[uint32]*Namespace{},
-		associations: map[uint16]*association{},
-		queues:       map[*queue]bool{},
+		associations: map[uint16]*controllerAssociation{},
+		queues:       map[*controllerQueue]bool{},
 	}
 	var longest time.Duration
 	for _, deadline := range opt.ClassDeadlines {
@@ -132,7 +132,7 @@
 
 // admit adds a connection, and evicts another if there are MaxConns. It returns false if none can be evicted. An evicted
 // connection is no longer counted, but stays open until its writer has sent its outbox.
-func (s *Server) admit(q *queue) bool {
+func (s *Server) admit(q *controllerQueue) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.queues) >= s.options.MaxConns && !s.evictUnconnected() {
@@ -147,7 +147,7 @@
 // them. A connection whose Connect has completed is never evicted, so that no command is lost: a host sends none before that.
 // One whose Connect is being handled may still be evicted. The caller holds mu.
 func (s *Server) evictUnconnected() bool {
-	var oldest *queue
+	var oldest *controllerQueue
 	for q := range s.queues {
 		if !q.connected.Load() && (oldest == nil || q.acceptedAt.Before(oldest.acceptedAt)) {
 			oldest = q
@@ -172,7 +172,7 @@
 	dispatcher.WaitUntil(ctx, start.Add(s.schedule.ServeConnsFor))
 	s.rejecting.Store(true)
 	for s.openCommands.Load() > 0 && ctx.Err() == nil {
-		time.Sleep(drainPollInterval)
+		time.Sleep(shutdownPollInterval)
 	}
 	err := ctx.Err()
 	for _, q := range s.allQueues() {
@@ -192,17 +192,17 @@
 	}
 }
 
-func (s *Server) allQueues() []*queue {
+func (s *Server) allQueues() []*controllerQueue {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	queues := make([]*queue, 0, len(s.queues))
+	queues := make([]*controllerQueue, 0, len(s.queues))
 	for q := range s.queues {
 		queues = append(queues, q)
 	}
 	return queues
 }
 
-func (s *Server) logEnd(q *queue, reason string) {
+func (s *Server) logEnd(q *controllerQueue, reason string) {
 	s.options.Logger.Info("connection ended",
 		slog.String("side", "host"),
 		slog.String("peer", q.conn.RemoteAddr().String()),
--- a/internal/nvme/server_test.go
+++ b/internal/nvme/server_test.go
@@ -77,13 +77,13 @@
 		modify func(*command)
 		want   status
 	}{
-		{"flush", func(c *command) { c[0] = 0 }, statusInvalidOpcode},
+		{"flush", func(c *command) { c[0] = 0 }, statusInvalidCommandOpcode},
 		{"unknown namespace", func(c *command) { c.putU32(sqeNamespaceID, 9) }, statusInvalidNamespace},
 		{"past the end", func(c *command) { c.putU64(sqeStartLBA, 1<<20) }, statusLBAOutOfRange},
-		{"fused", func(c *command) { c[sqeFlags] |= 1 }, statusInvalidField},
-		{"PRPs", func(c *command) { c[sqeFlags] = 0 }, statusInvalidField},
-		{"length that does not fit", func(c *command) { c.putU32(sqeSGLLength, 4) }, statusInvalidField},
-		{"second connect", func(c *command) { c[0], c[sqeFabricsType] = byte(opFabrics), fabricsConnect }, statusSequenceError},
+		{"fused", func(c *command) { c[sqeFlags] |= 1 }, statusInvalidFieldInCommand},
+		{"PRPs", func(c *command) { c[sqeFlags] = 0 }, statusInvalidFieldInCommand},
+		{"length that does not fit", func(c *command) { c.putU32(sqeSGLLength, 4) }, statusInvalidFieldInCommand},
+		{"second connect", func(c *command) { c[0], c[sqeFabricsType] = byte(opFabrics), fabricsConnect }, statusCommandSequenceError},
 	} {
 		entry := h.ioCommand(opRead, 0, 1, false)
 		c.modify(entry)
@@ -96,7 +96,7 @@
 	asyncEvent := newCommand(opAsyncEventRequest, h.admin.nextCommandID(), 0, false)
 	var failure *commandError
 	_, _, err := h.admin.execute(asyncEvent, nil)
-	if !errors.As(err, &failure) || failure.status != statusInvalidOpcode|statusDoNotRetry {
+	if !errors.As(err, &failure) || failure.status != statusInvalidCommandOpcode|statusDoNotRetry {
 		t.Errorf("asynchronous event request: %v", err)
 	}
 	if _, _, err := h.admin.execute(newCommand(opKeepAlive, h.admin.nextCommandID(), 0, false), nil); err != nil {
@@ -149,20 +149,20 @@
 	}{
 		{"unknown type", func(h *testHost) error { return h.sendRaw([]byte{0x42, 0, 8, 0, 8, 0, 0, 0}) }, fesInvalidHeader},
 		{"a controller's PDU", func(h *testHost) error {
-			header := transfer{commandID: 1, tag: 1, length: 1}.header()
-			return h.sendRaw(appendPDU(nil, framing{}, pduReadyToTransfer, 0, header, nil))
+			header := transfer{commandID: 1, ttag: 1, length: 1}.header()
+			return h.sendRaw(appendPDU(nil, framing{}, pduR2T, 0, header, nil))
 		}, fesSequence},
 		{"data that was not asked for", func(h *testHost) error {
-			return h.sendRaw(dataPDU(transfer{commandID: 9, tag: 9, length: 1}, flagLastPDU, []byte("x")))
+			return h.sendRaw(dataPDU(transfer{commandID: 9, ttag: 9, length: 1}, flagLastPDU, []byte("x")))
 		}, fesInvalidHeader},
 		{"data out of range", func(h *testHost) error {
 			const blocks = 32
 			id := h.send(h.ioCommand(opWrite, 0, blocks, false), nil)
 			p, err := h.io.receive()
-			if err != nil || p.kind != pduReadyToTransfer || p.u32(offsetTransferLength) != blocks*blockSize {
+			if err != nil || p.kind != pduR2T || p.u32(offsetTransferLength) != blocks*blockSize {
 				return errors.Join(errors.New("no R2T"), err)
 			}
-			header := transfer{commandID: id, tag: p.u16(offsetTransferTag), offset: 512, length: 512}
+			header := transfer{commandID: id, ttag: p.u16(offsetTTAG), offset: 512, length: 512}
 			return h.sendRaw(dataPDU(header, 0, make([]byte, 512)))
 		}, fesOutOfRange},
 	} {
@@ -172,7 +172,7 @@
 			continue
 		}
 		p := h.nextPDU()
-		if p.kind != pduC2HTermination || fatalErrorStatus(p.u16(offsetFatalErrorStatus)) != c.want {
+		if p.kind != pduC2HTermReq || fatalErrorStatus(p.u16(offsetFatalErrorStatus)) != c.want {
 			t.Errorf("%s: %+v; want a termination request with %#x", c.name, p, uint16(c.want))
 		}
 	}
@@ -183,14 +183,14 @@
 func TestDamagedStream(t *testing.T) {
 	_, addr := startServer(t, newStorage(), poolNQN)
 	other := connectHost(t, addr, false)
-	types := []pduType{pduICReq, pduCommand, pduH2CData, pduH2CTermination, pduReadyToTransfer, 0x55}
+	types := []pduType{pduICReq, pduCapsuleCmd, pduH2CData, pduH2CTermReq, pduR2T, 0x55}
 	rapid.Check(t, func(rt *rapid.T) {
 		out := icPDU(pduICReq, 0, 0)
 		for range rapid.IntRange(1, 4).Draw(rt, "PDUs") {
 			kind := rapid.SampledFrom(types).Draw(rt, "type")
 			headerLen := max(kind.headerLen(), transferHeaderLen) - commonHeaderLen
 			header := rapid.SliceOfN(rapid.Byte(), headerLen, headerLen).Draw(rt, "header")
-			if kind == pduCommand && rapid.Bool().Draw(rt, "connect") {
+			if kind == pduCapsuleCmd && rapid.Bool().Draw(rt, "connect") {
 				copy(header, []byte{byte(opFabrics), flagsUseSGL, 1, 0, fabricsConnect})
 			}
 			out = appendPDU(out, framing{}, kind, 0, header, rapid.SliceOfN(rapid.Byte(), 0, 1100).Draw(rt, "data"))
@@ -313,21 +313,21 @@
 	_, addr := startServer(t, newStorage(), poolNQN)
 	h := connectHost(t, addr, true)
 	for cns, check := range map[uint32]func([]byte) bool{
-		identifyNamespace: func(data []byte) bool {
+		cnsNamespace: func(data []byte) bool {
 			return binary.LittleEndian.Uint64(data) == 1<<20 && data[130] == 9
 		},
-		identifyController: func(data []byte) bool {
+		cnsController: func(data []byte) bool {
 			return bytes.HasPrefix(data[768:], []byte(poolNQN)) && data[512] == 0x66
 		},
-		identifyActiveNamespaces: func(data []byte) bool {
+		cnsActiveNamespaces: func(data []byte) bool {
 			return binary.LittleEndian.Uint32(data) == 1 && data[4] == 0
 		},
-		identifyNamespaceDescriptors: func(data []byte) bool {
+		cnsNamespaceDescriptors: func(data []byte) bool {
 			return data[0] == 1 && hex.EncodeToString(data[4:12]) == testNamespace().Volume
 		},
 	} {
 		entry := newCommand(opIdentify, h.admin.nextCommandID(), identifyDataLen, false)
-		if cns != identifyActiveNamespaces {
+		if cns != cnsActiveNamespaces {
 			entry.putU32(sqeNamespaceID, 1)
 		}
 		entry.putU32(sqeIdentifyCNS, cns)
--- a/internal/nvme/status.go
+++ b/internal/nvme/status.go
@@ -25,20 +25,20 @@
 
 // Status values that are used here.
 const (
-	statusSuccess                  = genericStatus
-	statusInvalidOpcode            = genericStatus | 0x01
-	statusInvalidField             = genericStatus | 0x02
-	statusCommandIDConflict        = genericStatus | 0x03
-	statusInternalError            = genericStatus | 0x06
-	statusAbortRequested           = genericStatus | 0x07
-	statusInvalidNamespace         = genericStatus | 0x0B
-	statusSequenceError            = genericStatus | 0x0C
-	statusTransientTransport       = genericStatus | 0x22
-	statusLBAOutOfRange            = genericStatus | 0x80
-	statusNamespaceNotReady        = genericStatus | 0x82
-	statusConnectFormat            = commandSpecificStatus | 0x80
-	statusControllerBusy           = commandSpecificStatus | 0x81
-	statusConnectInvalidParameters = commandSpecificStatus | 0x82
+	statusSuccess                   = genericStatus
+	statusInvalidCommandOpcode      = genericStatus | 0x01
+	statusInvalidFieldInCommand     = genericStatus | 0x02
+	statusCommandIDConflict         = genericStatus | 0x03
+	statusInternalError             = genericStatus | 0x06
+	statusAbortRequested            = genericStatus | 0x07
+	statusInvalidNamespace          = genericStatus | 0x0B
+	statusCommandSequenceError      = genericStatus | 0x0C
+	statusTransientTransport        = genericStatus | 0x22
+	statusLBAOutOfRange             = genericStatus | 0x80
+	statusNamespaceNotReady         = genericStatus | 0x82
+	statusConnectIncompatibleFormat = commandSpecificStatus | 0x80
+	statusConnectControllerBusy     = commandSpecificStatus | 0x81
+	statusConnectInvalidParameters  = commandSpecificStatus | 0x82
 )
 
 // code returns the status code type and the status code, without CRD, More and DNR.
--- a/internal/nvme/hostassociation.go
+++ b/internal/nvme/targetassociation.go
@@ -11,14 +11,14 @@
 	// unusedTimeout is how long an association without I/O queues is kept. Its target may have left the endpoint list.
 	unusedTimeout     = 30 * time.Second
 	readyPollInterval = 5 * time.Millisecond
-	// maxUnreadAborts bounds the Aborts since the last Keep Alive: one without a completion takes an entry of the admin queue.
-	maxUnreadAborts   = 3
-	abortWriteTimeout = 10 * time.Millisecond
+	// maxOutstandingAborts bounds the Aborts since the last Keep Alive: one without a completion takes an entry of the admin queue.
+	maxOutstandingAborts = 3
+	abortWriteTimeout    = 10 * time.Millisecond
 )
 
-// hostAssociation is the association with one target's controller. It is established when first needed, and again after it
+// targetAssociation is the host side of the association with one target's controller. It is established when first needed, and again after it
 // has ended.
-type hostAssociation struct {
+type targetAssociation struct {
 	host *Host
 	addr string
 
@@ -26,13 +26,13 @@
 	// up: a stalled target must not hold up attempts beyond their deadlines.
 	adminLock chan struct{}
 
-	mu               sync.Mutex
-	admin            *hostConn // nil: not established
-	controllerID     uint16
-	maxInCapsuleData int // bytes of a write that a capsule may hold
-	queuesInUse      map[uint16]bool
-	lastUsed         time.Time
-	unreadAborts     int // Aborts since the last Keep Alive; nobody waits for their completions
+	mu                sync.Mutex
+	admin             *hostConn // nil: not established
+	controllerID      uint16
+	maxInCapsuleData  int // bytes of a write that a capsule may hold
+	queuesInUse       map[uint16]bool
+	lastUsed          time.Time
+	outstandingAborts int // Aborts since the last Keep Alive; nobody waits for their completions
 }
 
 // queueSlot is a reserved queue ID in an established association.
@@ -44,7 +44,7 @@
 }
 
 // reserveQueue establishes the association if need be, and reserves a queue ID in it. It waits no longer than ctx.
-func (a *hostAssociation) reserveQueue(ctx context.Context) (queueSlot, error) {
+func (a *targetAssociation) reserveQueue(ctx context.Context) (queueSlot, error) {
 	for {
 		slot, established, err := a.tryReserveQueue()
 		if established {
@@ -64,7 +64,7 @@
 }
 
 // tryReserveQueue reserves the lowest free queue ID. It returns established false if there is no admin queue.
-func (a *hostAssociation) tryReserveQueue() (slot queueSlot, established bool, err error) {
+func (a *targetAssociation) tryReserveQueue() (slot queueSlot, established bool, err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.admin == nil {
@@ -82,14 +82,14 @@
 	return queueSlot{}, true, errNoFreeQueue
 }
 
-func (a *hostAssociation) freeQueue(id uint16) {
+func (a *targetAssociation) freeQueue(id uint16) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	delete(a.queuesInUse, id)
 }
 
 // drop ends the establishment that an admin queue stands for, unless there is a newer one.
-func (a *hostAssociation) drop(admin *hostConn) {
+func (a *targetAssociation) drop(admin *hostConn) {
 	a.mu.Lock()
 	if a.admin == admin {
 		a.admin = nil
@@ -98,7 +98,7 @@
 	admin.discard()
 }
 
-func (a *hostAssociation) isEstablished() bool {
+func (a *targetAssociation) isEstablished() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.admin != nil
@@ -106,7 +106,7 @@
 
 // establish connects the admin queue, enables the controller and reads its limits, unless another goroutine has. The caller
 // holds adminLock.
-func (a *hostAssociation) establish(ctx context.Context) error {
+func (a *targetAssociation) establish(ctx context.Context) error {
 	if a.isEstablished() {
 		return nil
 	}
@@ -124,7 +124,7 @@
 	a.admin = admin
 	a.controllerID = controllerID
 	a.maxInCapsuleData = maxInCapsuleData
-	a.unreadAborts = 0
+	a.outstandingAborts = 0
 	a.lastUsed = time.Now()
 	a.mu.Unlock()
 	go a.keepAliveLoop(admin)
@@ -146,14 +146,14 @@
 	if err != nil {
 		return 0, 0, err
 	}
-	capsuleLen := int(binary.LittleEndian.Uint32(data[controllerIOCapsuleLen:])) * capsuleLenUnit
+	capsuleLen := int(binary.LittleEndian.Uint32(data[offsetIDCtrlIOCCSZ:])) * capsuleLenUnit
 	return controllerID, max(0, capsuleLen-commandLen), nil
 }
 
 func waitUntilReady(ctx context.Context, admin *hostConn) error {
 	for {
-		controllerStatus, err := admin.getProperty(propertyStatus)
-		if err != nil || controllerStatus&cstsReady != 0 {
+		csts, err := admin.getProperty(propertyCSTS)
+		if err != nil || csts&cstsReady != 0 {
 			return err
 		}
 		select {
@@ -166,7 +166,7 @@
 
 // keepAliveLoop sends Keep Alive at half of its timeout, until one fails or the association is unused; it drops the
 // association then.
-func (a *hostAssociation) keepAliveLoop(admin *hostConn) {
+func (a *targetAssociation) keepAliveLoop(admin *hostConn) {
 	interval := a.host.options.KeepAliveTimeout / 2
 	for {
 		time.Sleep(interval)
@@ -178,14 +178,14 @@
 }
 
 // isNeeded reports whether an admin queue is the present one, and was used recently.
-func (a *hostAssociation) isNeeded(admin *hostConn) bool {
+func (a *targetAssociation) isNeeded(admin *hostConn) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	isUsed := len(a.queuesInUse) > 0 || time.Since(a.lastUsed) <= unusedTimeout
 	return a.admin == admin && isUsed
 }
 
-func (a *hostAssociation) sendKeepAlive(admin *hostConn, timeout time.Duration) error {
+func (a *targetAssociation) sendKeepAlive(admin *hostConn, timeout time.Duration) error {
 	a.adminLock <- struct{}{}
 	defer func() { <-a.adminLock }()
 	admin.setDeadline(time.Now().Add(timeout))
@@ -194,14 +194,14 @@
 	a.mu.Lock()
 	// Most completions of the Aborts were read before that of the Keep Alive. A controller may complete commands in any
 	// order, though: those that are late are read by the next Keep Alive, and the limit leaves entries for them.
-	a.unreadAborts = 0
+	a.outstandingAborts = 0
 	a.mu.Unlock()
 	return err
 }
 
 // abort sends an Abort for a command whose connection is being closed. It spares the target work; nothing depends on it.
 // So it does not wait: neither for the admin queue nor for its completion, which a later Keep Alive skips.
-func (a *hostAssociation) abort(queueID, commandID uint16) {
+func (a *targetAssociation) abort(queueID, commandID uint16) {
 	select {
 	case a.adminLock <- struct{}{}:
 		defer func() { <-a.adminLock }()
@@ -222,11 +222,11 @@
 }
 
 // countAbort counts an Abort and returns the admin queue to send it on, nil if there is none or too many are unread.
-func (a *hostAssociation) countAbort() *hostConn {
+func (a *targetAssociation) countAbort() *hostConn {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	isAllowed := a.unreadAborts < maxUnreadAborts
-	a.unreadAborts++
+	isAllowed := a.outstandingAborts < maxOutstandingAborts
+	a.outstandingAborts++
 	if !isAllowed {
 		return nil
 	}
--- a/internal/nvme/hostqueue.go
+++ b/internal/nvme/targetqueue.go
@@ -14,24 +14,24 @@
 	"dapplegate/scheduler"
 )
 
-// ioQueue is an I/O queue at a target. It carries one command at a time.
-type ioQueue struct {
+// targetQueue is the host side of an I/O queue at a target. It carries one command at a time.
+type targetQueue struct {
 	*hostConn
-	association      *hostAssociation
+	association      *targetAssociation
 	id               uint16
 	maxInCapsuleData int
 	freeOnce         sync.Once
 }
 
 // Close implements upstream.Conn. It ends the queue and frees its ID.
-func (q *ioQueue) Close() error {
+func (q *targetQueue) Close() error {
 	err := q.hostConn.Close()
 	q.freeOnce.Do(func() { q.association.freeQueue(q.id) })
 	return err
 }
 
 // IsIdle implements upstream.Conn.
-func (q *ioQueue) IsIdle() bool { return q.in.Buffered() == 0 && socket.IsQuiet(q.Conn) }
+func (q *targetQueue) IsIdle() bool { return q.in.Buffered() == 0 && socket.IsQuiet(q.Conn) }
 
 // RoundTrip implements upstream.Conn for one read or write, an *IORequest. A write's data is in the capsule where it fits,
 // else it is sent when the controller asks for it.
@@ -39,7 +39,7 @@
 // An error before the last byte of the capsule and of a write's data was sent is ConnectFailed, which permits another attempt,
 // also if half of the data was sent. That relies on targets that execute a write only once they have all of its data, as the
 // controller side of this package does. The specification alone does not promise it.
-func (q *ioQueue) RoundTrip(attempt dispatcher.Attempt, mayStart func() bool) upstream.RoundTripResult {
+func (q *targetQueue) RoundTrip(attempt dispatcher.Attempt, mayStart func() bool) upstream.RoundTripResult {
 	e := newExchange(q, attempt.Payload.(*IORequest))
 	capsule := e.capsule()
 	q.setDeadline(attempt.Deadline)
@@ -67,7 +67,7 @@
 
 // exchange is one command on an I/O queue, from its capsule to its completion.
 type exchange struct {
-	queue     *ioQueue
+	queue     *targetQueue
 	entry     *command
 	request   *IORequest
 	inCapsule bool   // the data to write is in the capsule
@@ -75,7 +75,7 @@
 	data      []byte // that was read
 }
 
-func newExchange(q *ioQueue, request *IORequest) *exchange {
+func newExchange(q *targetQueue, request *IORequest) *exchange {
 	op := opRead
 	if request.Write {
 		op = opWrite
@@ -94,7 +94,7 @@
 	if e.inCapsule {
 		inCapsule = e.request.Data
 	}
-	return appendPDU(nil, e.queue.framing, pduCommand, 0, e.entry[:], inCapsule)
+	return appendPDU(nil, e.queue.framing, pduCapsuleCmd, 0, e.entry[:], inCapsule)
 }
 
 // failure returns the attempt's status after an error. Once all data is sent, the target may have executed the command; before
@@ -117,7 +117,7 @@
 			return 0, nil, err
 		}
 		switch p.kind {
-		case pduReadyToTransfer:
+		case pduR2T:
 			if err := e.sendData(p); err != nil {
 				return 0, nil, err
 			}
@@ -128,13 +128,13 @@
 			if p.isLast() && p.flags&flagSuccess != 0 {
 				return e.finish(statusSuccess)
 			}
-		case pduResponse:
+		case pduCapsuleResp:
 			result := parseCompletion(p)
 			if result.commandID != e.entry.id() {
 				return 0, nil, &controllerError{cause: "completion of another command"}
 			}
 			return e.finish(result.status)
-		case pduC2HTermination:
+		case pduC2HTermReq:
 			return 0, nil, io.ErrUnexpectedEOF
 		default:
 			return 0, nil, unexpectedPDU(p)
@@ -143,8 +143,8 @@
 }
 
 // sendData sends the part of the data that an R2T asks for.
-func (e *exchange) sendData(readyToTransfer *pdu) error {
-	header := parseTransfer(readyToTransfer)
+func (e *exchange) sendData(r2t *pdu) error {
+	header := parseTransfer(r2t)
 	if e.sent || header.commandID != e.entry.id() {
 		return &controllerError{cause: "R2T for no write that waits"}
 	}
@@ -155,7 +155,7 @@
 		return &controllerError{cause: "R2T out of range"}
 	}
 	part := e.request.Data[offset:end]
-	for pdu := range dataPDUs(e.queue.framing, pduH2CData, header.commandID, header.tag, int(offset), part, e.queue.maxH2CData) {
+	for pdu := range dataPDUs(e.queue.framing, pduH2CData, header.commandID, header.ttag, int(offset), part, e.queue.maxH2CData) {
 		if _, err := e.queue.Write(pdu); err != nil {
 			return err
 		}
