--- a/internal/configstore/client.go
+++ b/internal/configstore/client.go
@@ -109,16 +109,16 @@
 func call[T any](ctx context.Context, c *Client, req request) (result T, _ error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	resp, err := c.retry(ctx, req)
+	resp, err := c.tryServers(ctx, req)
 	if err != nil {
 		return result, err
 	}
 	return decode[T](resp.body)
 }
 
-// retry tries the servers in turn until one gives a final answer or ctx ends. A server that cannot be reached or knows no
+// tryServers tries the servers in turn, again and again, until one gives a final answer or ctx ends. A server that cannot be reached or knows no
 // leader gives none: during an election all of them fail for a while.
-func (c *Client) retry(ctx context.Context, req request) (response, error) {
+func (c *Client) tryServers(ctx context.Context, req request) (response, error) {
 	if len(c.Addrs) == 0 {
 		return response{}, errors.New("no agents are named")
 	}
@@ -139,7 +139,7 @@
 	}
 }
 
-// isFinal reports whether any other server would give the same answer.
+// isFinal reports whether an error ends the call: any other server would give the same answer.
 func isFinal(err error) bool {
 	var status *StatusError
 	if errors.As(err, &status) {
--- a/internal/configstore/handlers.go
+++ b/internal/configstore/handlers.go
@@ -16,8 +16,8 @@
 	// ifVersionHeader makes a write conditional on the version of the present entry; 0: there is none.
 	ifVersionHeader = "If-Version"
 
-	// applyTimeout bounds the wait until Raft takes a change for its log. The wait for the majority has no bound of its own.
-	applyTimeout    = 5 * time.Second
+	// enqueueTimeout bounds the wait until Raft takes a change for its log. The wait for the majority has no bound of its own.
+	enqueueTimeout  = 5 * time.Second
 	maxConfigBytes  = 4 << 20
 	maxWatchTimeout = time.Minute
 )
@@ -139,7 +139,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	future := s.raft.Apply(command, applyTimeout)
+	future := s.raft.Apply(command, enqueueTimeout)
 	if err := future.Error(); err != nil {
 		// The change may or may not be in the log: the caller reads the entry, or writes again under If-Version.
 		http.Error(w, "not confirmed: "+err.Error(), http.StatusServiceUnavailable)
--- a/internal/configstore/server_test.go
+++ b/internal/configstore/server_test.go
@@ -46,7 +46,14 @@
 	return addrs
 }
 
-const clusterSize = 3
+const (
+	clusterSize = 3
+	// electionTimeout is shorter than the default, so that the tests take less time.
+	electionTimeout = 500 * time.Millisecond
+	// eventTimeout and eventPollInterval are for events that take a while, such as an election on a busy machine.
+	eventTimeout      = time.Minute
+	eventPollInterval = 20 * time.Millisecond
+)
 
 // cluster is a group of servers on the loopback, each with a folder that outlives it, and a client of all of them.
 type cluster struct {
@@ -83,7 +90,7 @@
 func (c *cluster) start(i int) {
 	c.t.Helper()
 	server, err := Start(Options{ID: c.peers[i].ID, Dir: c.dirs[i], Peers: c.peers, Validate: validateJSON, Logger: discardLog,
-		ElectionTimeout: 500 * time.Millisecond})
+		ElectionTimeout: electionTimeout})
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -110,9 +117,9 @@
 // eventually waits for a condition that takes a while, such as an election.
 func (c *cluster) eventually(what string, condition func() bool) {
 	c.t.Helper()
-	for end := time.Now().Add(time.Minute); !condition(); time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(eventTimeout); !condition(); time.Sleep(eventPollInterval) {
 		if time.Now().After(end) {
-			c.t.Fatalf("not within a minute: %s", what)
+			c.t.Fatalf("not within %v: %s", eventTimeout, what)
 		}
 	}
 }
@@ -134,24 +141,26 @@
 // mustPut writes a configuration, again until it is confirmed.
 func (c *cluster) mustPut(name, config, ifVersion string) Entry {
 	c.t.Helper()
-	var entry Entry
-	c.eventually("put of "+name, func() bool {
-		var err error
-		entry, err = c.Put(context.Background(), name, []byte(config), ifVersion)
-		return err == nil
-	})
-	return entry
+	for end := time.Now().Add(eventTimeout); ; time.Sleep(eventPollInterval) {
+		entry, err := c.Put(context.Background(), name, []byte(config), ifVersion)
+		if err == nil {
+			return entry
+		}
+		if time.Now().After(end) {
+			c.t.Fatalf("put of %s was not confirmed within %v, at last: %v", name, eventTimeout, err)
+		}
+	}
 }
 
 // TestLeaderLost loses the leader between two writes: the remaining majority takes the second one, the lost server catches
-// up from its durable data when it is back, and a follower sees each configuration once, in order.
+// up from its durable data when it is back, and a watching client sees each configuration once, in order.
 func TestLeaderLost(t *testing.T) {
 	c := newCluster(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	notified := make(chan Entry, 16)
-	follower := &Client{Addrs: c.Addrs}
-	go follower.Follow(ctx, "n1", discardLog, func(e Entry) { notified <- e })
+	watcher := &Client{Addrs: c.Addrs}
+	go watcher.Follow(ctx, "n1", discardLog, func(e Entry) { notified <- e })
 	first := c.mustPut("n1", `{"a":1}`, "")
 	c.mustPut("n2", `{"b":1}`, "")
 	lost := c.leader()
@@ -176,10 +185,10 @@
 		select {
 		case entry := <-notified:
 			if string(entry.Config) != want {
-				t.Errorf("follower was notified of %s, want %s", entry.Config, want)
+				t.Errorf("watcher was notified of %s, want %s", entry.Config, want)
 			}
-		case <-time.After(time.Minute):
-			t.Fatalf("follower was not notified of %s", want)
+		case <-time.After(eventTimeout):
+			t.Fatalf("watcher was not notified of %s", want)
 		}
 	}
 	for _, status := range c.Status(ctx) {
--- a/internal/configstore/stored_test.go
+++ b/internal/configstore/stored_test.go
@@ -9,9 +9,10 @@
 	"github.com/hashicorp/raft"
 )
 
-// storedPeer is the only server of the group whose folder is testdata/stored. Commit 634ce93 wrote that: three changes, a
-// snapshot of the store, and two changes after it.
+// storedPeer is the only server of the group whose folder is testdata/stored. The code of commit 634ce93 wrote it: three
+// changes, a snapshot of the store, and two changes after it.
 func storedPeer(t *testing.T) Peer {
+	t.Helper()
 	addrs := freeAddrs(t, 2)
 	return Peer{ID: "agent-1", Raft: addrs[0], API: addrs[1]}
 }
@@ -25,7 +26,7 @@
 	}
 	peer := storedPeer(t)
 	server, err := Start(Options{ID: peer.ID, Dir: dir, Peers: []Peer{peer}, Validate: validateJSON, Logger: discardLog,
-		ElectionTimeout: 500 * time.Millisecond})
+		ElectionTimeout: electionTimeout})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -34,11 +35,11 @@
 			t.Error(err)
 		}
 	}()
-	for end := time.Now().Add(time.Minute); server.raft.State() != raft.Leader || server.raft.VerifyLeader().Error() != nil; {
+	for end := time.Now().Add(eventTimeout); server.raft.State() != raft.Leader || server.raft.VerifyLeader().Error() != nil; {
 		if time.Now().After(end) {
-			t.Fatal("no leader within a minute")
+			t.Fatalf("no leader within %v", eventTimeout)
 		}
-		time.Sleep(20 * time.Millisecond)
+		time.Sleep(eventPollInterval)
 	}
 	if err := server.raft.Barrier(10 * time.Second).Error(); err != nil {
 		t.Fatal(err)
