--- a/internal/nvme/controllerqueue.go
+++ b/internal/nvme/controllerqueue.go
@@ -156,7 +156,10 @@
 	var violation *protocolError
 	if errors.As(err, &violation) {
 		q.outbox.Put(terminationPDU(pduC2HTermReq, violation))
-		q.server.options.Logger.Warn("host violated the protocol", slog.String("error", violation.Error()))
+		q.server.options.Logger.Warn("host violated the protocol",
+			slog.String("peer", q.conn.RemoteAddr().String()),
+			slog.String("reason", reasonProtocolError),
+			slog.String("error", violation.Error()))
 	}
 	q.end(endReason(err))
 }
--- a/internal/nvme/server.go
+++ b/internal/nvme/server.go
@@ -207,6 +207,6 @@
 		slog.String("side", "host"),
 		slog.String("peer", q.conn.RemoteAddr().String()),
 		slog.String("reason", reason),
-		slog.Int("requests", q.commandCount),
+		slog.Int("commands", q.commandCount),
 		slog.Int("queue", int(q.id)))
 }
