--- a/internal/nvme/endtoend_test.go
+++ b/internal/nvme/endtoend_test.go
@@ -6,13 +6,11 @@
 	"testing"
 	"time"
 
-	"dapplegate/internal/dispatcher"
-	"dapplegate/internal/upstream"
 	"dapplegate/scheduler"
 )
 
 // TestEndToEnd reads back what was written, through initiator and target: a small write, whose data is in the capsule, and a
-// large one, whose data is asked for by R2T; with digests and without.
+// large one, whose data the initiator asks the client for, and the target the initiator, by R2T; with digests and without.
 func TestEndToEnd(t *testing.T) {
 	for _, digests := range []bool{false, true} {
 		_, target := startServer(t, newStorage(), targetNQN)
@@ -29,21 +27,12 @@
 
 		const blocks = 200
 		large := bytes.Repeat([]byte("0123456789abcdef"), blocks*blockSize/16)
-		queue := &targetQueue{
-			hostConn:         h.io,
-			association:      &targetAssociation{adminLock: make(chan struct{}, 1)},
-			maxInCapsuleData: maxInCapsuleData,
-		}
-		roundTrip := func(request *IORequest) upstream.RoundTripResult {
-			attempt := dispatcher.Attempt{Deadline: time.Now().Add(testTimeout), Payload: request}
-			return queue.RoundTrip(attempt, func() bool { return true })
-		}
 		write := &IORequest{Write: true, NamespaceID: 1, StartLBA: 100, Blocks: blocks, Bytes: len(large), Data: large}
-		result := roundTrip(write)
+		result := h.roundTrip(write)
 		if result.Status != scheduler.Succeeded {
 			t.Fatalf("large write: %+v", result)
 		}
-		result = roundTrip(&IORequest{NamespaceID: 1, StartLBA: 100, Blocks: blocks, Bytes: len(large)})
+		result = h.roundTrip(&IORequest{NamespaceID: 1, StartLBA: 100, Blocks: blocks, Bytes: len(large)})
 		if data, _ := result.Payload.([]byte); result.Status != scheduler.Succeeded || !bytes.Equal(data, large) {
 			t.Fatalf("large read: %v, %d bytes, %s", result.Status, len(data), result.CloseReason)
 		}
@@ -78,9 +67,10 @@
 	}
 }
 
-// TestTargetStallsAndDrains: a target stalls with a write in flight, and is then listed as draining. The write has one
-// completion, with DNR, so that the host does not send it again. It is not sent to another target. Later commands go to the
-// target's successor and to nowhere else, also after the stalled target has gone on.
+// TestTargetStallsAndDrains has a target stall with a write in flight, and then listed as draining. The timeout that the
+// scheduler gives the attempt, a multiple of the latency objective of 300 ms, ends the write before its class deadline. The
+// write may have been executed by then: it has one completion, with DNR, so that the host does not send it again, and it is not sent to
+// another target. Later commands go to the target's successor and to nowhere else, also after the stalled target has resumed.
 func TestTargetStallsAndDrains(t *testing.T) {
 	stalled, successor := newStorage(), newStorage()
 	stalled.stalled = make(chan struct{})
@@ -110,9 +100,9 @@
 		t.Errorf("later commands ended with %#x and %#x", uint16(statuses[second]), uint16(statuses[third]))
 	}
 
-	close(stalled.stalled) // it executes what it has
+	close(stalled.stalled) // it executes the commands that it has received
 	h.write(4, "last")
-	h.expectServed("after the target has gone on")
+	h.expectServed("after the target has resumed")
 	if len(stalled.received) != 0 {
 		t.Errorf("the draining target was sent another command")
 	}
--- a/internal/nvme/helpers_test.go
+++ b/internal/nvme/helpers_test.go
@@ -288,6 +288,18 @@
 	return p
 }
 
+// roundTrip carries out a command on the I/O queue with the host side of this package. No command may be in flight.
+func (h *testHost) roundTrip(request *IORequest) upstream.RoundTripResult {
+	h.t.Helper()
+	queue := &targetQueue{
+		hostConn:         h.io,
+		association:      &targetAssociation{adminLock: make(chan struct{}, 1)},
+		maxInCapsuleData: maxInCapsuleData,
+	}
+	attempt := dispatcher.Attempt{Deadline: time.Now().Add(testTimeout), Payload: request}
+	return queue.RoundTrip(attempt, func() bool { return true })
+}
+
 // expectServed reads the next completion, which must be a success.
 func (h *testHost) expectServed(what string) {
 	h.t.Helper()
--- a/internal/nvme/hostconn.go
+++ b/internal/nvme/hostconn.go
@@ -100,6 +100,10 @@
 
 // execute carries out an admin or Fabrics command, with data in the capsule or none, and returns its completion and the data
 // that the controller sent. A command that ends with an error is a *commandError.
+//
+// Its loop is apart from exchange.run. An admin queue may have Aborts outstanding, whose completions are skipped, and its
+// commands get their data in the capsule and never an R2T; exchange.run takes any completion but its own for an error, sends
+// data for R2Ts, and accepts data that ends with the SUCCESS flag in place of a completion.
 func (c *hostConn) execute(entry *command, inCapsule []byte) (completion, []byte, error) {
 	if err := c.sendCommand(entry, inCapsule); err != nil {
 		return completion{}, nil, err
--- a/internal/nvme/server_test.go
+++ b/internal/nvme/server_test.go
@@ -219,7 +219,8 @@
 	}
 }
 
-// TestBadConnect refuses hosts that ask for another subsystem, or for an I/O queue without an association.
+// TestBadConnect rejects hosts that ask for another subsystem, or for an I/O queue without an association, with the status for
+// invalid parameters and DNR: a retry of the same Connect would fail again.
 func TestBadConnect(t *testing.T) {
 	_, addr := startServer(t, newStorage(), poolNQN)
 	h := NewHost(HostOptions{Subsystem: "nqn.other", HostNQN: "nqn.host", KeepAliveTimeout: time.Minute})
@@ -230,12 +231,18 @@
 		t.Fatal(err)
 	}
 	closeAtEnd(t, conn)
-	if _, err := conn.connect(h.options, 0, anyControllerID); err == nil {
-		t.Error("a subsystem that is not here was connected to")
-	}
-	if _, err := conn.connect(HostOptions{Subsystem: poolNQN, HostNQN: "nqn.host"}, 1, 77); err == nil {
-		t.Error("an I/O queue joined no association")
+	expectRejected := func(what string, err error) {
+		t.Helper()
+		const want = statusConnectInvalidParameters | statusDoNotRetry
+		var failure *commandError
+		if !errors.As(err, &failure) || failure.opcode != opFabrics || failure.status != want {
+			t.Errorf("%s: %v, want status %#x", what, err, uint16(want))
+		}
 	}
+	_, err = conn.connect(h.options, 0, anyControllerID)
+	expectRejected("Connect to a subsystem that is not here", err)
+	_, err = conn.connect(HostOptions{Subsystem: poolNQN, HostNQN: "nqn.host"}, 1, 77)
+	expectRejected("Connect of an I/O queue without an association", err)
 }
 
 // TestSilentConnectionsAreEvicted fills the limit with connections that send nothing: a host can still connect, queues of an
--- a/internal/nvme/targetqueue.go
+++ b/internal/nvme/targetqueue.go
@@ -109,7 +109,8 @@
 	return scheduler.ConnectionReset
 }
 
-// run handles the controller's PDUs until the completion. It returns the status and the data that was read.
+// run handles the controller's PDUs until the completion, or the last C2HData if its SUCCESS flag stands for one. It returns
+// the status and the data that was read. For the loop of admin commands see hostConn.execute.
 func (e *exchange) run() (status, []byte, error) {
 	for {
 		p, err := e.queue.receive()
