--- a/internal/configstore/client.go
+++ b/internal/configstore/client.go
@@ -116,8 +116,8 @@
 	return decode[T](resp.body)
 }
 
-// tryServers tries the servers in turn, again and again, until one gives a final answer or ctx ends. A server that cannot be reached or knows no
-// leader gives none: during an election all of them fail for a while.
+// tryServers tries the servers in turn, again and again, until one gives a final answer or ctx ends. A server that cannot be
+// reached or knows no leader gives none: during an election all of them fail for a while.
 func (c *Client) tryServers(ctx context.Context, req request) (response, error) {
 	if len(c.Addrs) == 0 {
 		return response{}, errors.New("no agents are named")
--- a/internal/configstore/handlers.go
+++ b/internal/configstore/handlers.go
@@ -99,7 +99,7 @@
 	name := r.PathValue("name")
 	config, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxConfigBytes))
 	if err != nil {
-		http.Error(w, "configuration: not whole or too large", http.StatusRequestEntityTooLarge)
+		http.Error(w, "configuration: incomplete or too large", http.StatusRequestEntityTooLarge)
 		return
 	}
 	if err := s.options.Validate(name, config); err != nil {
--- a/internal/nvme/command.go
+++ b/internal/nvme/command.go
@@ -107,6 +107,17 @@
 	nqnFieldLen         = 256
 )
 
+// Offsets in a completion queue entry.
+const (
+	cqeResult    = 0
+	cqeSQHead    = 8
+	cqeQueueID   = 10
+	cqeCommandID = 12
+	cqeStatus    = 14 // with the phase tag as its lowest bit, which is 0 on fabrics
+
+	phaseTagBits = 1
+)
+
 // command is a submission queue entry.
 type command [commandLen]byte
 
@@ -119,7 +130,7 @@
 func (c *command) startLBA() uint64    { return binary.LittleEndian.Uint64(c[sqeStartLBA:]) }
 func (c *command) blocks() uint32      { return uint32(c.u16(sqeBlocks)) + 1 }
 
-// isValid reports whether the flags are in the subset: SGLs, which fabrics require, and no fused commands.
+// isValid reports whether the flags are in the subset: SGLs, which NVMe over Fabrics requires, and no fused commands.
 func (c *command) isValid() bool {
 	flags := c[sqeFlags]
 	return flags&flagsDataMask == flagsUseSGL && flags&flagsFusedMask == 0
@@ -169,22 +180,22 @@
 // header returns the entry as the fields of a response capsule after the common header.
 func (c completion) header() []byte {
 	header := make([]byte, capsuleRespHeaderLen-commonHeaderLen)
-	binary.LittleEndian.PutUint64(header, c.result)
-	binary.LittleEndian.PutUint16(header[8:], c.sqHead)
-	binary.LittleEndian.PutUint16(header[10:], c.queueID)
-	binary.LittleEndian.PutUint16(header[12:], c.commandID)
-	binary.LittleEndian.PutUint16(header[14:], uint16(c.status)<<1) // the phase tag is 0 on fabrics
+	binary.LittleEndian.PutUint64(header[cqeResult:], c.result)
+	binary.LittleEndian.PutUint16(header[cqeSQHead:], c.sqHead)
+	binary.LittleEndian.PutUint16(header[cqeQueueID:], c.queueID)
+	binary.LittleEndian.PutUint16(header[cqeCommandID:], c.commandID)
+	binary.LittleEndian.PutUint16(header[cqeStatus:], uint16(c.status)<<phaseTagBits)
 	return header
 }
 
 func parseCompletion(p *pdu) completion {
 	entry := p.header[commonHeaderLen:]
 	return completion{
-		result:    binary.LittleEndian.Uint64(entry),
-		sqHead:    binary.LittleEndian.Uint16(entry[8:]),
-		queueID:   binary.LittleEndian.Uint16(entry[10:]),
-		commandID: binary.LittleEndian.Uint16(entry[12:]),
-		status:    status(binary.LittleEndian.Uint16(entry[14:]) >> 1),
+		result:    binary.LittleEndian.Uint64(entry[cqeResult:]),
+		sqHead:    binary.LittleEndian.Uint16(entry[cqeSQHead:]),
+		queueID:   binary.LittleEndian.Uint16(entry[cqeQueueID:]),
+		commandID: binary.LittleEndian.Uint16(entry[cqeCommandID:]),
+		status:    status(binary.LittleEndian.Uint16(entry[cqeStatus:]) >> phaseTagBits),
 	}
 }
 
--- a/internal/nvme/connect.go
+++ b/internal/nvme/connect.go
@@ -48,9 +48,9 @@
 		return
 	}
 	request := parseConnect(&p.entry, data)
-	a, refusal := q.server.connect(q, request)
-	if refusal != statusSuccess {
-		q.complete(p, refusal, 0, nil)
+	a, connectStatus := q.server.connect(q, request)
+	if connectStatus != statusSuccess {
+		q.complete(p, connectStatus, 0, nil)
 		return
 	}
 	q.association = a
--- a/internal/nvme/controllerqueue.go
+++ b/internal/nvme/controllerqueue.go
@@ -295,7 +295,7 @@
 	return p, nil
 }
 
-// fail completes a command with an error that a retry would meet again.
+// fail completes a command with an error status and DNR.
 func (q *controllerQueue) fail(p *pendingCommand, s status) {
 	q.complete(p, s|statusDoNotRetry, 0, nil)
 }
--- a/internal/nvme/doc.go
+++ b/internal/nvme/doc.go
@@ -2,8 +2,8 @@
 // hosts connect to, Host is the host of the targets. Between them the dispatcher schedules the commands like any other
 // requests. Names are those of the NVMe Base, NVM Command Set and TCP Transport specifications.
 //
-// A command outside the subset ends with the status that the specification has for it, a PDU that violates the transport's
-// rules with a termination request: never with silence.
+// A command outside the subset is completed with the status that the specification has for it. A PDU that violates the
+// transport's rules is answered with a termination request, which ends the connection.
 //
 // The controller side: server.go accepts connections, controllerqueue.go is a connection with its reader and writer, connect.go
 // and controllerassociation.go make it a queue of an association, property.go, admin.go and identify.go serve the admin queue,
--- a/internal/nvme/endtoend_test.go
+++ b/internal/nvme/endtoend_test.go
@@ -67,10 +67,11 @@
 	}
 }
 
-// TestTargetStallsAndDrains has a target stall with a write in flight, and then listed as draining. The timeout that the
+// TestTargetStallsAndDrains lets a target stall with a write in flight, and then lists it as draining. The timeout that the
 // scheduler gives the attempt, a multiple of the latency objective of 300 ms, ends the write before its class deadline. The
-// write may have been executed by then: it has one completion, with DNR, so that the host does not send it again, and it is not sent to
-// another target. Later commands go to the target's successor and to nowhere else, also after the stalled target has resumed.
+// write may have been executed by then: it has one completion, with DNR, so that the host does not send it again, and it is
+// not sent to another target. Later commands go to the target's successor and to nowhere else, also after the stalled target
+// has resumed.
 func TestTargetStallsAndDrains(t *testing.T) {
 	stalled, successor := newStorage(), newStorage()
 	stalled.stalled = make(chan struct{})
--- a/internal/nvme/helpers_test.go
+++ b/internal/nvme/helpers_test.go
@@ -210,18 +210,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	io, err := h.dial(ctx, addr)
+	ioConn, err := h.dial(ctx, addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	closeAtEnd(t, io)
-	connect := newFabricsCommand(fabricsConnect, io.nextCommandID(), connectDataLen)
+	closeAtEnd(t, ioConn)
+	connect := newFabricsCommand(fabricsConnect, ioConn.nextCommandID(), connectDataLen)
 	connect.putU16(sqeConnectQueueID, 1)
 	connect.putU16(sqeConnectQueueSize, ioQueueSize-1)
-	if _, _, err := io.execute(connect, connectData(options, controllerID)); err != nil {
+	if _, _, err := ioConn.execute(connect, connectData(options, controllerID)); err != nil {
 		t.Fatal(err)
 	}
-	return &testHost{t: t, admin: admin, io: io}
+	return &testHost{t: t, admin: admin, io: ioConn}
 }
 
 // send sends a command on the I/O queue and returns its ID.
--- a/internal/nvme/host.go
+++ b/internal/nvme/host.go
@@ -45,8 +45,9 @@
 	conn, err := h.dialIOQueue(ctx, addr, slot)
 	if err != nil {
 		a.freeQueue(slot.queueID)
-		// A target that refuses the queue has been restarted and does not know the association: drop it now, or every Dial
-		// would fail until the next keep-alive. A target that is only slow may still have it.
+		// Failure: a target that was restarted does not know the association and rejects its queues, so that every Dial fails
+		// until the next Keep Alive. Dropping the association lets the next Dial establish a new one. A target that is only
+		// slow may still have it.
 		if !errors.Is(err, os.ErrDeadlineExceeded) && ctx.Err() == nil {
 			a.drop(slot.admin)
 		}
--- a/internal/nvme/hostconn.go
+++ b/internal/nvme/hostconn.go
@@ -183,7 +183,7 @@
 	entry.putU32(sqeIdentifyCNS, cnsController)
 	_, data, err := c.execute(entry, nil)
 	if err == nil && len(data) != identifyDataLen {
-		err = &controllerError{cause: "controller's identify page is not whole"}
+		err = &controllerError{cause: "controller's Identify data is incomplete"}
 	}
 	return data, err
 }
--- a/internal/nvme/iocommand.go
+++ b/internal/nvme/iocommand.go
@@ -69,8 +69,9 @@
 	return statusSuccess
 }
 
-// reserveBytes counts a command's data against MaxBufferedBytes. It returns false if the server accepts no further commands for now.
-// Connections check and add independently of each other, so that the sum may exceed the limit by one command for each.
+// reserveBytes counts a command's data against MaxBufferedBytes. It returns false if the server accepts no further commands
+// for now. Connections check and add independently of each other, so that the sum may exceed the limit by one command for
+// each.
 func (q *controllerQueue) reserveBytes(p *pendingCommand, request *IORequest) bool {
 	bytes := int64(request.Bytes)
 	if q.server.rejecting.Load() || q.server.bufferedBytes.Load()+bytes > q.server.options.MaxBufferedBytes {
--- a/internal/nvme/pdu.go
+++ b/internal/nvme/pdu.go
@@ -82,6 +82,7 @@
 
 	// of termination requests
 	offsetFatalErrorStatus = 8
+	offsetFatalErrorInfo   = 10
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -195,18 +196,18 @@
 	return appendPDU(nil, framing{}, kind, 0, header, nil)
 }
 
-// terminationPDU returns a termination request for an error, with the start of the wrong PDU.
+// terminationPDU returns a termination request for an error. Its data is the start of the wrong PDU.
 func terminationPDU(kind pduType, e *protocolError) []byte {
 	header := make([]byte, transferHeaderLen-commonHeaderLen)
-	binary.LittleEndian.PutUint16(header, uint16(e.fes))
-	binary.LittleEndian.PutUint32(header[2:], e.fei)
+	binary.LittleEndian.PutUint16(header[offsetFatalErrorStatus-commonHeaderLen:], uint16(e.fes))
+	binary.LittleEndian.PutUint32(header[offsetFatalErrorInfo-commonHeaderLen:], e.fei)
 	return appendPDU(nil, framing{}, kind, 0, header, e.header[:min(len(e.header), maxTerminationPayload)])
 }
 
 // transfer is the header of R2T, H2CData and C2HData: a part of a command's data.
 type transfer struct {
 	commandID uint16
-	ttag      uint16 // of the R2T; 0 in C2HData
+	ttag      uint16 // transfer tag of the R2T; 0 in C2HData
 	offset    uint32
 	length    uint32
 }
@@ -214,10 +215,10 @@
 // header returns the fields after the common header.
 func (t transfer) header() []byte {
 	header := make([]byte, transferHeaderLen-commonHeaderLen)
-	binary.LittleEndian.PutUint16(header, t.commandID)
-	binary.LittleEndian.PutUint16(header[2:], t.ttag)
-	binary.LittleEndian.PutUint32(header[4:], t.offset)
-	binary.LittleEndian.PutUint32(header[8:], t.length)
+	binary.LittleEndian.PutUint16(header[offsetCommandID-commonHeaderLen:], t.commandID)
+	binary.LittleEndian.PutUint16(header[offsetTTAG-commonHeaderLen:], t.ttag)
+	binary.LittleEndian.PutUint32(header[offsetTransferOffset-commonHeaderLen:], t.offset)
+	binary.LittleEndian.PutUint32(header[offsetTransferLength-commonHeaderLen:], t.length)
 	return header
 }
 
--- a/internal/nvme/server_test.go
+++ b/internal/nvme/server_test.go
@@ -315,7 +315,8 @@
 	}
 }
 
-// TestIdentify reads the data structures that a host begins with.
+// TestIdentify reads the data structures that a host begins with. The offsets are written out as the specification has them, so
+// that a wrong constant is found.
 func TestIdentify(t *testing.T) {
 	_, addr := startServer(t, newStorage(), poolNQN)
 	h := connectHost(t, addr, true)
--- a/internal/nvme/targetassociation.go
+++ b/internal/nvme/targetassociation.go
@@ -16,8 +16,8 @@
 	abortWriteTimeout    = 10 * time.Millisecond
 )
 
-// targetAssociation is the host side of the association with one target's controller. It is established when first needed, and again after it
-// has ended.
+// targetAssociation is the host side of the association with one target's controller. It is established when first needed, and
+// again after it has ended.
 type targetAssociation struct {
 	host *Host
 	addr string
--- a/internal/nvme/targetqueue.go
+++ b/internal/nvme/targetqueue.go
@@ -179,7 +179,7 @@
 // finish returns the result of a completed command. A read that succeeded without all of its data is an error.
 func (e *exchange) finish(s status) (status, []byte, error) {
 	if s == statusSuccess && !e.request.Write && len(e.data) != e.request.Bytes {
-		return 0, nil, &controllerError{cause: "data is not whole"}
+		return 0, nil, &controllerError{cause: "data of a successful read is incomplete"}
 	}
 	return s, e.data, nil
 }
