--- a/internal/configstore/handlers.go
+++ b/internal/configstore/handlers.go
@@ -16,7 +16,8 @@
 	// ifVersionHeader makes a write conditional on the version of the present entry; 0: there is none.
 	ifVersionHeader = "If-Version"
 
-	applyTimeout    = 5 * time.Second
+	// enqueueTimeout bounds the wait until Raft takes a change for its log. The wait for the majority has no bound of its own.
+	enqueueTimeout  = 5 * time.Second
 	maxConfigBytes  = 4 << 20
 	maxWatchTimeout = time.Minute
 )
@@ -34,8 +35,8 @@
 
 // Status is a server's view of the Raft group.
 type Status struct {
-	ID      string `json:"id"`
-	State   string `json:"state"`   // Leader, Follower or Candidate
+	ID      string `json:"id"`      // of the server; from Client.Status its address if it did not answer
+	State   string `json:"state"`   // Leader, Follower, Candidate or Shutdown; from Client.Status the error of a failed call
 	Leader  string `json:"leader"`  // ID; empty: none is known
 	Applied uint64 `json:"applied"` // index of the last log entry applied
 }
@@ -98,7 +99,7 @@
 	name := r.PathValue("name")
 	config, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxConfigBytes))
 	if err != nil {
-		http.Error(w, "configuration: not whole or too large", http.StatusRequestEntityTooLarge)
+		http.Error(w, "configuration: incomplete or too large", http.StatusRequestEntityTooLarge)
 		return
 	}
 	if err := s.options.Validate(name, config); err != nil {
@@ -138,7 +139,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	future := s.raft.Apply(command, applyTimeout)
+	future := s.raft.Apply(command, enqueueTimeout)
 	if err := future.Error(); err != nil {
 		// The change may or may not be in the log: the caller reads the entry, or writes again under If-Version.
 		http.Error(w, "not confirmed: "+err.Error(), http.StatusServiceUnavailable)
@@ -164,7 +165,8 @@
 }
 
 // redirectToLeader redirects the client to the leader, or answers 503 if none is known. It returns false, with nothing
-// answered, where this server leads: the majority has confirmed that just now, so that a read sees every confirmed write.
+// answered, where this server leads, which a majority has confirmed just now: no other server can have confirmed a write that
+// is not in this one's log. It does not wait until the log is applied, see the package comment.
 func (s *Server) redirectToLeader(w http.ResponseWriter, r *http.Request) bool {
 	if s.raft.isLeader() {
 		return false
--- a/internal/nvme/command.go
+++ b/internal/nvme/command.go
@@ -52,13 +52,16 @@
 
 	// maxInCapsuleData is how much of a write's data a capsule to this controller may hold.
 	maxInCapsuleData = 8192
-	// maxTransferLen is the largest data of one command, as 2 to the power of maxTransferPages pages of 4 KiB.
-	maxTransferLen   = 4096 << maxTransferPages
-	maxTransferPages = 5
+	// maxTransferLen is the largest data of one command. MDTS announces it as a power of two of the smallest pages.
+	maxTransferLen = minPageBytes << mdts
+	mdts           = 5
+	minPageBytes   = 4096 // CAP.MPSMIN is 0
 )
 
 const (
-	// maxIOQueues is the number of I/O queues of an association.
+	// maxIOQueues bounds the I/O queues of one association, on both sides. Towards a target that is the attempts in flight at
+	// it, since each has a queue of its own, and its idle connections. Other limits are apart from it: the scheduler's
+	// concurrency limit bounds the attempts at a target, upstream.Options.MaxConnsPerTarget its connections of any protocol.
 	maxIOQueues = 16
 	// adminQueueSize is the smallest maximum that the specification allows for an admin queue, in entries.
 	adminQueueSize = 32
@@ -104,6 +107,17 @@
 	nqnFieldLen         = 256
 )
 
+// Offsets in a completion queue entry.
+const (
+	cqeResult    = 0
+	cqeSQHead    = 8
+	cqeQueueID   = 10
+	cqeCommandID = 12
+	cqeStatus    = 14 // with the phase tag as its lowest bit, which is 0 on fabrics
+
+	phaseTagBits = 1
+)
+
 // command is a submission queue entry.
 type command [commandLen]byte
 
@@ -116,7 +130,7 @@
 func (c *command) startLBA() uint64    { return binary.LittleEndian.Uint64(c[sqeStartLBA:]) }
 func (c *command) blocks() uint32      { return uint32(c.u16(sqeBlocks)) + 1 }
 
-// isValid reports whether the flags are in the subset: SGLs, which fabrics require, and no fused commands.
+// isValid reports whether the flags are in the subset: SGLs, which NVMe over Fabrics requires, and no fused commands.
 func (c *command) isValid() bool {
 	flags := c[sqeFlags]
 	return flags&flagsDataMask == flagsUseSGL && flags&flagsFusedMask == 0
@@ -165,23 +179,23 @@
 
 // header returns the entry as the fields of a response capsule after the common header.
 func (c completion) header() []byte {
-	header := make([]byte, responseLen-commonHeaderLen)
-	binary.LittleEndian.PutUint64(header, c.result)
-	binary.LittleEndian.PutUint16(header[8:], c.sqHead)
-	binary.LittleEndian.PutUint16(header[10:], c.queueID)
-	binary.LittleEndian.PutUint16(header[12:], c.commandID)
-	binary.LittleEndian.PutUint16(header[14:], uint16(c.status)<<1) // the phase tag is 0 on fabrics
+	header := make([]byte, capsuleRespHeaderLen-commonHeaderLen)
+	binary.LittleEndian.PutUint64(header[cqeResult:], c.result)
+	binary.LittleEndian.PutUint16(header[cqeSQHead:], c.sqHead)
+	binary.LittleEndian.PutUint16(header[cqeQueueID:], c.queueID)
+	binary.LittleEndian.PutUint16(header[cqeCommandID:], c.commandID)
+	binary.LittleEndian.PutUint16(header[cqeStatus:], uint16(c.status)<<phaseTagBits)
 	return header
 }
 
 func parseCompletion(p *pdu) completion {
 	entry := p.header[commonHeaderLen:]
 	return completion{
-		result:    binary.LittleEndian.Uint64(entry),
-		sqHead:    binary.LittleEndian.Uint16(entry[8:]),
-		queueID:   binary.LittleEndian.Uint16(entry[10:]),
-		commandID: binary.LittleEndian.Uint16(entry[12:]),
-		status:    status(binary.LittleEndian.Uint16(entry[14:]) >> 1),
+		result:    binary.LittleEndian.Uint64(entry[cqeResult:]),
+		sqHead:    binary.LittleEndian.Uint16(entry[cqeSQHead:]),
+		queueID:   binary.LittleEndian.Uint16(entry[cqeQueueID:]),
+		commandID: binary.LittleEndian.Uint16(entry[cqeCommandID:]),
+		status:    status(binary.LittleEndian.Uint16(entry[cqeStatus:]) >> phaseTagBits),
 	}
 }
 
--- a/internal/nvme/helpers_test.go
+++ b/internal/nvme/helpers_test.go
@@ -52,7 +52,7 @@
 	t.Helper()
 	s := New(d, Options{
 		Subsystem: subsystem, Namespaces: []Namespace{testNamespace()},
-		QueueDepth: 8, MaxConns: 64, MaxHeldBytes: 8 << 20,
+		QueueDepth: 8, MaxConns: 64, MaxBufferedBytes: 8 << 20,
 		ClassDeadlines: map[string]time.Duration{"position-read": testTimeout, "event-write": testTimeout},
 		Logger:         discardLog,
 	})
@@ -210,18 +210,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	io, err := h.dial(ctx, addr)
+	ioConn, err := h.dial(ctx, addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	closeAtEnd(t, io)
-	connect := newFabricsCommand(fabricsConnect, io.nextCommandID(), connectDataLen)
+	closeAtEnd(t, ioConn)
+	connect := newFabricsCommand(fabricsConnect, ioConn.nextCommandID(), connectDataLen)
 	connect.putU16(sqeConnectQueueID, 1)
 	connect.putU16(sqeConnectQueueSize, ioQueueSize-1)
-	if _, _, err := io.execute(connect, connectData(options, controllerID)); err != nil {
+	if _, _, err := ioConn.execute(connect, connectData(options, controllerID)); err != nil {
 		t.Fatal(err)
 	}
-	return &testHost{t: t, admin: admin, io: io}
+	return &testHost{t: t, admin: admin, io: ioConn}
 }
 
 // send sends a command on the I/O queue and returns its ID.
@@ -268,7 +268,7 @@
 	var data []byte
 	for {
 		p := h.nextPDU()
-		if p.kind == pduResponse {
+		if p.kind == pduCapsuleResp {
 			return parseCompletion(p), data
 		}
 		data = append(data, p.data...)
@@ -288,6 +288,18 @@
 	return p
 }
 
+// roundTrip carries out a command on the I/O queue with the host side of this package. No command may be in flight.
+func (h *testHost) roundTrip(request *IORequest) upstream.RoundTripResult {
+	h.t.Helper()
+	queue := &targetQueue{
+		hostConn:         h.io,
+		association:      &targetAssociation{adminLock: make(chan struct{}, 1)},
+		maxInCapsuleData: maxInCapsuleData,
+	}
+	attempt := dispatcher.Attempt{Deadline: time.Now().Add(testTimeout), Payload: request}
+	return queue.RoundTrip(attempt, func() bool { return true })
+}
+
 // expectServed reads the next completion, which must be a success.
 func (h *testHost) expectServed(what string) {
 	h.t.Helper()
--- a/internal/nvme/host.go
+++ b/internal/nvme/host.go
@@ -25,14 +25,14 @@
 	options HostOptions
 
 	mu           sync.Mutex
-	associations map[string]*hostAssociation // by target address
+	associations map[string]*targetAssociation // by target address
 }
 
 var _ upstream.Dialer = (*Host)(nil)
 
 // NewHost returns a host without associations. They are made when first needed.
 func NewHost(opt HostOptions) *Host {
-	return &Host{options: opt, associations: map[string]*hostAssociation{}}
+	return &Host{options: opt, associations: map[string]*targetAssociation{}}
 }
 
 // Dial implements upstream.Dialer. It opens an I/O queue at the target, and an association before it if there is none.
@@ -45,24 +45,25 @@
 	conn, err := h.dialIOQueue(ctx, addr, slot)
 	if err != nil {
 		a.freeQueue(slot.queueID)
-		// A target that refuses the queue has been restarted and does not know the association: drop it now, or every Dial
-		// would fail until the next keep-alive. A target that is only slow may still have it.
+		// Failure: a target that was restarted does not know the association and rejects its queues, so that every Dial fails
+		// until the next Keep Alive. Dropping the association lets the next Dial establish a new one. A target that is only
+		// slow may still have it.
 		if !errors.Is(err, os.ErrDeadlineExceeded) && ctx.Err() == nil {
 			a.drop(slot.admin)
 		}
 		return nil, err
 	}
 	conn.setDeadline(time.Time{})
-	return &ioQueue{hostConn: conn, association: a, id: slot.queueID, maxInCapsuleData: slot.maxInCapsuleData}, nil
+	return &targetQueue{hostConn: conn, association: a, id: slot.queueID, maxInCapsuleData: slot.maxInCapsuleData}, nil
 }
 
 // association returns the association with a target; it may have no admin queue yet.
-func (h *Host) association(addr string) *hostAssociation {
+func (h *Host) association(addr string) *targetAssociation {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	a := h.associations[addr]
 	if a == nil {
-		a = &hostAssociation{host: h, addr: addr, queuesInUse: map[uint16]bool{}, adminLock: make(chan struct{}, 1)}
+		a = &targetAssociation{host: h, addr: addr, queuesInUse: map[uint16]bool{}, adminLock: make(chan struct{}, 1)}
 		h.associations[addr] = a
 	}
 	return a
--- a/internal/nvme/hostconn.go
+++ b/internal/nvme/hostconn.go
@@ -82,14 +82,14 @@
 	p, err := readPDU(c.in, c.framing)
 	var violation *protocolError
 	if errors.As(err, &violation) {
-		_, _ = c.Write(terminationPDU(pduH2CTermination, violation)) // the connection ends either way
+		_, _ = c.Write(terminationPDU(pduH2CTermReq, violation)) // the connection ends either way
 	}
 	return p, err
 }
 
 // sendCommand sends a command capsule.
 func (c *hostConn) sendCommand(entry *command, inCapsule []byte) error {
-	_, err := c.Write(appendPDU(nil, c.framing, pduCommand, 0, entry[:], inCapsule))
+	_, err := c.Write(appendPDU(nil, c.framing, pduCapsuleCmd, 0, entry[:], inCapsule))
 	return err
 }
 
@@ -100,6 +100,10 @@
 
 // execute carries out an admin or Fabrics command, with data in the capsule or none, and returns its completion and the data
 // that the controller sent. A command that ends with an error is a *commandError.
+//
+// Its loop is apart from exchange.run. An admin queue may have Aborts outstanding, whose completions are skipped, and its
+// commands get their data in the capsule and never an R2T; exchange.run takes any completion but its own for an error, sends
+// data for R2Ts, and accepts data that ends with the SUCCESS flag in place of a completion.
 func (c *hostConn) execute(entry *command, inCapsule []byte) (completion, []byte, error) {
 	if err := c.sendCommand(entry, inCapsule); err != nil {
 		return completion{}, nil, err
@@ -117,7 +121,7 @@
 				return completion{}, nil, &controllerError{cause: "data out of order"}
 			}
 			data = append(data, p.data...)
-		case pduResponse:
+		case pduCapsuleResp:
 			result := parseCompletion(p)
 			if result.commandID != entry.id() {
 				continue // of an Abort, which nobody waits for
@@ -167,7 +171,7 @@
 // setConfiguration sets the property CC.
 func (c *hostConn) setConfiguration(value uint64) error {
 	entry := newFabricsCommand(fabricsPropertySet, c.nextCommandID(), 0)
-	entry.putU32(sqePropertyOffset, propertyConfiguration)
+	entry.putU32(sqePropertyOffset, propertyCC)
 	entry.putU64(sqePropertyValue, value)
 	_, _, err := c.execute(entry, nil)
 	return err
@@ -176,10 +180,10 @@
 // identifyController returns the data structure Identify Controller.
 func (c *hostConn) identifyController() ([]byte, error) {
 	entry := newCommand(opIdentify, c.nextCommandID(), identifyDataLen, false)
-	entry.putU32(sqeIdentifyCNS, identifyController)
+	entry.putU32(sqeIdentifyCNS, cnsController)
 	_, data, err := c.execute(entry, nil)
 	if err == nil && len(data) != identifyDataLen {
-		err = &controllerError{cause: "controller's identify page is not whole"}
+		err = &controllerError{cause: "controller's Identify data is incomplete"}
 	}
 	return data, err
 }
--- a/internal/nvme/pdu.go
+++ b/internal/nvme/pdu.go
@@ -10,17 +10,17 @@
 type pduType byte
 
 const (
-	pduICReq           pduType = 0x00 // initialize connection request
-	pduICResp          pduType = 0x01 // initialize connection response
-	pduH2CTermination  pduType = 0x02
-	pduC2HTermination  pduType = 0x03
-	pduCommand         pduType = 0x04 // command capsule
-	pduResponse        pduType = 0x05 // response capsule
-	pduH2CData         pduType = 0x06
-	pduC2HData         pduType = 0x07
-	pduReadyToTransfer pduType = 0x09 // R2T
-
-	firstTypeWithDigests = pduCommand
+	pduICReq       pduType = 0x00 // initialize connection request
+	pduICResp      pduType = 0x01 // initialize connection response
+	pduH2CTermReq  pduType = 0x02 // termination request
+	pduC2HTermReq  pduType = 0x03 // termination request
+	pduCapsuleCmd  pduType = 0x04 // command capsule
+	pduCapsuleResp pduType = 0x05 // response capsule
+	pduH2CData     pduType = 0x06
+	pduC2HData     pduType = 0x07
+	pduR2T         pduType = 0x09 // ready to transfer
+
+	firstTypeWithDigests = pduCapsuleCmd
 )
 
 // PDU flags.
@@ -39,12 +39,12 @@
 
 // Lengths in bytes.
 const (
-	commonHeaderLen   = 8
-	icLen             = 128
-	commandCapsuleLen = commonHeaderLen + commandLen
-	responseLen       = 24
-	transferHeaderLen = 24 // also of a termination request
-	digestLen         = 4
+	commonHeaderLen      = 8
+	icHeaderLen          = 128
+	capsuleCmdHeaderLen  = commonHeaderLen + commandLen
+	capsuleRespHeaderLen = 24
+	transferHeaderLen    = 24 // also of a termination request
+	digestLen            = 4
 
 	// maxTerminationPayload is how much of the wrong PDU a termination request may hold.
 	maxTerminationPayload = 128
@@ -76,12 +76,13 @@
 
 	// of R2T, H2CData and C2HData
 	offsetCommandID      = 8
-	offsetTransferTag    = 10
+	offsetTTAG           = 10
 	offsetTransferOffset = 12
 	offsetTransferLength = 16
 
 	// of termination requests
 	offsetFatalErrorStatus = 8
+	offsetFatalErrorInfo   = 10
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -92,7 +93,9 @@
 	flags  byte
 	header []byte // complete, from the common header on
 	data   []byte
-	// dataDigestError marks data whose digest does not match. The command fails; the connection stays open.
+	// dataDigestError marks data whose digest does not match. The command fails. The connection stays open, except if the
+	// data is an H2CData with others to follow: the next one is for a command that is no longer pending, which ends the
+	// connection.
 	dataDigestError bool
 }
 
@@ -105,12 +108,12 @@
 func (t pduType) headerLen() int {
 	switch t {
 	case pduICReq, pduICResp:
-		return icLen
-	case pduCommand:
-		return commandCapsuleLen
-	case pduResponse:
-		return responseLen
-	case pduH2CData, pduC2HData, pduReadyToTransfer, pduH2CTermination, pduC2HTermination:
+		return icHeaderLen
+	case pduCapsuleCmd:
+		return capsuleCmdHeaderLen
+	case pduCapsuleResp:
+		return capsuleRespHeaderLen
+	case pduH2CData, pduC2HData, pduR2T, pduH2CTermReq, pduC2HTermReq:
 		return transferHeaderLen
 	}
 	return 0
@@ -187,24 +190,24 @@
 // icPDU returns an ICReq or ICResp of format version 0. The sender accepts data at any alignment. maxData is ICResp's
 // MAXH2CDATA; ICReq's MAXR2T, which is 0-based, is at the same place.
 func icPDU(kind pduType, digests byte, maxData uint32) []byte {
-	header := make([]byte, icLen-commonHeaderLen)
+	header := make([]byte, icHeaderLen-commonHeaderLen)
 	header[offsetDigests-commonHeaderLen] = digests
 	binary.LittleEndian.PutUint32(header[offsetMaxH2CData-commonHeaderLen:], maxData)
 	return appendPDU(nil, framing{}, kind, 0, header, nil)
 }
 
-// terminationPDU returns a termination request for an error, with the start of the wrong PDU.
+// terminationPDU returns a termination request for an error. Its data is the start of the wrong PDU.
 func terminationPDU(kind pduType, e *protocolError) []byte {
 	header := make([]byte, transferHeaderLen-commonHeaderLen)
-	binary.LittleEndian.PutUint16(header, uint16(e.status))
-	binary.LittleEndian.PutUint32(header[2:], e.info)
+	binary.LittleEndian.PutUint16(header[offsetFatalErrorStatus-commonHeaderLen:], uint16(e.fes))
+	binary.LittleEndian.PutUint32(header[offsetFatalErrorInfo-commonHeaderLen:], e.fei)
 	return appendPDU(nil, framing{}, kind, 0, header, e.header[:min(len(e.header), maxTerminationPayload)])
 }
 
 // transfer is the header of R2T, H2CData and C2HData: a part of a command's data.
 type transfer struct {
 	commandID uint16
-	tag       uint16 // of the R2T; 0 in C2HData
+	ttag      uint16 // transfer tag of the R2T; 0 in C2HData
 	offset    uint32
 	length    uint32
 }
@@ -212,17 +215,17 @@
 // header returns the fields after the common header.
 func (t transfer) header() []byte {
 	header := make([]byte, transferHeaderLen-commonHeaderLen)
-	binary.LittleEndian.PutUint16(header, t.commandID)
-	binary.LittleEndian.PutUint16(header[2:], t.tag)
-	binary.LittleEndian.PutUint32(header[4:], t.offset)
-	binary.LittleEndian.PutUint32(header[8:], t.length)
+	binary.LittleEndian.PutUint16(header[offsetCommandID-commonHeaderLen:], t.commandID)
+	binary.LittleEndian.PutUint16(header[offsetTTAG-commonHeaderLen:], t.ttag)
+	binary.LittleEndian.PutUint32(header[offsetTransferOffset-commonHeaderLen:], t.offset)
+	binary.LittleEndian.PutUint32(header[offsetTransferLength-commonHeaderLen:], t.length)
 	return header
 }
 
 func parseTransfer(p *pdu) transfer {
 	return transfer{
 		commandID: p.u16(offsetCommandID),
-		tag:       p.u16(offsetTransferTag),
+		ttag:      p.u16(offsetTTAG),
 		offset:    p.u32(offsetTransferOffset),
 		length:    p.u32(offsetTransferLength),
 	}
@@ -230,7 +233,7 @@
 
 // dataPDUs returns data as H2CData or C2HData PDUs of at most maxData bytes each. offset is where data lies in the command's
 // data; the last PDU has the last-PDU flag.
-func dataPDUs(f framing, kind pduType, commandID, tag uint16, offset int, data []byte, maxData int) iter.Seq[[]byte] {
+func dataPDUs(f framing, kind pduType, commandID, ttag uint16, offset int, data []byte, maxData int) iter.Seq[[]byte] {
 	return func(yield func([]byte) bool) {
 		for start := 0; start < len(data); start += maxData {
 			part := data[start:min(start+maxData, len(data))]
@@ -238,7 +241,7 @@
 			if start+len(part) == len(data) {
 				flags = flagLastPDU
 			}
-			header := transfer{commandID: commandID, tag: tag, offset: uint32(offset + start), length: uint32(len(part))}
+			header := transfer{commandID: commandID, ttag: ttag, offset: uint32(offset + start), length: uint32(len(part))}
 			if !yield(appendPDU(nil, f, kind, flags, header.header(), part)) {
 				return
 			}
--- a/internal/nvme/server.go
+++ b/internal/nvme/server.go
@@ -19,8 +19,10 @@
 	Namespaces []Namespace
 	QueueDepth int // entries of an I/O queue
 	MaxConns   int // hosts' connections at a time
-	// MaxHeldBytes bounds the data of all commands in flight; commands beyond it are rejected.
-	MaxHeldBytes int64
+	// MaxBufferedBytes bounds the data of the commands without a completion, in bytes; reads and writes beyond it are rejected.
+	// Data counts from the command's arrival until its completion is queued for sending: data that waits in a connection's
+	// outbox is no longer counted.
+	MaxBufferedBytes int64
 	// ClassDeadlines is how long hosts wait for a command of each class: NVMe commands carry no deadline of their own.
 	ClassDeadlines map[string]time.Duration
 	Logger         *slog.Logger
@@ -34,8 +36,8 @@
 }
 
 const (
-	acceptRetryInterval = 10 * time.Millisecond // after a failed accept: out of descriptors, say
-	drainPollInterval   = 2 * time.Millisecond
+	acceptRetryInterval  = 10 * time.Millisecond // after a failed accept, which would else be retried in a busy loop
+	shutdownPollInterval = 2 * time.Millisecond
 )
 
 // Reasons of the log lines about ended connections.
@@ -61,14 +63,14 @@
 	namespaces map[uint32]*Namespace
 	schedule   dispatcher.ShutdownSchedule
 
-	heldBytes    atomic.Int64              // data of the commands in flight
-	openCommands atomic.Int64              // commands at the dispatcher
-	shutdownAt   atomic.Pointer[time.Time] // when Shutdown was called; nil: not yet
-	rejecting    atomic.Bool               // new commands are rejected
+	bufferedBytes atomic.Int64              // data that counts against MaxBufferedBytes
+	openCommands  atomic.Int64              // commands at the dispatcher
+	shutdownAt    atomic.Pointer[time.Time] // when Shutdown was called; nil: not yet
+	rejecting     atomic.Bool               // new commands are rejected
 
 	mu               sync.Mutex
-	associations     map[uint16]*association // by controller ID
-	queues           map[*queue]bool
+	associations     map[uint16]*controllerAssociation // by controller ID
+	queues           map[*controllerQueue]bool
 	lastControllerID uint16
 	listener         net.Listener
 }
@@ -79,8 +81,8 @@
 		options:      opt,
 		dispatcher:   d,
 		namespaces:   map[uint32]*Namespace{},
-		associations: map[uint16]*association{},
-		queues:       map[*queue]bool{},
+		associations: map[uint16]*controllerAssociation{},
+		queues:       map[*controllerQueue]bool{},
 	}
 	var longest time.Duration
 	for _, deadline := range opt.ClassDeadlines {
@@ -102,7 +104,8 @@
 	return highest
 }
 
-// Serve accepts connections on l until l is closed or Shutdown ends it.
+// Serve accepts connections on l until l is closed, by Shutdown or another, and then returns nil. Any other error of Accept is
+// retried for as long as it lasts: running out of file descriptors passes when connections end.
 func (s *Server) Serve(l net.Listener) error {
 	s.mu.Lock()
 	s.listener = l
@@ -127,8 +130,9 @@
 	}
 }
 
-// admit adds a connection, and evicts another if there are too many. It returns false if none can be evicted.
-func (s *Server) admit(q *queue) bool {
+// admit adds a connection, and evicts another if there are MaxConns. It returns false if none can be evicted. An evicted
+// connection is no longer counted, but stays open until its writer has sent its outbox.
+func (s *Server) admit(q *controllerQueue) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.queues) >= s.options.MaxConns && !s.evictUnconnected() {
@@ -140,9 +144,10 @@
 
 // evictUnconnected ends the connection that has been longest without a Connect, and returns false if there is none. Without
 // it, silent connections up to the limit would shut out all hosts: each is refused until the handshake timeout ends one of
-// them. A connection that has joined an association is never evicted, so that no command is lost. The caller holds mu.
+// them. A connection whose Connect has completed is never evicted, so that no command is lost: a host sends none before that.
+// One whose Connect is being handled may still be evicted. The caller holds mu.
 func (s *Server) evictUnconnected() bool {
-	var oldest *queue
+	var oldest *controllerQueue
 	for q := range s.queues {
 		if !q.connected.Load() && (oldest == nil || q.acceptedAt.Before(oldest.acceptedAt)) {
 			oldest = q
@@ -167,7 +172,7 @@
 	dispatcher.WaitUntil(ctx, start.Add(s.schedule.ServeConnsFor))
 	s.rejecting.Store(true)
 	for s.openCommands.Load() > 0 && ctx.Err() == nil {
-		time.Sleep(drainPollInterval)
+		time.Sleep(shutdownPollInterval)
 	}
 	err := ctx.Err()
 	for _, q := range s.allQueues() {
@@ -187,21 +192,21 @@
 	}
 }
 
-func (s *Server) allQueues() []*queue {
+func (s *Server) allQueues() []*controllerQueue {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	queues := make([]*queue, 0, len(s.queues))
+	queues := make([]*controllerQueue, 0, len(s.queues))
 	for q := range s.queues {
 		queues = append(queues, q)
 	}
 	return queues
 }
 
-func (s *Server) logEnd(q *queue, reason string) {
+func (s *Server) logEnd(q *controllerQueue, reason string) {
 	s.options.Logger.Info("connection ended",
 		slog.String("side", "host"),
 		slog.String("peer", q.conn.RemoteAddr().String()),
 		slog.String("reason", reason),
-		slog.Int("requests", q.commandCount),
+		slog.Int("commands", q.commandCount),
 		slog.Int("queue", int(q.id)))
 }
--- a/internal/nvme/hostqueue.go
+++ b/internal/nvme/targetqueue.go
@@ -14,29 +14,32 @@
 	"dapplegate/scheduler"
 )
 
-// ioQueue is an I/O queue at a target. It carries one command at a time.
-type ioQueue struct {
+// targetQueue is the host side of an I/O queue at a target. It carries one command at a time.
+type targetQueue struct {
 	*hostConn
-	association      *hostAssociation
+	association      *targetAssociation
 	id               uint16
 	maxInCapsuleData int
 	freeOnce         sync.Once
 }
 
 // Close implements upstream.Conn. It ends the queue and frees its ID.
-func (q *ioQueue) Close() error {
+func (q *targetQueue) Close() error {
 	err := q.hostConn.Close()
 	q.freeOnce.Do(func() { q.association.freeQueue(q.id) })
 	return err
 }
 
 // IsIdle implements upstream.Conn.
-func (q *ioQueue) IsIdle() bool { return q.in.Buffered() == 0 && socket.IsQuiet(q.Conn) }
+func (q *targetQueue) IsIdle() bool { return q.in.Buffered() == 0 && socket.IsQuiet(q.Conn) }
 
 // RoundTrip implements upstream.Conn for one read or write, an *IORequest. A write's data is in the capsule where it fits,
-// else it is sent when the controller asks for it. A write cannot have been executed before the last byte of its data was
-// sent: until then an error is ConnectFailed, which permits another attempt.
-func (q *ioQueue) RoundTrip(attempt dispatcher.Attempt, mayStart func() bool) upstream.RoundTripResult {
+// else it is sent when the controller asks for it.
+//
+// An error before the last byte of the capsule and of a write's data was sent is ConnectFailed, which permits another attempt,
+// also if half of the data was sent. That relies on targets that execute a write only once they have all of its data, as the
+// controller side of this package does. The specification alone does not promise it.
+func (q *targetQueue) RoundTrip(attempt dispatcher.Attempt, mayStart func() bool) upstream.RoundTripResult {
 	e := newExchange(q, attempt.Payload.(*IORequest))
 	capsule := e.capsule()
 	q.setDeadline(attempt.Deadline)
@@ -64,7 +67,7 @@
 
 // exchange is one command on an I/O queue, from its capsule to its completion.
 type exchange struct {
-	queue     *ioQueue
+	queue     *targetQueue
 	entry     *command
 	request   *IORequest
 	inCapsule bool   // the data to write is in the capsule
@@ -72,7 +75,7 @@
 	data      []byte // that was read
 }
 
-func newExchange(q *ioQueue, request *IORequest) *exchange {
+func newExchange(q *targetQueue, request *IORequest) *exchange {
 	op := opRead
 	if request.Write {
 		op = opWrite
@@ -91,10 +94,11 @@
 	if e.inCapsule {
 		inCapsule = e.request.Data
 	}
-	return appendPDU(nil, e.queue.framing, pduCommand, 0, e.entry[:], inCapsule)
+	return appendPDU(nil, e.queue.framing, pduCapsuleCmd, 0, e.entry[:], inCapsule)
 }
 
-// failure returns the attempt's status after an error. Once all data is sent, the target may have executed the command.
+// failure returns the attempt's status after an error. Once all data is sent, the target may have executed the command; before
+// that it has not, see RoundTrip.
 func (e *exchange) failure(err error) scheduler.AttemptStatus {
 	switch {
 	case !e.sent:
@@ -105,7 +109,8 @@
 	return scheduler.ConnectionReset
 }
 
-// run handles the controller's PDUs until the completion. It returns the status and the data that was read.
+// run handles the controller's PDUs until the completion, or the last C2HData if its SUCCESS flag stands for one. It returns
+// the status and the data that was read. For the loop of admin commands see hostConn.execute.
 func (e *exchange) run() (status, []byte, error) {
 	for {
 		p, err := e.queue.receive()
@@ -113,7 +118,7 @@
 			return 0, nil, err
 		}
 		switch p.kind {
-		case pduReadyToTransfer:
+		case pduR2T:
 			if err := e.sendData(p); err != nil {
 				return 0, nil, err
 			}
@@ -124,13 +129,13 @@
 			if p.isLast() && p.flags&flagSuccess != 0 {
 				return e.finish(statusSuccess)
 			}
-		case pduResponse:
+		case pduCapsuleResp:
 			result := parseCompletion(p)
 			if result.commandID != e.entry.id() {
 				return 0, nil, &controllerError{cause: "completion of another command"}
 			}
 			return e.finish(result.status)
-		case pduC2HTermination:
+		case pduC2HTermReq:
 			return 0, nil, io.ErrUnexpectedEOF
 		default:
 			return 0, nil, unexpectedPDU(p)
@@ -139,8 +144,8 @@
 }
 
 // sendData sends the part of the data that an R2T asks for.
-func (e *exchange) sendData(readyToTransfer *pdu) error {
-	header := parseTransfer(readyToTransfer)
+func (e *exchange) sendData(r2t *pdu) error {
+	header := parseTransfer(r2t)
 	if e.sent || header.commandID != e.entry.id() {
 		return &controllerError{cause: "R2T for no write that waits"}
 	}
@@ -151,7 +156,7 @@
 		return &controllerError{cause: "R2T out of range"}
 	}
 	part := e.request.Data[offset:end]
-	for pdu := range dataPDUs(e.queue.framing, pduH2CData, header.commandID, header.tag, int(offset), part, e.queue.maxH2CData) {
+	for pdu := range dataPDUs(e.queue.framing, pduH2CData, header.commandID, header.ttag, int(offset), part, e.queue.maxH2CData) {
 		if _, err := e.queue.Write(pdu); err != nil {
 			return err
 		}
@@ -174,7 +179,7 @@
 // finish returns the result of a completed command. A read that succeeded without all of its data is an error.
 func (e *exchange) finish(s status) (status, []byte, error) {
 	if s == statusSuccess && !e.request.Write && len(e.data) != e.request.Bytes {
-		return 0, nil, &controllerError{cause: "data is not whole"}
+		return 0, nil, &controllerError{cause: "data of a successful read is incomplete"}
 	}
 	return s, e.data, nil
 }
