--- a/cmd/initiator/initiator.go
+++ b/cmd/initiator/initiator.go
@@ -38,6 +38,12 @@
 // open requests may take their full time; after SIGTERM they must have their responses before SIGKILL.
 var errSuperseded = errors.New("a successor serves")
 
+// Reasons for a graceful shutdown, in the log.
+const (
+	reasonSIGTERM    = "SIGTERM" // or SIGINT
+	reasonSuperseded = "SUPERSEDED"
+)
+
 // server accepts clients' connections on a listener until Shutdown, which returns once all requests have their responses
 // or the context ends.
 type server interface {
@@ -200,7 +206,11 @@
 
 // shutdown ends the servers gracefully: what was accepted gets its responses first.
 func (in *initiator) shutdown(cause error) error {
-	in.log.Info("shutting down", slog.String("reason", "STOPPED"), slog.Int("open", in.dispatcher.OpenCalls()))
+	reason := reasonSIGTERM
+	if errors.Is(cause, errSuperseded) {
+		reason = reasonSuperseded
+	}
+	in.log.Info("shutting down", slog.String("reason", reason), slog.Int("open_calls", in.dispatcher.OpenCalls()))
 	maxDeadline := in.config.MaxDeadline()
 	if !errors.Is(cause, errSuperseded) {
 		schedule := dispatcher.NewShutdownSchedule(maxDeadline)
@@ -217,6 +227,6 @@
 	for range in.servers {
 		err = errors.Join(err, <-ended)
 	}
-	in.log.Info("shut down", slog.Int("open", in.dispatcher.OpenCalls()))
+	in.log.Info("shut down", slog.Int("open_calls", in.dispatcher.OpenCalls()))
 	return err
 }
--- a/cmd/initiator/serve.go
+++ b/cmd/initiator/serve.go
@@ -67,7 +67,7 @@
 // ignoreReloads logs signals to reload in a process that has no configuration file.
 func ignoreReloads(hangups <-chan os.Signal, log *slog.Logger) {
 	for range hangups {
-		log.Info("nothing to reload", slog.String("reason", "AGENTS_CONFIGURE"))
+		log.Info("nothing to reload", slog.String("reason", "NO_CONFIG_FILE"))
 	}
 }
 
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -169,8 +169,8 @@
 	t.options.Logger.LogAttrs(ctx, slog.LevelDebug, "attempt begins",
 		slog.String("request", a.ClientRequestID),
 		slog.Int("attempt", a.Number),
-		slog.String("peer", t.id),
-		slog.Int("requests", c.uses),
+		slog.String("target", t.id),
+		slog.Int("attempts", c.uses),
 		slog.Duration("idle", c.idleTime()))
 	result := c.RoundTrip(a.Attempt, func() bool { return t.mayStart(a, c) })
 	if !a.isCancelled() {
--- a/internal/upstream/closereason.go
+++ b/internal/upstream/closereason.go
@@ -25,7 +25,7 @@
 	ReasonConnectionClose  CloseReason = "CONNECTION_CLOSE" // the target announced it, or sent more than its response
 	ReasonClosed           CloseReason = "CLOSED"           // closed on this side while the attempt ended
 	ReasonClosedWhileIdle  CloseReason = "CLOSED_WHILE_IDLE"
-	ReasonIdleTimeout      CloseReason = "IDLE_TIMEOUT"
+	ReasonPoolIdleTimeout  CloseReason = "POOL_IDLE_TIMEOUT"
 	ReasonTargetDraining   CloseReason = "TARGET_DRAINING"
 	ReasonTargetRemoved    CloseReason = "TARGET_REMOVED"
 	ReasonAddressChanged   CloseReason = "ADDRESS_CHANGED"
@@ -47,8 +47,6 @@
 		return "RESET"
 	case errors.Is(err, net.ErrClosed):
 		return "CLOSED"
-	case errors.Is(err, errBodyTooLarge):
-		return "TOO_LARGE"
 	case errors.Is(err, errMemoryBudget):
 		return "MEMORY_BUDGET"
 	}
--- a/internal/upstream/connlog.go
+++ b/internal/upstream/connlog.go
@@ -13,8 +13,8 @@
 func (l connLog) closed(uses int, reason CloseReason, clientRequestID string) {
 	l.logger.Info("connection ended",
 		slog.String("side", "target"),
-		slog.String("peer", l.targetID),
+		slog.String("target", l.targetID),
 		slog.String("reason", string(reason)),
-		slog.Int("requests", uses),
+		slog.Int("attempts", uses),
 		slog.String("request", clientRequestID))
 }
--- a/internal/upstream/connpool.go
+++ b/internal/upstream/connpool.go
@@ -120,7 +120,7 @@
 	isTooOld := func(c *pooledConn) bool { return now.Sub(c.returnedAt) >= p.options.IdleTimeout }
 	p.closeIdle(ReasonTargetDraining, func(*pooledConn) bool { return !serving })
 	p.closeIdle(ReasonAddressChanged, func(c *pooledConn) bool { return c.address != address })
-	p.closeIdle(ReasonIdleTimeout, isTooOld)
+	p.closeIdle(ReasonPoolIdleTimeout, isTooOld)
 }
 
 // closeAll closes all idle connections.
--- a/internal/upstream/httpresponse.go
+++ b/internal/upstream/httpresponse.go
@@ -182,7 +182,7 @@
 		return NoResponse(scheduler.ConnectionReset, ReasonResponseStalled)
 	case timedOut:
 		return NoResponse(scheduler.DeadlineExceeded, ReadFailed(err))
-	case r.limit.N <= 0:
+	case errors.Is(err, errBodyTooLarge), r.limit.N <= 0:
 		return NoResponse(scheduler.ConnectionReset, ReasonResponseTooLarge)
 	}
 	return NoResponse(scheduler.ConnectionReset, ReadFailed(err))
--- a/internal/upstream/target.go
+++ b/internal/upstream/target.go
@@ -63,7 +63,7 @@
 	}
 	if before := scheduler.TargetState(t.state.Swap(int32(state))); before != state {
 		t.options.Logger.LogAttrs(context.Background(), slog.LevelDebug, "target changed",
-			slog.String("peer", t.id), slog.String("from", before.String()), slog.String("to", state.String()))
+			slog.String("target", t.id), slog.String("from", before.String()), slog.String("to", state.String()))
 	}
 	t.mailbox.Put(endpointChanged{})
 }
