--- a/cmd/initiator/initiator.go
+++ b/cmd/initiator/initiator.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"fmt"
 	"log/slog"
 	"net"
 	"runtime"
@@ -95,7 +94,7 @@
 func newInitiator(cfg *config.Config, operator *config.Operator, log *slog.Logger) (*initiator, error) {
 	decisions, err := scheduler.New(cfg.Scheduler, cfg.Seed)
 	if err != nil {
-		return nil, fmt.Errorf("settings: %w", err)
+		return nil, config.Under("settings", err)
 	}
 	in := &initiator{config: cfg, log: log, clock: dispatcher.NewClock()}
 	in.registry = upstream.NewRegistry(upstream.Options{
--- a/cmd/simadapter/host.go
+++ b/cmd/simadapter/host.go
@@ -6,6 +6,7 @@
 	"strconv"
 	"time"
 
+	"dapplegate/internal/config"
 	"dapplegate/scheduler"
 )
 
@@ -130,11 +131,11 @@
 	}
 	settings, err := event.Options.SchedulerSettings()
 	if err != nil {
-		return err
+		return config.Under("options", err)
 	}
 	s, err := scheduler.New(settings, seed)
 	if err != nil {
-		return fmt.Errorf("options: %w", err)
+		return config.Under("options", err)
 	}
 	h.schedulers[in.initiatorID] = s
 	in.events = nil
--- a/internal/config/agent.go
+++ b/internal/config/agent.go
@@ -46,7 +46,7 @@
 		}
 		ids[peer.ID] = true
 		if err := peer.validateAddresses(); err != nil {
-			return under(fmt.Sprintf("peer[%d]", i), err)
+			return Under(fmt.Sprintf("peer[%d]", i), err)
 		}
 	}
 	if !ids[a.ID] {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -128,7 +128,7 @@
 		}
 	}
 	if err := f.Limits.validate(); err != nil {
-		return under("limits", err)
+		return Under("limits", err)
 	}
 	f.Limits.applyDefaults()
 	if f.Settings == nil {
@@ -145,10 +145,10 @@
 	}
 	settings, err := f.Settings.SchedulerSettings()
 	if err != nil {
-		return nil, &FieldError{Field: "settings", Err: err}
+		return nil, Under("settings", err)
 	}
 	if _, err := scheduler.New(settings, seed); err != nil {
-		return nil, &FieldError{Field: "settings", Err: err}
+		return nil, Under("settings", err)
 	}
 	limits := f.Settings.Limits
 	return &Config{
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -108,7 +108,8 @@
 		{"127.0.0.1:8500", "127.0.0.1:99999", "discovery", false},
 		{`"sockets":1024`, `"sockets":3`, "limits.sockets", false},
 		{`"settings":`, `"other":`, "settings", true},
-		{`"peersTotal":3,`, "", "settings", true},
+		{`"peersTotal":3,`, "", "settings.peersTotal", true},
+		{`"effect":"pure"`, `"effect":"odd"`, "settings.classes[0].effect", false},
 	} {
 		_, err := Parse([]byte(strings.Replace(validConfig, c.old, c.new, 1)), emptyEnvironment)
 		var field *FieldError
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -29,7 +29,12 @@
 // Missing returns the error of a required field that is absent.
 func Missing(field string) *FieldError { return &FieldError{Field: field, Err: ErrMissing} }
 
-// under returns err with its field's path below parent.
-func under(parent string, err *FieldError) *FieldError {
-	return &FieldError{Field: parent + "." + err.Field, Err: err.Err}
+// Under returns an error of the object that the field parent holds. The path of a FieldError is extended by parent; any other
+// error becomes that of parent itself.
+func Under(parent string, err error) *FieldError {
+	var field *FieldError
+	if errors.As(err, &field) {
+		return &FieldError{Field: parent + "." + field.Field, Err: field.Err}
+	}
+	return &FieldError{Field: parent, Err: err}
 }
--- a/internal/config/nvme.go
+++ b/internal/config/nvme.go
@@ -138,7 +138,7 @@
 		namespace := &n.Namespaces[i]
 		path := fmt.Sprintf("namespace[%d]", i)
 		if err := namespace.validate(classes, plans); err != nil {
-			return under(path, err)
+			return Under(path, err)
 		}
 		if ids[namespace.ID] {
 			return fieldError(path+".id", "%d is there twice", namespace.ID)
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -24,7 +24,7 @@
 	}
 	operator.NVMe.applyDefaults()
 	if err := operator.NVMe.validate(platform); err != nil {
-		return operator, operatorError(under("nvme", err))
+		return operator, operatorError(Under("nvme", err))
 	}
 	return operator, nil
 }
@@ -53,7 +53,7 @@
 	}
 	if operator.Agent != nil {
 		if err := operator.Agent.validate(); err != nil {
-			return nil, operatorError(under("agent", err))
+			return nil, operatorError(Under("agent", err))
 		}
 	}
 	return &operator, nil
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -77,10 +77,10 @@
 func Microseconds(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
 
 // SchedulerSettings returns the settings in the scheduler's terms. Its error is a *FieldError of the field that is missing or
-// has an unknown value; what the values must satisfy, scheduler.New checks.
+// has an unknown value, with a path that starts at the settings object; what the values must satisfy, scheduler.New checks.
 func (w *WireSettings) SchedulerSettings() (scheduler.Settings, error) {
 	if w.PeersTotal == nil {
-		return scheduler.Settings{}, Missing("options.peersTotal")
+		return scheduler.Settings{}, Missing("peersTotal")
 	}
 	settings := scheduler.Settings{
 		Initiators:        *w.PeersTotal,
@@ -99,7 +99,7 @@
 	for i, wire := range w.Classes {
 		class, err := wire.class()
 		if err != nil {
-			return settings, under(fmt.Sprintf("options.classes[%d]", i), err)
+			return settings, Under(fmt.Sprintf("classes[%d]", i), err)
 		}
 		settings.Classes = append(settings.Classes, class)
 	}
