--- a/cmd/initiator/endpoints.go
+++ b/cmd/initiator/endpoints.go
@@ -21,18 +21,17 @@
 func upstreamEndpoints(list *endpoints.List) []upstream.Endpoint {
 	converted := make([]upstream.Endpoint, 0, len(list.Entries))
 	for _, entry := range list.Entries {
-		converted = append(converted, upstream.Endpoint{ID: entry.ID, Addr: entry.Addr, State: entry.Target().State})
+		converted = append(converted, upstream.Endpoint{ID: entry.ID, Addr: entry.Addr, State: entry.TargetState()})
 	}
 	return converted
 }
 
-// schedulerEndpoints is the list as the scheduler needs it, with starts of targets on the scheduler's clock.
+// schedulerEndpoints is the list as the scheduler needs it: the list has the starts of targets on the wall clock, startTimes
+// has them on the scheduler's.
 func schedulerEndpoints(list *endpoints.List, startTimes *discovery.StartTimes) scheduler.EndpointList {
 	converted := scheduler.EndpointList{Complete: list.Complete}
 	for _, entry := range list.Entries {
-		target := entry.Target()
-		target.Started = startTimes.At(entry)
-		converted.Targets = append(converted.Targets, target)
+		converted.Targets = append(converted.Targets, entry.Target(startTimes.At(entry)))
 	}
 	return converted
 }
--- a/internal/endpoints/endpoints.go
+++ b/internal/endpoints/endpoints.go
@@ -30,7 +30,7 @@
 	StartedMs int64  `json:"started_ms"` // last start, Unix time in milliseconds; 0: long ago
 }
 
-// stateRemoved is the state of a target that is not listed any more. Only changes have it.
+// stateRemoved is the state of a target that is not listed any more; only lists of changes have it.
 const stateRemoved = "DELETED"
 
 var states = map[string]scheduler.TargetState{
@@ -107,13 +107,17 @@
 // IsRemoved reports whether the entry takes the target off the list.
 func (e *Entry) IsRemoved() bool { return e.State == stateRemoved }
 
-// Target returns the entry as the scheduler knows it. Started is in wall-clock time since the Unix epoch.
-func (e *Entry) Target() scheduler.Target {
+// TargetState returns the state in the scheduler's terms.
+func (e *Entry) TargetState() scheduler.TargetState { return states[e.State] }
+
+// Target returns the entry in the scheduler's terms. The caller converts StartedMs to started, which is on the scheduler's
+// clock.
+func (e *Entry) Target(started time.Duration) scheduler.Target {
 	target := scheduler.Target{
 		ID:      e.ID,
 		Zone:    e.Zone,
-		State:   states[e.State],
-		Started: time.Duration(e.StartedMs) * time.Millisecond,
+		State:   e.TargetState(),
+		Started: started,
 	}
 	if e.Shard != nil {
 		target.Shard = *e.Shard
--- a/internal/endpoints/endpoints_test.go
+++ b/internal/endpoints/endpoints_test.go
@@ -44,11 +44,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := scheduler.Target{ID: "a", Zone: "z", Shard: 3, Started: 7 * time.Millisecond}
-	if got := list.Entries[0].Target(); got != want {
+	const started = 5 * time.Second // on the scheduler's clock
+	want := scheduler.Target{ID: "a", Zone: "z", Shard: 3, Started: started}
+	if got := list.Entries[0].Target(started); got != want {
 		t.Errorf("entry %+v, want %+v", got, want)
 	}
-	if got := list.Entries[1].Target(); got.State != scheduler.Removed {
+	if got := list.Entries[0].StartedMs; got != 7 {
+		t.Errorf("started_ms is read as %d, want 7", got)
+	}
+	if got := list.Entries[1].Target(0); got.State != scheduler.Removed {
 		t.Errorf("removed entry %+v", got)
 	}
 }
