--- a/cmd/simadapter/host.go
+++ b/cmd/simadapter/adapter.go
@@ -10,12 +10,12 @@
 	"dapplegate/scheduler"
 )
 
-// host runs the initiators of one process. They share nothing but the input and output.
-type host struct {
+// adapter runs the initiators of one process. They share nothing but the input and output.
+type adapter struct {
 	schedulers map[string]*scheduler.Scheduler // by initiator
 }
 
-func newHost() *host { return &host{schedulers: map[string]*scheduler.Scheduler{}} }
+func newAdapter() *adapter { return &adapter{schedulers: map[string]*scheduler.Scheduler{}} }
 
 // inbox holds the events of a batch for one initiator, since its last start.
 type inbox struct {
@@ -56,7 +56,7 @@
 func (e *eventError) Unwrap() error { return e.err }
 
 // handle decodes one batch, steps the initiators that it names, and returns the encoded reply.
-func (h *host) handle(line []byte) ([]byte, error) {
+func (a *adapter) handle(line []byte) ([]byte, error) {
 	var batch wireBatch
 	if err := json.Unmarshal(line, &batch); err != nil {
 		return nil, fmt.Errorf("decoding batch: %w", err)
@@ -71,19 +71,19 @@
 	}
 	received := inboxes{byInitiator: map[string]*inbox{}}
 	for i, raw := range batch.Inbox {
-		if eventType, err := h.receive(&received, raw); err != nil {
+		if eventType, err := a.receive(&received, raw); err != nil {
 			return nil, &eventError{index: i, eventType: eventType, err: err}
 		}
 	}
 	reply := wireReply{Frame: *batch.Frame, Outbox: []wireAction{}}
 	for _, in := range received.inOrder {
-		reply.Outbox = append(reply.Outbox, h.step(in, microseconds(*batch.WallUs))...)
+		reply.Outbox = append(reply.Outbox, a.step(in, config.Microseconds(*batch.WallUs))...)
 	}
 	return json.Marshal(reply)
 }
 
 // receive decodes one event into the inbox of its initiator, and returns its type as far as it is known.
-func (h *host) receive(received *inboxes, raw json.RawMessage) (eventType string, err error) {
+func (a *adapter) receive(received *inboxes, raw json.RawMessage) (eventType string, err error) {
 	var event wireEvent
 	if err := json.Unmarshal(raw, &event); err != nil {
 		return "", err
@@ -94,20 +94,20 @@
 	if err := require(field("initiatorId", event.InitiatorID)); err != nil {
 		return *event.Type, err
 	}
-	return *event.Type, h.accept(received.of(*event.InitiatorID), &event)
+	return *event.Type, a.accept(received.of(*event.InitiatorID), &event)
 }
 
 // accept adds one event to its initiator's inbox. A start or a shutdown drops what came before.
-func (h *host) accept(in *inbox, event *wireEvent) error {
+func (a *adapter) accept(in *inbox, event *wireEvent) error {
 	switch *event.Type {
 	case "start":
-		return h.start(in, event)
+		return a.start(in, event)
 	case "shutdown":
-		delete(h.schedulers, in.initiatorID)
+		delete(a.schedulers, in.initiatorID)
 		in.events = nil
 		return nil
 	}
-	if h.schedulers[in.initiatorID] == nil {
+	if a.schedulers[in.initiatorID] == nil {
 		return fmt.Errorf("instance %q has no start", in.initiatorID)
 	}
 	decoded, err := decodeEvent(event)
@@ -121,7 +121,7 @@
 }
 
 // start replaces the initiator's scheduler.
-func (h *host) start(in *inbox, event *wireEvent) error {
+func (a *adapter) start(in *inbox, event *wireEvent) error {
 	if err := require(field("initSeed", event.InitSeed), field("options", event.Options)); err != nil {
 		return err
 	}
@@ -137,7 +137,7 @@
 	if err != nil {
 		return config.Under("options", err)
 	}
-	h.schedulers[in.initiatorID] = s
+	a.schedulers[in.initiatorID] = s
 	in.events = nil
 	return nil
 }
@@ -154,10 +154,10 @@
 	return uint64(seed), nil
 }
 
-// step lets one initiator decide. A panic in the scheduler becomes an internalError in place of its
+// step lets one initiator decide at a time of the simulator's clock. A panic in the scheduler becomes an internalError in place of its
 // actions, so that the other initiators of the process go on.
-func (h *host) step(in *inbox, now time.Duration) (actions []wireAction) {
-	s := h.schedulers[in.initiatorID]
+func (a *adapter) step(in *inbox, now time.Duration) (actions []wireAction) {
+	s := a.schedulers[in.initiatorID]
 	if s == nil {
 		return nil
 	}
--- a/cmd/simadapter/decode.go
+++ b/cmd/simadapter/decode.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 
+	"dapplegate/internal/config"
 	"dapplegate/scheduler"
 )
 
@@ -53,7 +54,7 @@
 		Volume:  *event.Vol,
 		Shard:   *event.GroupNo,
 		Units:   *event.Weight,
-		Timeout: microseconds(*event.BudgetUs),
+		Timeout: config.Microseconds(*event.BudgetUs),
 	}
 	if event.Chunk != nil {
 		request.Extent = *event.Chunk
@@ -85,7 +86,7 @@
 		Attempt:    *event.Leg,
 		Target:     *event.Target,
 		Status:     status,
-		Latency:    microseconds(*event.SpentUs),
+		Latency:    config.Microseconds(*event.SpentUs),
 		Answered:   *event.Complete,
 		LoadReport: decodeLoadReport(event.ServerStats),
 	}
@@ -95,12 +96,15 @@
 	return ended, nil
 }
 
-// decodeLoadReport returns nil where there is no report; an absent figure of a report is -1.
+// notReported is the scheduler's value of a figure that a load report lacks.
+const notReported = -1
+
+// decodeLoadReport returns nil where there is no report.
 func decodeLoadReport(wire *wireLoadReport) *scheduler.LoadReport {
 	if wire == nil {
 		return nil
 	}
-	report := &scheduler.LoadReport{QueueDepth: -1, InFlight: -1}
+	report := &scheduler.LoadReport{QueueDepth: notReported, InFlight: notReported}
 	if wire.Depth != nil {
 		report.QueueDepth = *wire.Depth
 	}
@@ -176,7 +180,7 @@
 		State: state,
 	}
 	if record.LaunchedUs != nil {
-		target.Started = microseconds(*record.LaunchedUs)
+		target.Started = config.Microseconds(*record.LaunchedUs)
 	}
 	return target, nil
 }
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -28,14 +28,14 @@
 func run(in io.Reader, out io.Writer) error {
 	reader := bufio.NewReaderSize(in, inputBufferSize)
 	writer := bufio.NewWriterSize(out, outputBufferSize)
-	h := newHost()
+	a := newAdapter()
 	for number := 1; ; number++ {
 		line, readErr := reader.ReadBytes('\n')
 		if readErr != nil && !errors.Is(readErr, io.EOF) {
 			return fmt.Errorf("reading batch %d: %w", number, readErr)
 		}
 		if line = bytes.TrimSpace(line); len(line) > 0 {
-			reply, err := h.handle(line)
+			reply, err := a.handle(line)
 			if err != nil {
 				return fmt.Errorf("batch %d: %w", number, err)
 			}
--- a/cmd/simadapter/samples_test.go
+++ b/cmd/simadapter/samples_test.go
@@ -98,7 +98,7 @@
 			t.Errorf("%s, %v, want %s", got, err, c.want)
 		}
 	}
-	reply, err := newHost().handle([]byte(`{"wallUs":8412250,"frame":1,"inbox":[]}`))
+	reply, err := newAdapter().handle([]byte(`{"wallUs":8412250,"frame":1,"inbox":[]}`))
 	if want := `{"frame":1,"outbox":[]}`; err != nil || string(reply) != want {
 		t.Errorf("empty batch: %s, %v, want %s", reply, err, want)
 	}
--- a/cmd/simadapter/wire.go
+++ b/cmd/simadapter/wire.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"time"
 
 	"dapplegate/internal/config"
 )
@@ -96,5 +95,3 @@
 	}
 	return nil
 }
-
-func microseconds(n int64) time.Duration { return config.Microseconds(n) }
