--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -10,17 +10,19 @@
 	"dapplegate/scheduler"
 )
 
-// maxDialFactor is how many times Options.DialTimeout a dial may take, if it outlasts its attempt.
-const maxDialFactor = 8
+// backgroundDialFactor is how many times Options.DialTimeout a dial may take in all where it goes on in the background.
+const backgroundDialFactor = 8
 
 // inFlightAttempt is an attempt between its start and its result.
 type inFlightAttempt struct {
 	dispatcher.Attempt
-	stop     context.CancelFunc
-	leftDial bool // its dial goes on in the background; set by the attempt, read once it has ended
+	stop context.CancelFunc
+	// leftBackgroundDial says that this attempt's dial goes on in the background. The attempt sets it, the actor reads it once
+	// the attempt has ended.
+	leftBackgroundDial bool
 
 	mu        sync.Mutex
-	conn      Conn // nil until it has one
+	conn      Conn // nil until the attempt has one
 	cancelled bool
 }
 
@@ -31,7 +33,7 @@
 	a.cancelled = true
 	a.stop()
 	if a.conn != nil {
-		_ = a.conn.Close() // the attempt sees to the rest
+		_ = a.conn.Close() // the attempt's read or write fails, and it ends by itself
 	}
 }
 
@@ -49,13 +51,12 @@
 	return a.cancelled
 }
 
-// clientGone asks the client's connection. The dispatcher cancels the attempt too when the client goes, but
-// that may be on its way still.
+// clientGone reports whether the client has closed its connection. The dispatcher cancels the attempt for that too, but its
+// message may not have been handled yet.
 func (a *inFlightAttempt) clientGone() bool { return a.ClientGone != nil && a.ClientGone() }
 
-// runAttempt carries an attempt through connect and exchange and reports its result. A connection that cannot
-// be used again is closed before that: when the scheduler hears of the result, nothing of the attempt is in
-// flight any more.
+// runAttempt connects, carries out the exchange and reports the result. A connection that cannot be used again is closed
+// first: once the scheduler has the result, nothing of the attempt is in flight.
 func (t *target) runAttempt(ctx context.Context, a *inFlightAttempt, idle *pooledConn) {
 	result := NoResponse(scheduler.ConnectFailed, ReasonConnectFailed)
 	uses := 0
@@ -72,13 +73,12 @@
 		t.log.closed(uses, result.CloseReason, a.ClientRequestID)
 	}
 	if result.Status == scheduler.ConnectFailed && a.isCancelled() {
-		result.Status = scheduler.NotSent // the client left; that says nothing about the target
+		result.Status = scheduler.NotSent // the client closed its connection; that says nothing about the target
 	}
 	result.RequestID = a.RequestID
 	result.Number = a.Number
 	result.Target = t.id
-	// The pool hears first, so that an attempt which the scheduler starts on this result finds the connection
-	// there.
+	// The pool gets the connection first, so that an attempt which the scheduler starts on this result finds it there.
 	t.mailbox.Put(attemptEnded{attempt: a, conn: conn})
 	t.report(result.AttemptResult)
 }
@@ -92,14 +92,15 @@
 	return t.dial(ctx, a)
 }
 
-// awaitQuarantine waits until the connection is out of quarantine, or the attempt ends. It returns false, and
-// closes the connection, if the target has closed it meanwhile or has sent something.
+// awaitQuarantine waits until the connection is out of quarantine, or the attempt ends. It returns whether the connection can
+// be used: false, with the connection closed, if the target has closed it meanwhile or has sent something. It is true also
+// if the attempt ends first: the connection is sound, and exchange ends the attempt.
 func (t *target) awaitQuarantine(ctx context.Context, c *pooledConn) bool {
-	left := c.quarantineLeft()
-	if left <= 0 {
+	remaining := c.quarantineLeft()
+	if remaining <= 0 {
 		return true
 	}
-	timer := time.NewTimer(left)
+	timer := time.NewTimer(remaining)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -114,11 +115,11 @@
 	return false
 }
 
-// dial opens a connection for the attempt; nil if it fails or takes longer than Options.DialTimeout. A dial
-// that takes longer goes on in the background, one at a time, and the next attempt finds its connection in
-// the pool: another dial might take as long.
+// dial opens a connection for the attempt; nil if it fails, or takes longer than Options.DialTimeout or the attempt. Such a
+// dial goes on in the background, one at a time for each target, and a later attempt finds its connection in the pool:
+// another dial might take as long.
 func (t *target) dial(ctx context.Context, a *inFlightAttempt) *pooledConn {
-	dialCtx, stopDial := context.WithTimeout(context.Background(), maxDialFactor*t.options.DialTimeout)
+	dialCtx, stopDial := context.WithTimeout(context.Background(), backgroundDialFactor*t.options.DialTimeout)
 	dialed := t.startDial(dialCtx)
 	timer := time.NewTimer(t.options.DialTimeout)
 	defer timer.Stop()
@@ -129,8 +130,8 @@
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	a.leftDial = t.dialsInBackground.CompareAndSwap(false, true)
-	if !a.leftDial {
+	a.leftBackgroundDial = t.backgroundDialActive.CompareAndSwap(false, true)
+	if !a.leftBackgroundDial {
 		stopDial()
 		if c := <-dialed; c != nil {
 			c.abandon()
@@ -159,8 +160,8 @@
 	return dialed
 }
 
-// exchange carries the attempt on a connection, unless the attempt was cancelled or its client went before
-// the first byte: the connection stays usable then.
+// exchange carries the attempt on a connection. If the attempt was cancelled or its client closed before that, nothing is
+// sent, and the connection stays usable.
 func (t *target) exchange(ctx context.Context, a *inFlightAttempt, c *pooledConn) RoundTripResult {
 	if !a.attach(c.Conn) || a.clientGone() {
 		return NoResponse(scheduler.NotSent, ReasonNone)
@@ -195,8 +196,9 @@
 	return result
 }
 
-// mayStart is the last check before the first byte of an attempt. Whatever has arrived on the connection by
-// then is not its response.
+// mayStart is the last check before the first byte of an attempt. The attempt ends as NotSent for one of four causes: the
+// connection was closed or has bytes to read, which cannot be the response; the target is not serving any more; StartBy has
+// passed; the client has closed.
 func (t *target) mayStart(a *inFlightAttempt, c *pooledConn) bool {
 	if !c.IsIdle() || !t.isServing() {
 		return false
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -15,10 +15,13 @@
 
 // Conn is a connection to a target. It carries one attempt at a time.
 type Conn interface {
-	// RoundTrip carries an attempt to its end. It asks mayStart right before the first byte that could start
-	// anything at the target, and sends nothing if the answer is no: the target's state, the client and the
-	// clock may have changed while the connection was being made. Close, from another goroutine, ends it
-	// early.
+	// RoundTrip carries an attempt to its end. It calls mayStart right before the first byte that could start anything at the
+	// target, and sends nothing if that returns false: the target's state, the client and the clock may have changed while the
+	// connection was being made. Close, from another goroutine, ends it early.
+	//
+	// ConnectFailed is the status of an attempt that was not sent completely, and so cannot have executed: besides a failed
+	// dial and a full pool this is a write that failed or timed out. ConnectionReset is that of an attempt which was sent
+	// completely and got no usable response before its deadline.
 	RoundTrip(attempt dispatcher.Attempt, mayStart func() bool) RoundTripResult
 	// IsIdle reports whether an unused connection is still open and nothing has arrived on it.
 	IsIdle() bool
--- a/internal/upstream/connlog.go
+++ b/internal/upstream/connlog.go
@@ -8,8 +8,8 @@
 	targetID string
 }
 
-// closed logs why a connection ended, after how many attempts, and the client's ID of the request that was on
-// it; empty if none was.
+// closed logs why a connection ended, after how many attempts, and the client's ID of the request that it carried; empty if
+// it was idle.
 func (l connLog) closed(uses int, reason CloseReason, clientRequestID string) {
 	l.logger.Info("connection ended",
 		slog.String("side", "target"),
--- a/internal/upstream/connpool.go
+++ b/internal/upstream/connpool.go
@@ -17,10 +17,10 @@
 	maxConnsForQuarantine = 4
 )
 
-// pooledConn is a connection with what its pool has to know of it.
+// pooledConn is a connection with the state that its pool keeps.
 type pooledConn struct {
 	Conn
-	address    string // dialed
+	address    string // the one that was dialed
 	uses       int    // attempts carried
 	returnedAt time.Time
 }
@@ -41,7 +41,7 @@
 	return time.Since(c.returnedAt)
 }
 
-// abandon closes the connection. An error of Close is of no use: nothing more is expected of the connection.
+// abandon closes the connection. An error of Close is ignored, since the connection is not used again.
 func (c *pooledConn) abandon() { _ = c.Close() }
 
 // connPool keeps the connections to one target and counts them. It belongs to the target's actor: it is not
@@ -59,20 +59,20 @@
 // one whose quarantine ends first, for the attempt to wait for, and a new one. It returns false if there is
 // no connection, nor capacity for a new one.
 func (p *connPool) acquire() (*pooledConn, bool) {
-	if c := p.takeReady(); c != nil {
+	if c := p.takeOutOfQuarantine(); c != nil {
 		return c, true
 	}
 	if p.open < maxConnsForQuarantine && p.reserve() {
 		return nil, true
 	}
-	if c := p.takeLongestIdle(); c != nil {
+	if c := p.takeNextOutOfQuarantine(); c != nil {
 		return c, true
 	}
 	return nil, p.reserve()
 }
 
-// takeReady takes the connection used last of those out of quarantine; nil if there is none.
-func (p *connPool) takeReady() *pooledConn {
+// takeOutOfQuarantine takes the connection used last of those out of quarantine; nil if there is none.
+func (p *connPool) takeOutOfQuarantine() *pooledConn {
 	for i := len(p.idle) - 1; i >= 0; i-- {
 		if p.idle[i].quarantineLeft() > 0 {
 			continue
@@ -84,8 +84,9 @@
 	return nil
 }
 
-// takeLongestIdle takes the connection idle for longest, which may be in quarantine; nil if none is idle.
-func (p *connPool) takeLongestIdle() *pooledConn {
+// takeNextOutOfQuarantine takes the connection whose quarantine ends first, which is the one returned first; nil if none is
+// idle. The caller waits for the end of its quarantine.
+func (p *connPool) takeNextOutOfQuarantine() *pooledConn {
 	for len(p.idle) > 0 {
 		if c := p.takeAt(0); c != nil {
 			return c
@@ -95,8 +96,7 @@
 }
 
 // takeAt takes an idle connection. It returns nil, and closes the connection, if the target has closed it or
-// has sent something that nobody asked for: no byte of an attempt has been near it, so another connection can
-// carry the attempt.
+// has sent something unrequested. Nothing of the attempt was sent on it, so another connection can carry the attempt.
 func (p *connPool) takeAt(i int) *pooledConn {
 	c := p.idle[i]
 	p.idle = slices.Delete(p.idle, i, i+1)
@@ -113,8 +113,8 @@
 	p.idle = append(p.idle, c)
 }
 
-// prune closes the idle connections that no attempt will use: those to a target that gets nothing new, to a
-// former address, and those idle for too long.
+// prune closes the idle connections that no attempt will use: those to a target that is not serving, to a former address,
+// and those idle for Options.IdleTimeout.
 func (p *connPool) prune(serving bool, address string) {
 	now := time.Now()
 	isTooOld := func(c *pooledConn) bool { return now.Sub(c.returnedAt) >= p.options.IdleTimeout }
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -160,7 +160,7 @@
 
 // awaitNoBackgroundDial waits until the actor knows how its background dial ended.
 func awaitNoBackgroundDial(actor *target) {
-	for actor.dialsInBackground.Load() {
+	for actor.backgroundDialActive.Load() {
 		time.Sleep(time.Millisecond)
 	}
 }
--- a/internal/upstream/http.go
+++ b/internal/upstream/http.go
@@ -16,10 +16,10 @@
 	budget *memoryBudget
 }
 
-// NewHTTPDialer returns a dialer whose connections together hold at most bodyBytes of response bodies while
-// they read them. The budget is at least that of two bodies of the largest size.
-func NewHTTPDialer(bodyBytes int64) HTTPDialer {
-	return HTTPDialer{newMemoryBudget(max(bodyBytes, 2*maxBodyBytes))}
+// NewHTTPDialer returns a dialer whose connections buffer at most maxBufferedBytes of response bodies that are being read at
+// one time, and at least two bodies of the largest size.
+func NewHTTPDialer(maxBufferedBytes int64) HTTPDialer {
+	return HTTPDialer{newMemoryBudget(max(maxBufferedBytes, 2*maxBodyBytes))}
 }
 
 // Dial implements Dialer.
@@ -42,7 +42,7 @@
 // cannot have started, after it the attempt may have executed. Write, head and body are all bounded by the
 // attempt's deadline.
 func (c *httpConn) RoundTrip(attempt dispatcher.Attempt, mayStart func() bool) RoundTripResult {
-	// This fails only on a closed connection, and so does the write then.
+	// SetDeadline fails only on a closed connection, on which the write fails too.
 	_ = c.SetDeadline(attempt.Deadline)
 	request := attempt.Payload.(*httpmsg.Request)
 	message := encodeRequest(request, c.host, time.Until(attempt.Deadline))
--- a/internal/upstream/httpresponse.go
+++ b/internal/upstream/httpresponse.go
@@ -21,13 +21,12 @@
 	maxHeadBytes = 16 << 10
 	// maxInformational is how many 1xx responses may precede the final one.
 	maxInformational = 8
-	// maxVolumeUsage bounds a usage report, in percent: one from there on is ignored.
+	// maxVolumeUsage bounds a usage report, in percent: a report of this much or more is ignored.
 	maxVolumeUsage = 1e6
 	// readBufferBytes is the size of the buffer that a response is read through.
 	readBufferBytes = 4096
-	// stallTimeout is how long a response that has begun may bring nothing. It is far above what a busy
-	// initiator is late by, and ends the wait for a response that stops midway long before the attempt's
-	// deadline.
+	// stallTimeout is the longest pause between two reads of a response that has begun. It ends the wait for a response that
+	// stops midway long before the attempt's deadline, and is far above the delays of a busy initiator.
 	stallTimeout = 250 * time.Millisecond
 )
 
@@ -57,8 +56,8 @@
 	}
 }
 
-// status is the outcome of the attempt. That the target never started counts only with the two status codes
-// that the protocol has it with: any other attempt may have executed.
+// status is the outcome of the attempt. The header Not-Started counts only with the two status codes that the protocol
+// defines it for: with any other, the attempt may have executed.
 func (r *response) status() scheduler.AttemptStatus {
 	switch r.statusCode {
 	case http.StatusOK:
@@ -74,7 +73,7 @@
 // responseReader reads one response, within the attempt's deadline and the bounds on size and memory.
 type responseReader struct {
 	stream *stallReader
-	limit  *io.LimitedReader // what the part being read may still take from the connection
+	limit  *io.LimitedReader // the bytes that may still be read from the connection for the head or the body
 	buffer *bufio.Reader
 	budget *memoryBudget
 }
@@ -90,7 +89,7 @@
 	}
 }
 
-// read reads the complete response to a request with the method. Its errors are for failure.
+// read reads the complete response to a request with the method. Pass its error to failure, which makes it a RoundTripResult.
 func (r *responseReader) read(method string) (*response, error) {
 	head, err := r.readFinalHead(method)
 	if err != nil {
@@ -174,7 +173,9 @@
 // hasExcess reports whether more has arrived than the response.
 func (r *responseReader) hasExcess() bool { return r.buffer.Buffered() > 0 }
 
-// failure is the outcome of an attempt whose response could not be read. It may have executed.
+// failure is the outcome of an attempt whose response could not be read; the attempt may have executed. DeadlineExceeded
+// stands for the attempt's deadline alone. ConnectionReset stands for all other causes: besides a connection that was reset or
+// ended early, a stalled, malformed or too large response and an exhausted memory budget. The CloseReason tells them apart.
 func (r *responseReader) failure(err error) RoundTripResult {
 	timedOut := errors.Is(err, os.ErrDeadlineExceeded)
 	switch {
--- a/internal/upstream/loadreport.go
+++ b/internal/upstream/loadreport.go
@@ -7,14 +7,14 @@
 	"dapplegate/scheduler"
 )
 
-// maxReportedRequests is more than a target ever holds: a report from there on is ignored.
+// maxReportedRequests is more than a target ever holds: a figure of this much or more is ignored.
 const maxReportedRequests = 1e5
 
-// notReported marks a quantity that a load report does not tell.
+// notReported is the scheduler's value of a figure that a load report lacks.
 const notReported = -1
 
 // parseLoadReport reads a load report such as "inflight=7,queue=2", in requests. Fields that it does not know
-// or cannot use are passed over; nil if none is left.
+// or cannot use are skipped; nil if none is left.
 func parseLoadReport(header string) *scheduler.LoadReport {
 	report := &scheduler.LoadReport{QueueDepth: notReported, InFlight: notReported}
 	for field := range strings.SplitSeq(header, ",") {
--- a/internal/upstream/memorybudget.go
+++ b/internal/upstream/memorybudget.go
@@ -2,7 +2,7 @@
 
 import "sync/atomic"
 
-// memoryBudget bounds the memory that all connections of a dialer hold at a time, in bytes. It is safe for
+// memoryBudget bounds the response bodies that all connections of a dialer are reading at one time, in bytes. It is safe for
 // concurrent use.
 type memoryBudget struct {
 	free atomic.Int64
--- a/internal/upstream/messages.go
+++ b/internal/upstream/messages.go
@@ -11,7 +11,7 @@
 // cancelAttempt asks for the attempt of a request to be ended early, if it is in flight.
 type cancelAttempt struct{ requestID string }
 
-// attemptEnded gives back what an attempt had.
+// attemptEnded returns the resources of an attempt to its actor.
 type attemptEnded struct {
 	attempt *inFlightAttempt
 	conn    *pooledConn // to be used again; nil if it was closed, or is not up yet
--- a/internal/upstream/registry.go
+++ b/internal/upstream/registry.go
@@ -25,15 +25,15 @@
 // Options are the bounds of all connections.
 type Options struct {
 	Dialer            Dialer
-	DialTimeout       time.Duration // how long an attempt waits for its connection
-	IdleTimeout       time.Duration // after that an unused connection is closed
-	MaxConnsPerTarget int           // open connections to one target, those being dialed included
+	DialTimeout       time.Duration // how long an attempt waits for a new connection; see backgroundDialFactor
+	IdleTimeout       time.Duration // how long an unused connection is kept in the pool
+	MaxConnsPerTarget int           // open connections to one target, those being dialed included; beyond: ConnectFailed
 	MaxConns          int           // open connections to all targets together
 	Logger            *slog.Logger
 }
 
-// Registry holds the targets' actors. Endpoint changes are applied to it before the scheduler hears of them,
-// so that an attempt decided on an older list still meets the newer state at its first byte. It is safe for
+// Registry holds the targets' actors. An endpoint list is applied to it before the scheduler has it, so that an attempt which
+// was decided on the older list is still checked against the newer state right before its first byte. It is safe for
 // concurrent use.
 type Registry struct {
 	options   Options
@@ -42,7 +42,7 @@
 
 	mu      sync.Mutex
 	targets map[string]*target
-	retired map[*target]bool // removed from the list, but with something in flight
+	retired map[*target]bool // removed from the list, with an attempt or a dial in flight
 }
 
 var _ dispatcher.Upstream = (*Registry)(nil)
--- a/internal/upstream/target.go
+++ b/internal/upstream/target.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// prunesPerIdleTimeout is how often idle connections are looked at within Options.IdleTimeout.
+	// prunesPerIdleTimeout is how often idle connections are pruned within Options.IdleTimeout.
 	prunesPerIdleTimeout = 8
-	// minPruneInterval bounds the cost of that.
+	// minPruneInterval bounds how often the idle connections are pruned where Options.IdleTimeout is short.
 	minPruneInterval = 50 * time.Millisecond
 )
 
@@ -27,12 +27,14 @@
 	log     connLog
 	mailbox *mailbox.Box[message]
 
-	// The registry writes these; attempts read them right before their first byte.
+	// The registry writes these. The state is read right before the first byte of an attempt, the address when a connection is
+	// dialed, and both when idle connections are pruned.
 	state atomic.Int32 // a scheduler.TargetState
 	addr  atomic.Pointer[string]
 
-	// An attempt sets this for a dial that outlasts it, one at a time; the actor clears it.
-	dialsInBackground atomic.Bool
+	// backgroundDialActive bounds the dials in the background to one at a time. An attempt sets it for a dial that outlasts it;
+	// the actor clears it.
+	backgroundDialActive atomic.Bool
 
 	// Only the actor's goroutine uses these.
 	pool     connPool
@@ -55,8 +57,8 @@
 	}
 }
 
-// update takes over what the endpoint list says; an empty address leaves it as it is. Attempts about to write
-// see it at once, the pool in its turn.
+// update sets the state, and the address unless it is empty. Attempts that are about to write see the state at once; the
+// actor prunes its pool with its next messages.
 func (t *target) update(address string, state scheduler.TargetState) {
 	if address != "" {
 		t.addr.Store(&address)
@@ -102,7 +104,7 @@
 }
 
 func (t *target) hasEnded() bool {
-	return t.retired && len(t.inFlight) == 0 && !t.dialsInBackground.Load()
+	return t.retired && len(t.inFlight) == 0 && !t.backgroundDialActive.Load()
 }
 
 func (t *target) handle(m message) {
@@ -116,7 +118,7 @@
 	case attemptEnded:
 		t.finish(m)
 	case backgroundDialEnded:
-		t.dialsInBackground.Store(false)
+		t.backgroundDialActive.Store(false)
 		t.returnConn(m.conn)
 	case endpointChanged:
 		t.prune()
@@ -125,8 +127,8 @@
 	}
 }
 
-// start runs an attempt on an idle connection or on a new one. An attempt that cannot start is reported at
-// once.
+// start runs an attempt on an idle connection or on a new one. An attempt that cannot start is reported at once: NotSent if
+// the target is not serving, ConnectFailed if the pool is full.
 func (t *target) start(a dispatcher.Attempt) {
 	if !t.isServing() {
 		t.reportStatus(a, scheduler.NotSent)
@@ -154,12 +156,12 @@
 		delete(t.inFlight, m.attempt.RequestID)
 	}
 	// A dial in the background still counts as open; backgroundDialEnded follows.
-	if !m.attempt.leftDial {
+	if !m.attempt.leftBackgroundDial {
 		t.returnConn(m.conn)
 	}
 }
 
-// returnConn puts a connection back into the pool; nil if it was closed or never came up.
+// returnConn puts a connection back into the pool; nil stands for one that was closed or never came up.
 func (t *target) returnConn(c *pooledConn) {
 	if c == nil {
 		t.pool.unreserve()
