--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -65,31 +65,45 @@
 // attempt would ever get a connection. The first dial goes on, beside no other, and its connection carries
 // the next attempt. A target that is removed ends with its dial, and nothing stays counted as open.
 func TestBackgroundDial(t *testing.T) {
+	const dialTimeout = 250 * time.Millisecond
 	dialer := newBlockingDialer()
-	registry := newTestRegistryWith(dialer, 250*time.Millisecond, "a:1")
-	for i := range 2 {
-		registry.send(10 * time.Second)
-		if result := registry.result(t); result.Status != scheduler.ConnectFailed {
-			t.Fatalf("attempt %d: status %v, want no connection", i, result.Status)
+	registry := newTestRegistryWith(dialer, dialTimeout, "a:1")
+	// Each step goes on from the state that the one before it has left.
+	t.Run("the second dial is given up", func(t *testing.T) {
+		for i := range 2 {
+			registry.send(10 * time.Second)
+			if result := registry.result(t); result.Status != scheduler.ConnectFailed {
+				t.Fatalf("attempt %d: status %v, want no connection", i, result.Status)
+			}
 		}
+		if started, failed := dialer.started.Load(), dialer.failed.Load(); started != 2 || failed != 1 {
+			t.Errorf("%d dials, %d given up; want the second given up beside the first", started, failed)
+		}
+	})
+	if t.Failed() {
+		return
 	}
-	if started, failed := dialer.started.Load(), dialer.failed.Load(); started != 2 || failed != 1 {
-		t.Errorf("%d dials, %d given up; want the second given up beside the first", started, failed)
-	}
-	actor := registry.targetActor()
-	dialer.release <- true
-	awaitNoBackgroundDial(actor)
-	registry.send(10 * time.Second)
-	if result := registry.result(t); result.Status != scheduler.Succeeded || dialer.started.Load() != 2 {
-		t.Errorf("on the connection that came up late: status %v, %d dials", result.Status, dialer.started.Load())
-	}
-	registry.Apply([]Endpoint{{ID: "m", Addr: "a:2"}}, true)
-	registry.sendRead("x", "m", time.Minute)
-	registry.result(t)
-	registry.Apply(nil, true) // with a dial in the background
-	for registry.openConns.Load() > 0 {
-		time.Sleep(time.Millisecond) // until the dial has timed out
-	}
+	t.Run("a late connection carries the next attempt", func(t *testing.T) {
+		actor := registry.targetActor()
+		dialer.release <- true
+		awaitNoBackgroundDial(actor)
+		registry.send(10 * time.Second)
+		if result := registry.result(t); result.Status != scheduler.Succeeded || dialer.started.Load() != 2 {
+			t.Errorf("status %v, %d dials", result.Status, dialer.started.Load())
+		}
+	})
+	if t.Failed() {
+		return
+	}
+	t.Run("a removed target ends with its dial", func(t *testing.T) {
+		registry.Apply([]Endpoint{{ID: "m", Addr: "a:2"}}, true)
+		registry.sendRead("x", "m", time.Minute)
+		registry.result(t)
+		registry.Apply(nil, true) // with a dial in the background
+		for registry.openConns.Load() > 0 {
+			time.Sleep(time.Millisecond) // until the dial has timed out
+		}
+	})
 }
 
 // TestConnectionClosedBeforeResult
--- a/internal/upstream/connpool_test.go
+++ b/internal/upstream/connpool_test.go
@@ -121,12 +121,16 @@
 
 // TestStaleConnection checks that a connection which the target closed while it was idle is not written to.
 func TestStaleConnection(t *testing.T) {
+	const (
+		closeDelay    = 20 * time.Millisecond // until the response has arrived and the connection is in the pool
+		closeTransfer = 20 * time.Millisecond // until the close has arrived
+	)
 	closed := make(chan bool)
 	server := newFakeTarget(t, func(n int32, _ *http.Request, conn net.Conn) bool {
 		respond(conn, "200 OK", "")
 		if n == 1 {
 			go func() {
-				time.Sleep(20 * time.Millisecond)
+				time.Sleep(closeDelay)
 				closeQuietly(conn)
 				close(closed)
 			}()
@@ -137,7 +141,7 @@
 	registry.send(10 * time.Second)
 	registry.result(t)
 	<-closed
-	time.Sleep(20 * time.Millisecond) // for the close to arrive
+	time.Sleep(closeTransfer)
 	registry.send(10 * time.Second)
 	if result := registry.result(t); result.Status != scheduler.Succeeded || server.requests.Load() != 2 {
 		t.Errorf("status %v after %d requests, want it served by the second", result.Status, server.requests.Load())
@@ -150,17 +154,18 @@
 // must not be served with the copy: the connection is in quarantine when it would be chosen, and another one
 // is opened. Where there are enough connections, quarantine is no reason for a further one.
 func TestDuplicateResponse(t *testing.T) {
-	next := make(chan bool)
+	secondArrived := make(chan struct{})
+	copySent := make(chan struct{})
 	server := newFakeTarget(t, func(n int32, _ *http.Request, conn net.Conn) bool {
 		if n > 1 {
-			next <- true // the copy is sent before this response
-			<-next
+			close(secondArrived)
+			<-copySent
 			return respond(conn, "200 OK", "second")
 		}
 		go func() {
-			<-next
+			<-secondArrived
 			respond(conn, "200 OK", "first")
-			next <- true
+			close(copySent)
 		}()
 		return respond(conn, "200 OK", "first")
 	})
@@ -172,9 +177,10 @@
 		}
 	}
 
+	const requestsInARow = 20
 	plain := newFakeTarget(t, respondOK)
 	registry = newTestRegistry(plain.Addr().String())
-	for range 20 {
+	for range requestsInARow {
 		registry.send(10 * time.Second)
 		registry.result(t)
 	}
@@ -185,6 +191,10 @@
 
 // TestConnectionLimits checks both bounds: on the connections to one target, and to all of them together.
 func TestConnectionLimits(t *testing.T) {
+	const (
+		attemptsPerTarget = testMaxConnsPerTarget + 1
+		rejected          = 2*attemptsPerTarget - testMaxConns // one at the first target, the others at the second
+	)
 	release := make(chan bool)
 	server := newFakeTarget(t, func(_ int32, _ *http.Request, conn net.Conn) bool {
 		<-release
@@ -193,17 +203,17 @@
 	registry := newTestRegistry(server.Addr().String())
 	registry.Apply([]Endpoint{{ID: "m", Addr: server.Addr().String()}}, false)
 	for _, targetID := range []string{testTarget, "m"} {
-		for i := range 5 {
+		for i := range attemptsPerTarget {
 			registry.sendRead(fmt.Sprint("r", targetID, i), targetID, time.Minute)
 		}
 	}
-	for range 4 { // the fifth at one target, and all past two at the other
+	for range rejected {
 		if result := registry.result(t); result.Status != scheduler.ConnectFailed {
 			t.Errorf("past the bounds: status %v, want no connection", result.Status)
 		}
 	}
 	close(release)
-	for range 6 {
+	for range testMaxConns {
 		if result := registry.result(t); result.Status != scheduler.Succeeded {
 			t.Errorf("within the bounds: status %v, want it served", result.Status)
 		}
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -24,6 +24,9 @@
 	testTimeout = 20 * time.Second
 	// testTarget is the ID of the target that a testRegistry has.
 	testTarget = "n"
+	// testMaxConnsPerTarget and testMaxConns are the bounds on the connections of a testRegistry.
+	testMaxConnsPerTarget = 4
+	testMaxConns          = 6
 )
 
 func TestMain(m *testing.M) { seeded.Main(m) }
@@ -109,8 +112,8 @@
 		Dialer:            dialer,
 		DialTimeout:       dialTimeout,
 		IdleTimeout:       time.Minute,
-		MaxConnsPerTarget: 4,
-		MaxConns:          6,
+		MaxConnsPerTarget: testMaxConnsPerTarget,
+		MaxConns:          testMaxConns,
 		Logger:            slog.New(slog.DiscardHandler),
 	}
 	r.Registry = NewRegistry(options, func(result dispatcher.AttemptResult) { r.results <- result })
