--- a/cmd/initiator/initiator.go
+++ b/cmd/initiator/initiator.go
@@ -87,7 +87,7 @@
 // applyLimits keeps the Go runtime within what the machine grants the process.
 func applyLimits(limits config.Limits) {
 	runtime.GOMAXPROCS(max(1, int(limits.Cores+coreRounding)))
-	debug.SetMemoryLimit(int64(limits.MemoryMB) << 20 * runtimeMemoryPercent / 100)
+	debug.SetMemoryLimit(int64(limits.MemoryMiB) << 20 * runtimeMemoryPercent / 100)
 }
 
 // newInitiator builds the parts of an initiator and starts none of them.
--- a/internal/config/agent.go
+++ b/internal/config/agent.go
@@ -1,6 +1,9 @@
 package config
 
-import "fmt"
+import (
+	"fmt"
+	"slices"
+)
 
 // Agent sets up one server of the configuration store.
 type Agent struct {
@@ -23,13 +26,16 @@
 }
 
 // API returns the host:port of this server's HTTP API.
-func (a *Agent) API() string {
-	for _, peer := range a.Peers {
-		if peer.ID == a.ID {
-			return peer.API
-		}
-	}
-	return ""
+func (a *Agent) API() string { return a.Peers[a.peerIndex()].API }
+
+// APIError returns an error about the address that API returns, with the path of its field.
+func (a *Agent) APIError(err error) *FieldError {
+	return &FieldError{Field: fmt.Sprintf("agent.peer[%d].api", a.peerIndex()), Err: err}
+}
+
+// peerIndex returns the index of this server among the peers. A validated Agent has it.
+func (a *Agent) peerIndex() int {
+	return slices.IndexFunc(a.Peers, func(peer Peer) bool { return peer.ID == a.ID })
 }
 
 func (a *Agent) validate() *FieldError {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -13,16 +13,18 @@
 	"dapplegate/scheduler"
 )
 
-// Environment variables that are read. Those other than envConfigFile replace the field of the file.
+// Environment variables that are read. Those other than EnvConfigFile replace fields of the configuration file.
 const (
-	envConfigFile = "PROXY_CONFIG"
-	envName       = "PROXY_NAME"
-	envListen     = "PROXY_LISTEN"
-	envDiscovery  = "PROXY_DISCOVERY"
+	// EnvConfigFile holds the path of the configuration file.
+	EnvConfigFile = "PROXY_CONFIG"
+	// EnvName holds the initiator's name.
+	EnvName      = "PROXY_NAME"
+	envListen    = "PROXY_LISTEN"
+	envDiscovery = "PROXY_DISCOVERY"
 )
 
 const (
-	// openCallsLimit bounds MaxOpenCalls also where the settings allow more: each open call may hold a body.
+	// openCallsLimit bounds MaxOpenCalls where the settings allow more, since each open call may hold a request body.
 	openCallsLimit         = 4000
 	dialTimeoutLimit       = 250 * time.Millisecond
 	defaultConnIdleTimeout = 30 * time.Second
@@ -44,12 +46,12 @@
 	KnownEndpoints *endpoints.List
 	// Scheduler holds the settings of the decisions; required.
 	Scheduler scheduler.Settings
-	// MaxOpenCalls is how many requests may be queued or in flight at a time; default and upper bound 4000.
+	// MaxOpenCalls is the number of requests that may be queued or in flight at one time; default and upper bound 4000.
 	MaxOpenCalls int
-	// ConnIdleTimeout is how long a target keeps an unused connection open; default 30 s. The initiator closes its own
-	// connections earlier than that.
+	// ConnIdleTimeout is how long a target keeps an unused connection open; default 30 s. The initiator closes it earlier.
 	ConnIdleTimeout time.Duration
-	// DialTimeout bounds the opening of a connection to a target; default and upper bound 250 ms.
+	// DialTimeout is how long an attempt waits for a new connection to its target; default and upper bound 250 ms. The dial
+	// itself may take eight times as long.
 	DialTimeout time.Duration
 }
 
@@ -67,19 +69,20 @@
 // Load reads and validates the JSON file that PROXY_CONFIG names. PROXY_NAME, PROXY_LISTEN and PROXY_DISCOVERY, where set,
 // replace the fields of the file. Errors about a field or a variable are FieldErrors.
 func Load(getenv func(string) string) (*Config, error) {
-	path := getenv(envConfigFile)
+	path := getenv(EnvConfigFile)
 	if path == "" {
-		return nil, Missing(envConfigFile)
+		return nil, Missing(EnvConfigFile)
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return nil, &FieldError{Field: envConfigFile, Err: err}
+		return nil, &FieldError{Field: EnvConfigFile, Err: err}
 	}
 	return Parse(raw, getenv)
 }
 
-// Reload is Load for a running process. The file's discovery address takes precedence over PROXY_DISCOVERY: the environment
-// dates from the start of the process, the file may have been replaced since.
+// Reload is Load for a process that got SIGHUP. From the first SIGHUP on the file's address of discovery counts, not
+// PROXY_DISCOVERY, and a file without one is rejected: the environment dates from the start of the process, the file may have
+// been replaced since.
 func Reload(getenv func(string) string) (*Config, error) {
 	return Load(func(name string) string {
 		if name == envDiscovery {
@@ -104,7 +107,7 @@
 
 // applyEnvironment replaces the fields for which the environment has a value.
 func (f *configFile) applyEnvironment(getenv func(string) string) {
-	for variable, field := range map[string]*string{envName: &f.Name, envListen: &f.Listen, envDiscovery: &f.Discovery} {
+	for variable, field := range map[string]*string{EnvName: &f.Name, envListen: &f.Listen, envDiscovery: &f.Discovery} {
 		if value := getenv(variable); value != "" {
 			*field = value
 		}
@@ -165,6 +168,23 @@
 	}, nil
 }
 
+// NoEnvironment is an environment without any variable, for Parse.
+func NoEnvironment(string) string { return "" }
+
+// FileEnvironment returns an environment that has the path of the configuration file alone, for Load.
+func FileEnvironment(path string) func(name string) string {
+	return func(name string) string {
+		if name == EnvConfigFile {
+			return path
+		}
+		return ""
+	}
+}
+
+// SharedDiscovery reports whether one discovery service serves the polls of all initiators in turn, so that they must be
+// spread. It does where the endpoint list must be requested.
+func (c *Config) SharedDiscovery() bool { return c.Scheduler.PollEndpoints }
+
 // ClassNames returns the set of configured request classes.
 func (c *Config) ClassNames() map[string]bool {
 	names := map[string]bool{}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -25,9 +25,6 @@
  "contracts":[{"name":"standard","usualRate":13,"reservation":13,"parts":3,"pays":0.9}],
  "limits":{"sendCap":3,"mostHeld":20000,"connIdleUs":30000000,"dialTimeoutUs":250000}}}`
 
-// emptyEnvironment has none of the variables that replace fields of the file.
-func emptyEnvironment(string) string { return "" }
-
 // TestParse reads a valid configuration: the environment replaces a field, and limits above the process's own are lowered.
 func TestParse(t *testing.T) {
 	c, err := Parse([]byte(validConfig), func(name string) string {
@@ -66,7 +63,7 @@
 		{`"effect":"side_effect"`, `"effect":"odd"`, "classes[1].effect"},
 		{`"promiseUs":150000`, `"promiseUs":0`, `class "position-read" needs a latency objective`},
 	} {
-		_, err := Parse([]byte(strings.Replace(validConfig, c.old, c.new, 1)), emptyEnvironment)
+		_, err := Parse([]byte(strings.Replace(validConfig, c.old, c.new, 1)), NoEnvironment)
 		if err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%.30s: %v, want %q", c.new, err, c.want)
 		}
@@ -83,14 +80,14 @@
 func TestParseDamaged(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		truncated := validConfig[:rapid.IntRange(0, len(validConfig)-1).Draw(t, "length")]
-		if c, err := Parse([]byte(truncated), emptyEnvironment); err == nil {
+		if c, err := Parse([]byte(truncated), NoEnvironment); err == nil {
 			t.Fatalf("%q passed as %+v", truncated, c)
 		}
 		damaged := []byte(validConfig)
 		damaged[rapid.IntRange(0, len(damaged)-1).Draw(t, "at")] = rapid.Byte().Draw(t, "byte")
 		garbage := rapid.SliceOf(rapid.Byte()).Draw(t, "garbage")
 		for _, input := range [][]byte{damaged, garbage} {
-			if c, err := Parse(input, emptyEnvironment); (c == nil) == (err == nil) {
+			if c, err := Parse(input, NoEnvironment); (c == nil) == (err == nil) {
 				t.Fatalf("%q: configuration %+v with error %v", input, c, err)
 			}
 		}
@@ -111,7 +108,7 @@
 		{`"peersTotal":3,`, "", "settings.peersTotal", true},
 		{`"effect":"pure"`, `"effect":"odd"`, "settings.classes[0].effect", false},
 	} {
-		_, err := Parse([]byte(strings.Replace(validConfig, c.old, c.new, 1)), emptyEnvironment)
+		_, err := Parse([]byte(strings.Replace(validConfig, c.old, c.new, 1)), NoEnvironment)
 		var field *FieldError
 		if !errors.As(err, &field) || field.Field != c.field || errors.Is(err, ErrMissing) != c.missing {
 			t.Errorf("%s: %v, want field %q, missing %v", c.new, err, c.field, c.missing)
@@ -122,7 +119,7 @@
 // TestOperatorFile reads the file under deploy/, and then with one field after the other made invalid: the error has the
 // field's path.
 func TestOperatorFile(t *testing.T) {
-	platform, err := Parse([]byte(validConfig), emptyEnvironment)
+	platform, err := Parse([]byte(validConfig), NoEnvironment)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -6,32 +6,32 @@
 type Limits struct {
 	// Cores is the processor share; default 1.
 	Cores float64 `json:"cores"`
-	// MemoryMB is the memory in MiB; default 192.
-	MemoryMB int `json:"memory_mb"`
+	// MemoryMiB is the memory; default 192. The platform's memory_mb is in MiB.
+	MemoryMiB int `json:"memory_mb"`
 	// Sockets is the number of file descriptors; at least 64, default 1024.
 	Sockets int `json:"sockets"`
 }
 
 const (
-	defaultCores    = 1
-	defaultMemoryMB = 192
-	defaultSockets  = 1024
-	minSockets      = 64
+	defaultCores     = 1
+	defaultMemoryMiB = 192
+	defaultSockets   = 1024
+	minSockets       = 64
 )
 
 // Shares of the resources. Descriptors: four tenths go to targets, reservedDescriptors to the process itself, clients get
 // what is left.
 const (
-	bytesPerMB = 1 << 20
+	bytesPerMiB = 1 << 20
 
-	// reservedDescriptors are for discovery, the listeners, logs and the runtime, and for connections above the clients'
-	// limit that are accepted only to be closed.
+	// reservedDescriptors are for discovery, the listeners, logs and the runtime, and for connections above MaxClientConns,
+	// which are accepted only to be closed.
 	reservedDescriptors = 56
 
 	// clientConnBytes is the approximate memory of a client connection: buffers, goroutine stack and one request.
 	clientConnBytes = 24 << 10
 
-	// minClientConns keeps a process with very small limits reachable.
+	// minClientConns is the number of client connections with limits that would leave fewer, or none.
 	minClientConns = 8
 
 	// maxConnsPerTarget exceeds the attempts that the scheduler ever has in flight at one target, overdue ones included.
@@ -43,8 +43,8 @@
 	switch {
 	case l.Cores < 0 || math.IsNaN(l.Cores):
 		return fieldError("cores", "%v is not a number of cores", l.Cores)
-	case l.MemoryMB < 0:
-		return fieldError("memory_mb", "%d is negative", l.MemoryMB)
+	case l.MemoryMiB < 0:
+		return fieldError("memory_mb", "%d is negative", l.MemoryMiB)
 	case l.Sockets < 0 || l.Sockets > 0 && l.Sockets < minSockets:
 		return fieldError("sockets", "%d is too few, at least %d", l.Sockets, minSockets)
 	}
@@ -56,8 +56,8 @@
 	if l.Cores == 0 {
 		l.Cores = defaultCores
 	}
-	if l.MemoryMB == 0 {
-		l.MemoryMB = defaultMemoryMB
+	if l.MemoryMiB == 0 {
+		l.MemoryMiB = defaultMemoryMiB
 	}
 	if l.Sockets == 0 {
 		l.Sockets = defaultSockets
@@ -68,7 +68,7 @@
 // as the connections fit into a third of the memory.
 func (c *Config) MaxClientConns() int {
 	byDescriptors := c.Limits.Sockets - c.MaxTargetConns() - reservedDescriptors
-	byMemory := c.Limits.MemoryMB * bytesPerMB / 3 / clientConnBytes
+	byMemory := c.Limits.MemoryMiB * bytesPerMiB / 3 / clientConnBytes
 	return max(min(byDescriptors, byMemory), minClientConns)
 }
 
@@ -82,5 +82,6 @@
 // MaxConnsPerTarget is the number of connections to one target.
 func (c *Config) MaxConnsPerTarget() int { return min(maxConnsPerTarget, c.MaxTargetConns()) }
 
-// MaxBufferedBytes is the payload that may be buffered at a time: a quarter of the memory.
-func (c *Config) MaxBufferedBytes() int64 { return int64(c.Limits.MemoryMB) * bytesPerMB / 4 }
+// MaxBufferedBytes bounds, over HTTP, the response bodies that are being read at one time and, over NVMe, the data of the
+// commands in flight: a quarter of the memory.
+func (c *Config) MaxBufferedBytes() int64 { return int64(c.Limits.MemoryMiB) * bytesPerMiB / 4 }
--- a/internal/config/limits_test.go
+++ b/internal/config/limits_test.go
@@ -11,9 +11,9 @@
 		clients, idleClients, targets, perOneTarget int
 		buffered                                    int64
 	}{
-		{"defaults", Limits{Cores: 1, MemoryMB: 192, Sockets: 1024}, 559, 170, 409, 40, 48 << 20},
-		{"little memory", Limits{Cores: 1, MemoryMB: 16, Sockets: 1024}, 227, 170, 409, 40, 4 << 20},
-		{"few descriptors", Limits{Cores: 1, MemoryMB: 192, Sockets: 64}, 8, 10, 25, 25, 48 << 20},
+		{"defaults", Limits{Cores: 1, MemoryMiB: 192, Sockets: 1024}, 559, 170, 409, 40, 48 << 20},
+		{"little memory", Limits{Cores: 1, MemoryMiB: 16, Sockets: 1024}, 227, 170, 409, 40, 4 << 20},
+		{"few descriptors", Limits{Cores: 1, MemoryMiB: 192, Sockets: 64}, 8, 10, 25, 25, 48 << 20},
 	} {
 		cfg := &Config{Limits: c.limits}
 		if cfg.MaxClientConns() != c.clients || cfg.MaxIdleClientConns() != c.idleClients ||
--- a/internal/discovery/poll.go
+++ b/internal/discovery/poll.go
@@ -15,12 +15,12 @@
 const (
 	// watchWait is how long discovery may hold a poll that waits for a change.
 	watchWait = 20 * time.Second
-	// responseGrace is how long a response may be overdue before its poll is given up. Discovery keeps
-	// connections open and is silent while it is down, and what it has to report counts as reported 2 s after the
-	// wait: the next poll must have been made by then.
+	// responseGrace is how long a response may be overdue before its poll is given up. Discovery keeps connections open and is
+	// silent while it is down. By the platform's rules an initiator must act on a change 2 s after the wait of its poll: the
+	// next poll must have been made by then.
 	responseGrace = 1500 * time.Millisecond
-	// queueTimeout is the least time that a poll is given where one discovery serves all initiators in turn:
-	// it lets polls queue for 2 s, and one given up before that takes its turn from others.
+	// queueTimeout is the shortest timeout of a poll where one discovery serves all initiators in turn: polls may wait in its
+	// queue for 2 s, and one that is given up earlier is still served, at the cost of the others.
 	queueTimeout = 2500 * time.Millisecond
 	// dialTimeout bounds the time for a connection to discovery.
 	dialTimeout = time.Second
@@ -33,7 +33,7 @@
 // errUnusableList marks a list that cannot be decoded or does not follow the one held.
 var errUnusableList = errors.New("endpoint list is not usable")
 
-// pollRequest is one question to discovery.
+// pollRequest is one poll of discovery.
 type pollRequest struct {
 	after int64         // the version held; noVersion asks for the complete list
 	wait  time.Duration // how long discovery may wait for a change
@@ -50,7 +50,7 @@
 	return fmt.Sprintf("/api/targets?after=%d&wait_ms=%d", p.after, p.wait.Milliseconds())
 }
 
-// timeout is when the poll is given up; shared says that one discovery serves all initiators.
+// timeout is how long the poll may last; shared says that one discovery serves all initiators in turn.
 func (p pollRequest) timeout(shared bool) time.Duration {
 	timeout := p.wait + responseGrace
 	if shared {
@@ -79,7 +79,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = response.Body.Close() }() // all that matters was read, or the error is returned
+	defer func() { _ = response.Body.Close() }() // the body has been read, or the error of that is returned
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxListBytes))
 	if err != nil {
 		return nil, err
--- a/internal/discovery/starttimes.go
+++ b/internal/discovery/starttimes.go
@@ -33,7 +33,7 @@
 	return &StartTimes{wallClock: wallClock, monotonicClock: monotonicClock, known: map[string]startTime{}}
 }
 
-// Apply takes over the starts of a list. A start that is known already stays where it was placed.
+// Apply places the starts of a list on the monotonic clock. A start that is known already keeps its place.
 func (s *StartTimes) Apply(list *endpoints.List) {
 	now := s.monotonicClock()
 	s.detectStep(now)
@@ -64,7 +64,7 @@
 	s.known[entry.ID] = startTime{wallMs: entry.StartedMs, monotonic: s.place(entry.StartedMs, now)}
 }
 
-// At is when the target of an entry started, on the monotonic clock; 0: long ago.
+// At returns when the target of an entry started, on the monotonic clock; 0: long ago.
 func (s *StartTimes) At(entry endpoints.Entry) time.Duration { return s.known[entry.ID].monotonic }
 
 // detectStep takes over the wall clock's offset if it was stepped.
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -16,42 +16,39 @@
 )
 
 const (
-	// ExpectedPollTime is about what one poll takes of a discovery that serves all initiators in turn. Polls
-	// given up in its queue take that too: a fleet that polled at once, or again soon after a failure, would
-	// never be served.
+	// ExpectedPollTime is about how long a shared discovery takes to serve one poll. It takes as long for a poll that was given
+	// up in its queue: a fleet that polled at once, or again soon after a failure, would never be served.
 	ExpectedPollTime = 100 * time.Millisecond
-	// maxSpread bounds the pause before a first poll and after a failed one, whatever the size of the fleet:
-	// a change counts as reported 6 s after discovery could be reached, and the poll itself may take
-	// queueTimeout.
+	// maxSpread bounds the pause before a first poll and after a failed one, whatever the size of the fleet: by the platform's
+	// rules an initiator must act on a change 6 s after discovery could be reached, and the poll itself may take queueTimeout.
 	maxSpread = 3 * time.Second
-	// retryPause is the pause after a failed poll, before any spread.
+	// retryPause is the pause after a failed poll, to which the spread is added.
 	retryPause = 100 * time.Millisecond
 	// noVersion is the version where there is no list that changes could be applied to. Any version below 0
 	// counts as this one.
 	noVersion = -1
 )
 
-// Watcher watches discovery and passes on its lists, in order. Polling has a goroutine of its own: the
-// next poll must come within 200 ms of the last response, or the watch ends, so it waits for nobody.
+// Watcher watches discovery and passes on its lists, in order. Polling has a goroutine of its own, which never waits for
+// notify: by the protocol a watch ends unless the next poll comes within 200 ms of the last response.
 type Watcher struct {
-	address   string // at the start
-	spread    time.Duration
+	address   string        // at the start
+	spread    time.Duration // 0: discovery serves this initiator alone
 	notify    func(*endpoints.List)
 	log       *slog.Logger
 	client    http.Client
 	lists     *mailbox.Box[*endpoints.List]
 	addresses *mailbox.Box[string]
 
-	// Only the polling goroutine uses these once Run has begun.
-	version        int64 // the latest one; noVersion: the complete list is needed
-	failures       int   // polls failed in a row at this address
-	desynchronized bool  // the next poll comes at a random moment, apart from those of the other initiators
+	// These are owned by the goroutine of watchAt while that runs, else by that of watch.
+	version       int64 // the latest one; noVersion: the complete list is needed
+	failures      int   // polls failed in a row at this address
+	alreadySpread bool  // the next poll is spread over the fleet already, and needs no further random pause
 }
 
-// New returns a watcher of discovery at an address. It notifies of the list known from before first, if there
-// is one, however old; then of each list from discovery. Where one discovery serves all initiators, spread is the
-// time over which their first polls, and those after a failure, are distributed at random; 0: it serves this
-// initiator alone.
+// New returns a watcher of discovery at an address. It notifies of the list known from an earlier run first, if there is one,
+// however old; then of each list from discovery. Where one discovery serves all initiators, spread is the time over which their
+// first polls, and those after a failure, are distributed at random; 0 if discovery serves this initiator alone.
 func New(address string, known *endpoints.List, spread time.Duration, notify func(*endpoints.List),
 	log *slog.Logger) *Watcher {
 	w := &Watcher{
@@ -95,12 +92,12 @@
 // watch polls discovery until the context ends, at one address after another.
 func (w *Watcher) watch(ctx context.Context) {
 	pause(ctx, randomWithin(w.spread))
-	w.desynchronized = true
+	w.alreadySpread = true
 	address := w.address
 	for ctx.Err() == nil {
 		address = w.watchUntilMoved(ctx, address)
 		w.version = noVersion
-		w.desynchronized = false
+		w.alreadySpread = false
 		w.client.CloseIdleConnections()
 	}
 }
@@ -157,9 +154,12 @@
 	return request
 }
 
+// isShared reports whether one discovery serves all initiators in turn.
+func (w *Watcher) isShared() bool { return w.spread > 0 }
+
 // poll returns a list that applies to the version held, or is complete.
 func (w *Watcher) poll(ctx context.Context, address string, request pollRequest) (*endpoints.List, error) {
-	list, err := w.fetch(ctx, "http://"+address+request.path(), request.timeout(w.spread > 0))
+	list, err := w.fetch(ctx, "http://"+address+request.path(), request.timeout(w.isShared()))
 	if err != nil {
 		return nil, err
 	}
@@ -169,21 +169,21 @@
 	return list, nil
 }
 
-// accept takes over a list and passes it on if it says anything.
+// accept makes a list's version the current one, and passes the list on unless it is an empty change.
 func (w *Watcher) accept(list *endpoints.List) {
 	if w.failures > 0 {
 		w.log.Info("endpoint poll recovered", slog.Int("failures", w.failures))
 	}
 	w.failures = 0
-	w.desynchronized = false
+	w.alreadySpread = false
 	w.version = *list.Version
 	if list.Complete || len(list.Entries) > 0 {
 		w.lists.Put(list)
 	}
 }
 
-// pollFailed logs the first failure in a row. After a list that cannot be used it is not known what the next
-// change would apply to: the complete list is needed.
+// pollFailed counts a failure, and logs the first in a row. After a list that cannot be used the complete one is needed, since
+// it is not known what the next change would apply to.
 func (w *Watcher) pollFailed(err error) {
 	w.failures++
 	if w.failures == 1 {
@@ -194,18 +194,18 @@
 	}
 }
 
-// retryDelay is the pause after a poll that failed after the time it took. The first failure after a success
-// draws a random part of the spread, since the whole fleet may fail at once; later ones wait for all of it,
-// which keeps the initiators apart. Where a watch has stayed silent for all of its wait there is no time left
-// for that, and no need: watches began apart.
-func (w *Watcher) retryDelay(request pollRequest, took time.Duration) time.Duration {
-	if w.desynchronized {
+// retryDelay returns the pause after a poll that failed when it had lasted for a time. After the first failure it is a random
+// part of the spread, since the whole fleet may fail at once; after later ones it is all of the spread, which keeps the
+// initiators apart. A watch that stayed silent for all of its wait leaves no time for that and needs none, since watches begin
+// apart.
+func (w *Watcher) retryDelay(request pollRequest, lasted time.Duration) time.Duration {
+	if w.alreadySpread {
 		return retryPause + w.spread
 	}
-	if request.wait > 0 && took >= request.wait {
+	if request.wait > 0 && lasted >= request.wait {
 		return retryPause
 	}
-	w.desynchronized = true
+	w.alreadySpread = true
 	return retryPause + randomWithin(w.spread)
 }
 
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -19,11 +19,11 @@
 
 // The limits of the acceptance runs that the polls must keep to.
 const (
-	// maxPollGap is how far apart two polls of one initiator may begin: a change counts as reported 6 s after
-	// discovery could be reached, and a poll may take queueTimeout.
+	// maxPollGap is how far apart two polls of one initiator may begin: an initiator must act on a change 6 s after discovery
+	// could be reached, and a poll may take queueTimeout.
 	maxPollGap = 6*time.Second - queueTimeout
-	// maxSilentWatch is how long a silent watch may stay open: what it misses counts as reported 2 s after its
-	// wait.
+	// maxSilentWatch is how long a silent watch may stay open: an initiator must act 2 s after its wait on the changes that it
+	// misses. The rest of the 2 s is for the next poll.
 	maxSilentWatch = watchWait + 1800*time.Millisecond
 )
 
