--- a/cmd/initiator/agent.go
+++ b/cmd/initiator/agent.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"fmt"
 	"log/slog"
 	"net"
 	"os"
@@ -26,20 +25,20 @@
 			if err != nil {
 				return err
 			}
-			stop, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
-			defer cancel()
-			return runAgent(stop, settings, slog.New(slog.NewTextHandler(os.Stderr, nil)))
+			ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
+			defer stop()
+			return runAgent(ctx, settings, slog.New(slog.NewTextHandler(os.Stderr, nil)))
 		},
 	}
 	cmd.Flags().StringVar(&operatorFile, "operator", "deploy/agent.toml", "the operator's file (TOML) with the agents")
 	return cmd
 }
 
-// runAgent runs a server of the configuration store until stop ends or the server fails.
-func runAgent(stop context.Context, settings *config.Agent, log *slog.Logger) error {
+// runAgent runs a server of the configuration store until the context ends or the server fails.
+func runAgent(ctx context.Context, settings *config.Agent, log *slog.Logger) error {
 	listener, err := net.Listen("tcp", settings.API())
 	if err != nil {
-		return fmt.Errorf("agent.peer.api: %w", err)
+		return settings.APIError(err)
 	}
 	store, err := configstore.Start(configstore.Options{
 		ID:       settings.ID,
@@ -49,7 +48,7 @@
 		Validate: checkStored,
 	})
 	if err != nil {
-		_ = listener.Close() // the error that led here says more
+		_ = listener.Close() // the error of Start is the one to report
 		return err
 	}
 	log.Info("agent up", slog.String("id", settings.ID), slog.String("listen", settings.API()))
@@ -57,9 +56,9 @@
 	go func() { failed <- store.Serve(listener) }()
 	select {
 	case err := <-failed:
-		_ = store.Shutdown() // as above
+		_ = store.Shutdown() // the error of Serve is the one to report
 		return err
-	case <-stop.Done():
+	case <-ctx.Done():
 		return store.Shutdown()
 	}
 }
@@ -72,23 +71,3 @@
 	}
 	return out
 }
-
-// parseStored parses a configuration from the store. It must be complete, since the environment adds nothing to it, and be
-// that of the named initiator.
-func parseStored(name string, text []byte) (*config.Config, error) {
-	emptyEnvironment := func(string) string { return "" }
-	cfg, err := config.Parse(text, emptyEnvironment)
-	if err != nil {
-		return nil, err
-	}
-	if cfg.Name != name {
-		return nil, &config.FieldError{Field: "name", Err: fmt.Errorf("the configuration is %q's, not %q's", cfg.Name, name)}
-	}
-	return cfg, nil
-}
-
-// checkStored returns an error if the named initiator could not start with the configuration.
-func checkStored(name string, text []byte) error {
-	_, err := parseStored(name, text)
-	return err
-}
--- a/cmd/initiator/check.go
+++ b/cmd/initiator/check.go
@@ -2,9 +2,10 @@
 
 import (
 	"os"
-	"runtime/debug"
 
 	"github.com/spf13/cobra"
+
+	"dapplegate/internal/config"
 )
 
 func checkCommand() *cobra.Command {
@@ -16,7 +17,7 @@
 		RunE: func(cmd *cobra.Command, args []string) error {
 			getenv := os.Getenv
 			if len(args) == 1 {
-				getenv = onlyConfigFile(args[0])
+				getenv = config.FileEnvironment(args[0])
 			}
 			return check(cmd, getenv, operatorFile)
 		},
@@ -38,39 +39,3 @@
 	}
 	return nil
 }
-
-// onlyConfigFile is an environment in which only the configuration file is set.
-func onlyConfigFile(path string) func(string) string {
-	return func(name string) string {
-		if name == "PROXY_CONFIG" {
-			return path
-		}
-		return ""
-	}
-}
-
-func versionCommand() *cobra.Command {
-	return &cobra.Command{
-		Use:   "version",
-		Short: "Print the version of this program",
-		Args:  cobra.NoArgs,
-		Run: func(cmd *cobra.Command, _ []string) {
-			printf(cmd, "initiator %s\n", buildVersion())
-		},
-	}
-}
-
-// buildVersion returns the module's version and, where the build knows it, the revision.
-func buildVersion() string {
-	info, ok := debug.ReadBuildInfo()
-	if !ok {
-		return "unknown"
-	}
-	version := info.Main.Version
-	for _, setting := range info.Settings {
-		if setting.Key == "vcs.revision" {
-			version += " " + setting.Value
-		}
-	}
-	return version
-}
--- a/cmd/initiator/configcmd.go
+++ b/cmd/initiator/configcmd.go
@@ -87,7 +87,7 @@
 	var ifVersion int64
 	cmd := &cobra.Command{
 		Use:   "delete NAME",
-		Short: "Delete an instance's configuration; one that runs goes on",
+		Short: "Delete an instance's configuration; a running initiator keeps its configuration",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return writeConfig(cmd, client, args[0], nil, ifVersion)
--- a/cmd/initiator/endpoints.go
+++ b/cmd/initiator/endpoints.go
@@ -7,9 +7,9 @@
 	"dapplegate/scheduler"
 )
 
-// applyEndpoints takes over an endpoint list, in the watcher's goroutine. The registry has it before the scheduler: an
-// attempt that was decided on the older list meets the newer state at its first byte, and so never starts at a target that
-// is known to be draining.
+// applyEndpoints applies an endpoint list, in the watcher's goroutine. The registry has it before the scheduler: an attempt that
+// was decided on the older list is checked against the newer state right before its first byte, and so never starts at a
+// target that is known to be draining.
 func (in *initiator) applyEndpoints(list *endpoints.List) {
 	in.registry.Apply(upstreamEndpoints(list), list.Complete)
 	in.startTimes.Apply(list)
--- a/cmd/initiator/follow.go
+++ b/cmd/initiator/follow.go
@@ -9,28 +9,28 @@
 	"dapplegate/internal/configstore"
 )
 
-// follow serves what the configuration store has for the initiator that PROXY_NAME names. A new version is checked, then
-// served by a successor that listens at the same addresses; once that one is up, its predecessor shuts down gracefully, so
-// that no accepted request is lost. A version that cannot be served changes nothing.
-func follow(stop context.Context, agents []string, getenv func(string) string, operatorFile string, log *slog.Logger) error {
-	name := getenv("PROXY_NAME")
+// follow runs the initiator that PROXY_NAME names with its configuration from the store, until the context ends. A new version
+// is validated, then served by a successor that listens at the same addresses; once the successor listens, its predecessor
+// shuts down gracefully, so that no accepted request is lost. After a version that cannot be served the predecessor goes on.
+func follow(ctx context.Context, agents []string, getenv func(string) string, operatorFile string, log *slog.Logger) error {
+	name := getenv(config.EnvName)
 	if name == "" {
-		return config.Missing("PROXY_NAME")
+		return config.Missing(config.EnvName)
 	}
-	watch, cancelWatch := context.WithCancel(stop)
-	defer cancelWatch()
-	entries := watchEntry(watch, &configstore.Client{Addrs: agents}, name, log)
+	watchCtx, stopWatch := context.WithCancel(ctx)
+	defer stopWatch()
+	entries := watchEntry(watchCtx, &configstore.Client{Addrs: agents}, name, log)
 
 	f := &follower{operatorFile: operatorFile, log: log}
-	defer f.draining.Wait()
+	defer f.shuttingDown.Wait()
 	for {
 		select {
-		case <-stop.Done():
+		case <-ctx.Done():
 			return f.wait()
 		case <-f.currentDone():
 			return f.current.err
 		case entry := <-entries:
-			f.update(stop, entry)
+			f.update(ctx, entry)
 		}
 	}
 }
@@ -52,12 +52,12 @@
 	operatorFile string
 	log          *slog.Logger
 	current      *runningVersion // nil: no version has been served yet
-	draining     sync.WaitGroup  // predecessors in their graceful shutdown
+	shuttingDown sync.WaitGroup  // predecessors in their graceful shutdown
 }
 
 // update replaces the current version by the entry's, if that can be served.
-func (f *follower) update(stop context.Context, entry configstore.Entry) {
-	successor, err := startVersion(stop, entry, f.operatorFile, f.log)
+func (f *follower) update(ctx context.Context, entry configstore.Entry) {
+	successor, err := startVersion(ctx, entry, f.operatorFile, f.log)
 	if err != nil {
 		f.log.Error(eventConfigRejected, slog.String("reason", reasonBadConfig),
 			slog.Uint64("version", entry.Version), slog.Any("error", err))
@@ -66,7 +66,7 @@
 	f.log.Info(eventConfigAccepted, slog.Uint64("version", entry.Version))
 	if predecessor := f.current; predecessor != nil {
 		predecessor.stop(errSuperseded)
-		f.draining.Go(func() { <-predecessor.done })
+		f.shuttingDown.Go(func() { <-predecessor.done })
 	}
 	f.current = successor
 }
@@ -95,9 +95,9 @@
 	err  error         // how it ended; valid once done is closed
 }
 
-// startVersion starts an initiator with the entry's configuration, and returns when it listens or has failed to. It runs
-// until stop ends or it is stopped itself.
-func startVersion(stop context.Context, entry configstore.Entry, operatorFile string, log *slog.Logger) (*runningVersion, error) {
+// startVersion starts an initiator with the entry's configuration, and returns once it listens, or the error why it cannot. The
+// initiator runs until the context ends or its stop is called.
+func startVersion(ctx context.Context, entry configstore.Entry, operatorFile string, log *slog.Logger) (*runningVersion, error) {
 	cfg, err := parseStored(entry.Name, entry.Config)
 	if err != nil {
 		return nil, err
@@ -106,8 +106,8 @@
 	if err != nil {
 		return nil, err
 	}
-	ctx, cancel := context.WithCancelCause(stop)
-	version := &runningVersion{stop: cancel, done: make(chan struct{})}
+	versionCtx, stop := context.WithCancelCause(ctx)
+	version := &runningVersion{stop: stop, done: make(chan struct{})}
 	listening := make(chan struct{})
 	options := runOptions{
 		shareAddresses: true,
@@ -115,13 +115,13 @@
 	}
 	go func() {
 		defer close(version.done)
-		version.err = serve(ctx, cfg, operator, log, options)
+		version.err = serve(versionCtx, cfg, operator, log, options)
 	}()
 	select {
 	case <-listening:
 		return version, nil
 	case <-version.done:
-		cancel(version.err)
+		stop(version.err)
 		return nil, version.err
 	}
 }
--- a/cmd/initiator/initiator.go
+++ b/cmd/initiator/initiator.go
@@ -20,21 +20,29 @@
 )
 
 const (
-	// coreRounding makes part of a core, from a hundredth on, count as a core for the Go scheduler.
+	// coreRounding rounds the cores up for the Go scheduler, since the platform grants fractions of a core. A remainder below a
+	// hundredth of a core is dropped.
 	coreRounding = 0.99
-	// runtimeMemoryPercent is the part of the process's memory that the Go runtime may use before it collects garbage more
-	// often; the rest is a margin against the machine's limit, which kills.
+	// runtimeMemoryPercent is the percentage of the process's memory that the Go runtime may use before it collects garbage more
+	// often; the rest is a margin, since the process is killed at the machine's limit.
 	runtimeMemoryPercent = 70
 	// answerMargin is how long before the client's timeout a response must be decided, so that it can still be written.
 	answerMargin = 12 * time.Millisecond
-	// A graceful shutdown is given up shutdownMargin after the longest deadline, or after minShutdownTimeout if that is
-	// longer.
+	// poolIdleNumerator and poolIdleDenominator are the part of a target's idle timeout after which the initiator closes its
+	// unused connections: the target would close them while attempts are on their way.
+	poolIdleNumerator   = 4
+	poolIdleDenominator = 5
+	// The wait for the servers' graceful shutdown ends shutdownMargin after the longest deadline or, if that is longer, after
+	// minShutdownTimeout. Both bound how long an open connection can hold up the end of the process. They don't bound requests:
+	// these have their responses by the FinalAnswerBy of dispatcher.ShutdownSchedule, since SIGKILL may come before this wait
+	// ends.
 	minShutdownTimeout = 3 * time.Second
 	shutdownMargin     = 600 * time.Millisecond
 )
 
 // errSuperseded is the cause that stops an initiator whose successor has taken over its addresses. The process goes on, so
-// open requests may take their full time; after SIGTERM they must have their responses before SIGKILL.
+// the dispatcher gets no deadline for its open requests; a later SIGTERM does not set one either. The servers still shorten
+// the timeouts of requests that come late in the shutdown.
 var errSuperseded = errors.New("a successor serves")
 
 // Reasons for a graceful shutdown, in the log.
@@ -43,8 +51,8 @@
 	reasonSuperseded = "SUPERSEDED"
 )
 
-// server accepts clients' connections on a listener until Shutdown, which returns once all requests have their responses
-// or the context ends.
+// server serves clients on a listener until Shutdown, which returns once all requests have their responses or the context
+// ends.
 type server interface {
 	Serve(net.Listener) error
 	Shutdown(context.Context) error
@@ -52,15 +60,15 @@
 
 // runOptions are what differs between a process that runs one initiator and one that follows the configuration store.
 type runOptions struct {
-	// shareAddresses lets a predecessor or successor in this process listen at the same addresses.
+	// shareAddresses allows a predecessor or successor in this process to listen at the same addresses.
 	shareAddresses bool
-	// onListening is called once all servers listen; nil: nobody is told.
+	// onListening is called once all servers listen; may be nil.
 	onListening func()
-	// discoveryAddrs sends addresses that discovery has moved to; nil: it does not move.
+	// discoveryAddrs receives the new address whenever discovery moves; nil: it does not move.
 	discoveryAddrs <-chan string
 }
 
-// initiator is one running initiator: clients' servers in front of a dispatcher, targets behind it, and the endpoint list.
+// initiator is one running initiator: servers for clients, the dispatcher, the registry of targets and the endpoint list.
 type initiator struct {
 	config *config.Config
 	log    *slog.Logger
@@ -74,14 +82,15 @@
 	servers      map[string]server     // by the address that each listens at
 }
 
-// serve runs an initiator until stop ends, and then until its graceful shutdown is complete.
-func serve(stop context.Context, cfg *config.Config, operator *config.Operator, log *slog.Logger, options runOptions) error {
+// serve runs an initiator until the context ends, and then until its graceful shutdown is complete. The limits apply to the
+// whole process: those of a version that then cannot be served stay in force.
+func serve(ctx context.Context, cfg *config.Config, operator *config.Operator, log *slog.Logger, options runOptions) error {
 	applyLimits(cfg.Limits)
 	in, err := newInitiator(cfg, operator, log)
 	if err != nil {
 		return err
 	}
-	return in.run(stop, options)
+	return in.run(ctx, options)
 }
 
 // applyLimits keeps the Go runtime within what the machine grants the process.
@@ -92,7 +101,7 @@
 
 // newInitiator builds the parts of an initiator and starts none of them.
 func newInitiator(cfg *config.Config, operator *config.Operator, log *slog.Logger) (*initiator, error) {
-	decisions, err := scheduler.New(cfg.Scheduler, cfg.Seed)
+	decider, err := scheduler.New(cfg.Scheduler, cfg.Seed)
 	if err != nil {
 		return nil, config.Under("settings", err)
 	}
@@ -100,12 +109,12 @@
 	in.registry = upstream.NewRegistry(upstream.Options{
 		Dialer:            newDialer(cfg, operator),
 		DialTimeout:       cfg.DialTimeout,
-		IdleTimeout:       cfg.ConnIdleTimeout * 4 / 5, // before the target closes the connection
+		IdleTimeout:       cfg.ConnIdleTimeout * poolIdleNumerator / poolIdleDenominator,
 		MaxConnsPerTarget: cfg.MaxConnsPerTarget(),
 		MaxConns:          cfg.MaxTargetConns(),
 		Logger:            log,
 	}, func(result dispatcher.AttemptResult) { in.dispatcher.ReportResult(result) })
-	in.dispatcher = dispatcher.New(decisions, in.registry, in.clock, dispatcher.Options{
+	in.dispatcher = dispatcher.New(decider, in.registry, in.clock, dispatcher.Options{
 		MaxOpenCalls: cfg.MaxOpenCalls,
 		AnswerMargin: answerMargin,
 		Logger:       log,
@@ -124,10 +133,10 @@
 	return upstream.NewHTTPDialer(cfg.MaxBufferedBytes())
 }
 
-// pollSpread is the time over which a fleet spreads its polls after a start or a failure, where one discovery service serves
-// all initiators in turn; 0: it need not.
+// pollSpread returns the time over which the fleet spreads its polls after a start or a failure; 0 if discovery serves this
+// initiator alone.
 func pollSpread(cfg *config.Config) time.Duration {
-	if !cfg.Scheduler.PollEndpoints {
+	if !cfg.SharedDiscovery() {
 		return 0
 	}
 	return time.Duration(cfg.Scheduler.Initiators) * discovery.ExpectedPollTime
@@ -155,16 +164,17 @@
 	return servers
 }
 
-// run serves until stop ends or a server fails. It owns the background goroutines: they go on during the graceful shutdown,
-// which needs them, and end when it returns.
-func (in *initiator) run(stop context.Context, options runOptions) error {
+// run serves until the context ends, and then until the graceful shutdown is complete. If a server fails it returns at once,
+// and requests in flight get no response. It owns the background goroutines: the graceful shutdown needs them, and they end
+// when run returns.
+func (in *initiator) run(ctx context.Context, options runOptions) error {
 	background, stopBackground := context.WithCancel(context.Background())
 	defer stopBackground()
 	go in.dispatcher.Run(background)
 	go in.watcher.Run(background)
 	go in.followDiscovery(background, options.discoveryAddrs)
 
-	listeners, err := in.listen(stop, options.shareAddresses)
+	listeners, err := in.listen(ctx, options.shareAddresses)
 	if err != nil {
 		return err
 	}
@@ -175,8 +185,8 @@
 	select {
 	case err := <-failed:
 		return err
-	case <-stop.Done():
-		return in.shutdown(context.Cause(stop))
+	case <-ctx.Done():
+		return in.shutdown(context.Cause(ctx))
 	}
 }
 
@@ -203,7 +213,7 @@
 	return failed
 }
 
-// shutdown ends the servers gracefully: what was accepted gets its responses first.
+// shutdown ends the servers gracefully: accepted requests get their responses first.
 func (in *initiator) shutdown(cause error) error {
 	reason := reasonSIGTERM
 	if errors.Is(cause, errSuperseded) {
--- a/cmd/initiator/listen.go
+++ b/cmd/initiator/listen.go
@@ -31,7 +31,7 @@
 // closeAll closes listeners that no client has been accepted from.
 func closeAll(listeners map[string]net.Listener) {
 	for _, listener := range listeners {
-		_ = listener.Close() // the error that led here says more
+		_ = listener.Close() // the error of the failed listen is the one to report
 	}
 }
 
--- a/cmd/initiator/main.go
+++ b/cmd/initiator/main.go
@@ -27,7 +27,7 @@
 	return root
 }
 
-// printf writes a command's output. A failure to write is ignored: there is nowhere else to tell of it.
+// printf writes a command's output. A failure to write is ignored: there is nowhere else to report it.
 func printf(cmd *cobra.Command, format string, args ...any) {
 	_, _ = fmt.Fprintf(cmd.OutOrStdout(), format, args...)
 }
--- a/cmd/initiator/reload.go
+++ b/cmd/initiator/reload.go
@@ -16,9 +16,9 @@
 	reloadRetryInterval = 50 * time.Millisecond
 )
 
-// watchReloads reads the configuration again at each SIGHUP and sends discovery's address, whenever that has changed, to
-// the channel returned; all other settings take effect at the next start. A configuration that cannot be used changes
-// nothing. Its goroutine ends when the channel of signals is closed.
+// watchReloads reads the configuration again at each SIGHUP and sends discovery's address, whenever that has changed, to the
+// channel returned; all other settings take effect at the next start. PROXY_DISCOVERY does not count: see config.Reload. A
+// configuration that cannot be used changes nothing. The goroutine ends when the channel of signals is closed.
 func watchReloads(hangups <-chan os.Signal, getenv func(string) string, discoveryAddr string, log *slog.Logger) <-chan string {
 	changes := make(chan string)
 	go func() {
--- a/cmd/initiator/serve.go
+++ b/cmd/initiator/serve.go
@@ -12,7 +12,7 @@
 	"dapplegate/internal/config"
 )
 
-// Log lines about configurations, wherever they come from.
+// Log lines about configurations, from the file and from the store alike.
 const (
 	eventConfigAccepted = "configuration accepted"
 	eventConfigRejected = "configuration rejected"
@@ -37,7 +37,7 @@
 	cmd.Flags().StringVar(&flags.operatorFile, "operator", "",
 		"an operator's file (TOML), such as deploy/nvme.toml")
 	cmd.Flags().TextVar(&flags.logLevel, "log-level", slog.LevelInfo,
-		"the lowest level that is logged; debug tells what happens to each request")
+		"the lowest level that is logged; debug logs the steps of each request")
 	cmd.Flags().StringSliceVar(&flags.agents, "agents", nil,
 		"take the configuration of PROXY_NAME from these agents, and follow its changes")
 	return cmd
@@ -46,22 +46,22 @@
 // runServe runs an initiator until SIGTERM or SIGINT, and then until its graceful shutdown is complete.
 func runServe(flags serveFlags) error {
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: flags.logLevel}))
-	stop, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
-	defer cancel()
+	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
+	defer stop()
 	// SIGHUP is handled from the start on: by default it would end the process.
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 
 	if len(flags.agents) > 0 {
 		go ignoreReloads(hangups, log)
-		return follow(stop, flags.agents, os.Getenv, flags.operatorFile, log)
+		return follow(ctx, flags.agents, os.Getenv, flags.operatorFile, log)
 	}
 	cfg, operator, err := loadConfig(os.Getenv, flags.operatorFile)
 	if err != nil {
 		return err
 	}
 	discoveryAddrs := watchReloads(hangups, os.Getenv, cfg.Discovery, log)
-	return serve(stop, cfg, operator, log, runOptions{discoveryAddrs: discoveryAddrs})
+	return serve(ctx, cfg, operator, log, runOptions{discoveryAddrs: discoveryAddrs})
 }
 
 // ignoreReloads logs signals to reload in a process that has no configuration file.
--- a/cmd/initiator/serve_test.go
+++ b/cmd/initiator/serve_test.go
@@ -5,6 +5,8 @@
 	"fmt"
 	"testing"
 	"time"
+
+	"dapplegate/internal/dispatcher"
 )
 
 // TestShutdownServesOpenRequests runs a whole initiator and stops it while a request is in flight: that request is served
@@ -25,7 +27,7 @@
 	}()
 	<-b.received
 	stop()
-	time.Sleep(600 * time.Millisecond) // past the grace in which connections are accepted
+	time.Sleep(dispatcher.AcceptGrace + 150*time.Millisecond) // new connections are not accepted any more
 	close(b.released)
 	if got := <-response; got != "200 "+targetBody {
 		t.Errorf("the request that was in flight: %s", got)
