--- a/scheduler/actions.go
+++ b/scheduler/actions.go
@@ -8,8 +8,8 @@
 const (
 	// Send starts an attempt of RequestID at Target, with Timeout and StartWithin.
 	Send ActionKind = iota
-	// Reject ends RequestID with the promise that a retry by the client is harmless; RetryAfter is the
-	// advice to it.
+	// Reject ends RequestID with the promise that a repeat by the client is harmless; an idempotent request
+	// may have been executed. RetryAfter is the advice to the client.
 	Reject
 	// Fail ends RequestID with no promise about its effect.
 	Fail
@@ -24,7 +24,7 @@
 	Kind        ActionKind
 	RequestID   string
 	Target      string
-	Timeout     time.Duration // of a Send: the attempt is abandoned after it
+	Timeout     time.Duration // of a Send: the attempt times out after it
 	StartWithin time.Duration // of a Send: the first byte must leave within it; 0: at any time
 	RetryAfter  time.Duration // of a Reject: how long the client should wait; 0: no advice
 	After       time.Duration // of a SetTimer
--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// admitAt is the one function that every attempt passes; it asks all the rules. It returns the time from
-// which the request may go to the queue's target, or a time at which to ask again. A time that is not after
-// now admits it.
+// admitAt asks the rules on when an attempt may start; see doc.go for the others. Every attempt passes it. It
+// returns the time from which the request may go to the queue's target, or a time at which to ask again. A
+// time that is not after now admits it.
 func (s *Scheduler) admitAt(r *request, q *shardQueue) time.Duration {
 	t := q.target
 	at := max(
--- a/scheduler/arrival.go
+++ b/scheduler/arrival.go
@@ -3,12 +3,12 @@
 import "time"
 
 const (
-	// rejectMarginTicks is how many ticks before half of its timeout a request with no attempt is given up,
+	// giveUpMarginTicks is how many ticks before half of its timeout a request with no attempt is given up,
 	// so that the client has the response by then.
-	rejectMarginTicks = 4
-	// answerMarginTicks is how many ticks before its deadline a response must leave: a timer may come a
-	// tick late, and so may the step after it.
-	answerMarginTicks = 2
+	giveUpMarginTicks = 4
+	// timerMarginTicks is the timer margin in ticks: a timer may come a tick late, and so may the step after
+	// it.
+	timerMarginTicks = 2
 )
 
 // onRequest takes a new request: it is queued for its shard, or rejected at once.
@@ -16,7 +16,7 @@
 	if s.requests[e.ID] != nil {
 		return
 	}
-	s.retryBudget.recordFirstAttempt(s.now)
+	s.retryBudget.recordArrival(s.now)
 	class := s.classes[e.Class]
 	plan := s.plans[e.Plan]
 	if class == nil || plan == nil || e.Timeout <= 0 {
@@ -25,11 +25,11 @@
 	}
 	r := s.newRequest(e, class, s.volumeFor(e, plan))
 	s.requests[r.ID] = r
-	s.deadlines.add(r)
+	s.giveUps.add(r)
 	r.volume.backlog++
 	s.joinSerialQueue(r)
 	r.queue = s.selectQueue(r)
-	if r.objectiveAt <= s.now { // a retry by the client, after the objective of its first try
+	if r.objectiveAt <= s.now { // a client retry, after the objective of the first request
 		r.pastObjective = true
 		s.giveUp(r)
 		return
@@ -60,26 +60,29 @@
 		firstArrival: s.now,
 		deadline:     s.now + e.Timeout,
 		objectiveAt:  s.now + class.LatencyObjective,
-		answerBy:     s.firstAttemptDeadline(e.Timeout),
+		giveUpAt:     s.firstGiveUpAt(e.Timeout),
 		heapIndex:    -1,
 	}
 	s.subtractStall(r)
-	s.recognizeRetry(r)
-	r.objectiveAt = min(r.objectiveAt, r.deadline-s.answerMargin())
+	s.recognizeClientRetry(r)
+	r.objectiveAt = min(r.objectiveAt, r.deadline-s.timerMargin())
 	return r
 }
 
-// firstAttemptDeadline is when a request with no attempt is given up: after half its timeout. A client that
-// learns it by then has time for another try.
-func (s *Scheduler) firstAttemptDeadline(timeout time.Duration) time.Duration {
-	return s.now + max(timeout/2-rejectMarginTicks*s.settings.Tick, s.settings.Tick)
+// firstGiveUpAt is the giveUpAt of a request with no attempt: after half its timeout. A client that has the
+// response by then has time for a client retry.
+func (s *Scheduler) firstGiveUpAt(timeout time.Duration) time.Duration {
+	return s.now + max(timeout/2-giveUpMarginTicks*s.settings.Tick, s.settings.Tick)
 }
 
-// answerMargin is how long before a deadline the response must leave.
-func (s *Scheduler) answerMargin() time.Duration { return answerMarginTicks * s.settings.Tick }
+// timerMargin is how long before its deadline a request is given up at the latest: a timer may come a tick
+// late, and so may the step after it. The time to write the response is the caller's affair; the dispatcher
+// subtracts its ResponseWriteMargin from the timeout.
+func (s *Scheduler) timerMargin() time.Duration { return timerMarginTicks * s.settings.Tick }
 
-// subtractStall moves the objective of a request that arrived while this process stood still: its timeout
-// tells how long it has waited since.
+// subtractStall moves the objective of a request that arrived while this process stood still: what is left
+// of its timeout tells how long it has waited. It assumes that the client's whole timeout is the deadline of
+// the class.
 func (s *Scheduler) subtractStall(r *request) {
 	waited := r.class.Deadline - r.Timeout
 	if s.stall > 0 && waited < s.stall+s.shortestObjective/timersPerObjective {
@@ -87,17 +90,17 @@
 	}
 }
 
-// recognizeRetry moves the objective of a client's retry after a rejection here to that of its first try. A
-// retry has the same key and ends within the deadline of the first.
+// recognizeClientRetry moves the objective of a client retry to that of the first request, after it was given
+// up here. A client retry has the same key, and ends within the deadline of the first request.
 //
-// Failure: all clients come with short timeouts, and each request is taken for a retry and held until it is
-// rejected. A short timeout alone does not make a request a retry.
-func (s *Scheduler) recognizeRetry(r *request) {
-	first := s.rejected.find(r)
-	if first == nil || r.deadline > first.firstArrival+r.class.Deadline+s.answerMargin() {
+// Prevents: all clients use short timeouts, so each request is taken for a client retry and waits until it is
+// rejected. A short timeout alone does not make a request a client retry.
+func (s *Scheduler) recognizeClientRetry(r *request) {
+	first := s.givenUp.find(r)
+	if first == nil || r.deadline > first.firstArrival+r.class.Deadline+s.timerMargin() {
 		return
 	}
 	r.firstArrival = first.firstArrival
 	r.objectiveAt = first.firstArrival + r.class.LatencyObjective
-	s.rejected.remove(r)
+	s.givenUp.remove(r)
 }
--- a/scheduler/attempts.go
+++ b/scheduler/attempts.go
@@ -7,6 +7,7 @@
 		return
 	}
 	t := r.inFlight
+	// Before removeInFlight: the checks of the concurrency limit and of outliers count the ending attempt.
 	s.recordResult(t, r, e)
 	s.onLoadReport(t, e.LoadReport)
 	t.removeInFlight(r)
@@ -16,42 +17,42 @@
 	}
 	s.settleExtent(r, e.Status)
 	if e.Status != ConnectFailed && e.Status != NotSent {
-		r.answerBy = r.deadline - s.answerMargin() // it was written, so it has its whole timeout
+		r.giveUpAt = r.deadline - s.timerMargin() // it was written, so it has its whole timeout
 	}
 	r.recordExecution(t, e.Status)
 	switch {
 	case r.answered:
 		s.release(r)
 	case e.Answered:
-		s.finish(r)
-	case s.now >= r.answerBy || !s.mayRetry(r):
+		s.endRequest(r)
+	case s.now >= r.giveUpAt || !s.mayRetry(r):
 		s.giveUp(r)
 	default:
 		s.requeue(r, t)
 	}
 }
 
-// requeue queues the request for a retry, after a backoff.
+// requeue queues the request for a retry, after a backoff. It keeps its tags: its units were charged to the
+// volume once.
 func (s *Scheduler) requeue(r *request, t *target) {
 	if r.needsDedup() {
-		r.answerBy = min(r.answerBy, r.dedupEndsAt())
+		r.giveUpAt = min(r.giveUpAt, r.dedupEndsAt())
 	}
 	r.notBefore = s.now + s.retryBackoff(r, t)
 	r.queue.enqueue(r)
-	s.deadlines.add(r)
+	s.giveUps.add(r)
 }
 
-// onResponseStarted lets the attempt in flight continue until its end, past the time to give the request
-// up.
+// onResponseStarted lets the attempt in flight continue until its end, past the request's giveUpAt.
 func (s *Scheduler) onResponseStarted(e ResponseStarted) {
 	if r := s.requests[e.RequestID]; r != nil {
-		s.deadlines.remove(r)
+		s.giveUps.remove(r)
 	}
 }
 
-// onClientClosed drops the request; an attempt in flight goes on.
+// onClientClosed ends the request. An attempt in flight goes on.
 func (s *Scheduler) onClientClosed(e ClientClosed) {
 	if r := s.requests[e.RequestID]; r != nil && !r.answered {
-		s.finish(r)
+		s.endRequest(r)
 	}
 }
--- /dev/null
+++ b/scheduler/givenup.go
@@ -0,0 +1,36 @@
+package scheduler
+
+import "time"
+
+// givenUpRequests remembers requests that were given up here, rejected or failed, until their client's
+// deadline, so that a client retry is recognized.
+type givenUpRequests struct {
+	byKey   map[clientRetryKey]*request // the latest of each key
+	inOrder []*request                  // in the order in which they were given up
+}
+
+func newGivenUpRequests() givenUpRequests {
+	return givenUpRequests{byKey: map[clientRetryKey]*request{}}
+}
+
+// find returns the request of which this one may be a client retry, or nil.
+func (m *givenUpRequests) find(r *request) *request { return m.byKey[r.clientRetryKey()] }
+
+// remove forgets the request of which this one is a client retry.
+func (m *givenUpRequests) remove(r *request) { delete(m.byKey, r.clientRetryKey()) }
+
+// add remembers the request, and forgets the oldest ones whose client no longer waits.
+func (m *givenUpRequests) add(r *request, now time.Duration) {
+	m.byKey[r.clientRetryKey()] = r
+	m.inOrder = append(m.inOrder, r)
+	for len(m.inOrder) > 0 {
+		oldest := m.inOrder[0]
+		if now <= oldest.firstArrival+oldest.class.Deadline {
+			return
+		}
+		if m.byKey[oldest.clientRetryKey()] == oldest {
+			delete(m.byKey, oldest.clientRetryKey())
+		}
+		m.inOrder = m.inOrder[1:]
+	}
+}
--- /dev/null
+++ b/scheduler/givenup_test.go
@@ -0,0 +1,76 @@
+package scheduler
+
+import (
+	"testing"
+	"time"
+)
+
+// TestShortTimeoutIsNoClientRetry has all clients use a tenth of their usual timeout. If a short timeout made
+// a request a late client retry, each would wait until it is rejected. They must be sent.
+func TestShortTimeoutIsNoClientRetry(t *testing.T) {
+	h := newHarness(t, testSettings(), servingTarget("n", 0))
+	h.step(testRequest("full", "v", 1))
+	h.now += 20 * ms
+	h.endAttempt("full", Succeeded, 20*ms)
+	for i := range 40 {
+		request := testRequest(string(rune('A'+i)), "v", 1)
+		request.Timeout = 200 * ms
+		h.step(request)
+		h.now += 20 * ms
+		if h.attempts[request.ID] > 0 {
+			h.endAttempt(request.ID, Succeeded, 20*ms)
+		}
+	}
+	if got := len(h.sends); got < 25 {
+		t.Fatalf("%d of 41 requests sent", got)
+	}
+}
+
+// TestClientRetryPastObjectiveIsRejectedAtOnce has a client retry after a rejection, when the objective of
+// the first request has passed. The client retry must take nothing from the volume's bucket, and be rejected
+// at once with the advice to wait until the client's deadline.
+func TestClientRetryPastObjectiveIsRejectedAtOnce(t *testing.T) {
+	h := newHarness(t, testSettings(), servingTarget("n", 1))
+	request := testRequest("a", "v", 3)
+	h.step(request)
+	h.advance(time.Second)
+	if len(h.responses) != 1 {
+		t.Fatalf("responses %v, want the first request rejected", h.responses)
+	}
+	before := h.scheduler.volumes["v"].bucket.tokens
+	request.ID = "b"
+	request.Timeout = 900 * ms
+	actions := h.step(request)
+	if len(h.responses) != 2 || h.responses[1].Kind != Reject || h.responses[1].RetryAfter != 900*ms {
+		t.Fatalf("client retry: %v, want it rejected at once with a Retry-After of 900ms", actions)
+	}
+	if after := h.scheduler.volumes["v"].bucket.tokens; after != before {
+		t.Errorf("the client retry moved the bucket from %v to %v", before, after)
+	}
+}
+
+// TestGivenUpRequestsAreForgotten checks that a request that was given up is known by its key until its
+// client's deadline, and that an older one of the same key does not remove a newer.
+func TestGivenUpRequestsAreForgotten(t *testing.T) {
+	class := &Class{Deadline: time.Second}
+	givenUpAt := func(id, extent string, at time.Duration) *request {
+		return &request{Request: Request{ID: id, Extent: extent}, class: class, firstArrival: at}
+	}
+	memory := newGivenUpRequests()
+	older := givenUpAt("older", "x", 0)
+	newer := givenUpAt("newer", "x", 900*ms)
+	memory.add(older, 0)
+	memory.add(newer, 900*ms)
+	memory.add(givenUpAt("other", "y", 1100*ms), 1100*ms)
+	if got := memory.find(givenUpAt("retry", "x", 0)); got != newer {
+		t.Errorf("found %v, want the newer request", got)
+	}
+	memory.add(givenUpAt("last", "z", 3*time.Second), 3*time.Second)
+	if len(memory.byKey) != 1 || len(memory.inOrder) != 1 {
+		t.Errorf("%d keys and %d requests kept, want the last one", len(memory.byKey), len(memory.inOrder))
+	}
+	memory.remove(givenUpAt("retry", "z", 0))
+	if len(memory.byKey) != 0 {
+		t.Error("a removed request is still found")
+	}
+}
--- a/scheduler/request.go
+++ b/scheduler/request.go
@@ -13,11 +13,11 @@
 	volume *volume
 	queue  *shardQueue
 
-	firstArrival time.Duration // arrival of the client's first try, as far as it is known
+	firstArrival time.Duration // arrival of the first request, if this is a client retry; else its own
 	objectiveAt  time.Duration // end of the latency objective
-	deadline     time.Duration // when the client stops waiting
-	answerBy     time.Duration // when it is given up, unless an attempt is in flight
-	heapIndex    int           // index in the deadline heap; -1: not there
+	deadline     time.Duration // when the client stops waiting for this request
+	giveUpAt     time.Duration // when it is given up, unless an attempt is in flight
+	heapIndex    int           // index in the giveUpHeap; -1: not there
 
 	startTag      time.Duration // see tags.go
 	finishTag     time.Duration
@@ -43,14 +43,14 @@
 	since time.Duration
 }
 
-// retryKey is what the tries of one client have in common.
-type retryKey struct {
+// clientRetryKey is what a request and its client retries have in common.
+type clientRetryKey struct {
 	class, volume, extent string
 	units                 float64
 }
 
-func (r *request) retryKey() retryKey {
-	return retryKey{class: r.Class, volume: r.Volume, extent: r.Extent, units: r.Units}
+func (r *request) clientRetryKey() clientRetryKey {
+	return clientRetryKey{class: r.Class, volume: r.Volume, extent: r.Extent, units: r.Units}
 }
 
 // recordExecution notes that the attempt, which ended with this status, may have been executed by the
@@ -63,24 +63,6 @@
 	r.firstExecution = execution{zone: t.Zone, shard: t.Shard, since: r.sentAt}
 }
 
-// dedupEndsAt is when targets no longer drop repeats of the request, which may have been executed.
-func (r *request) dedupEndsAt() time.Duration {
-	return r.firstExecution.since + r.class.DedupWindow
-}
-
-// needsDedup reports whether another attempt is harmless only where targets drop it as a repeat.
-func (r *request) needsDedup() bool {
-	return r.mayHaveExecuted && r.class.Idempotency == IdempotencyKey
-}
-
-// isRepeatHarmless reports whether the client may send the request again, to any target and at any time.
-func (r *request) isRepeatHarmless() bool {
-	if !r.mayHaveExecuted || r.class.Idempotency == Idempotent {
-		return true
-	}
-	return r.class.Idempotency == IdempotencyKey && r.class.DedupScope == DedupEverywhere
-}
-
 // without returns the list without the request.
 func without(list []*request, r *request) []*request {
 	if i := slices.Index(list, r); i >= 0 {
--- a/scheduler/retry_test.go
+++ b/scheduler/retry_test.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// TestRetryBudget checks the bound on retries: a minimum of 2 and a tenth of the first attempts, within 10
-// s.
+// TestRetryBudget checks the bound on retries: a minimum of 2 and a tenth of the requests that arrived,
+// within 10 s.
 func TestRetryBudget(t *testing.T) {
 	budget := retryBudget{
 		RetryBudget: RetryBudget{Enabled: true, Minimum: 2, Ratio: 0.1, Window: 10 * time.Second},
@@ -49,7 +49,7 @@
 	}
 	now := time.Minute
 	for range 10 {
-		budget.recordFirstAttempt(now)
+		budget.recordArrival(now)
 	}
 	for i := range 3 {
 		if at := budget.admitAt(now); at > now {
@@ -58,14 +58,14 @@
 		budget.recordRetry(now)
 	}
 	if at := budget.admitAt(now); at <= now {
-		t.Error("a fourth retry is admitted with 10 first attempts")
+		t.Error("a fourth retry is admitted with 10 arrivals")
 	}
 	now += 10*time.Second + 3*ms
 	if at := budget.admitAt(now); at > now {
 		t.Errorf("a retry is admitted at %v after the window, want now", at)
 	}
-	if len(budget.firstAttempts)+len(budget.retries) != 0 {
-		t.Errorf("%d first attempts and %d retries kept after the window", len(budget.firstAttempts), len(budget.retries))
+	if len(budget.arrivals)+len(budget.retries) != 0 {
+		t.Errorf("%d arrivals and %d retries kept after the window", len(budget.arrivals), len(budget.retries))
 	}
 	budget.Enabled = false
 	for range 100 {
@@ -94,7 +94,7 @@
 			mayHaveExecuted: true,
 			firstExecution:  execution{zone: "a", shard: 1},
 		}
-		got := []bool{r.isDeduplicated(same), r.isDeduplicated(otherShard), r.isDeduplicated(otherZone)}
+		got := []bool{r.isInDedupScope(same), r.isInDedupScope(otherShard), r.isInDedupScope(otherZone)}
 		if want := []bool{c.same, c.otherShard, c.otherZone}; !slices.Equal(got, want) {
 			t.Errorf("scope %d: same, other shard, other zone: %v, want %v", c.scope, got, want)
 		}
--- a/scheduler/rulechecks_test.go
+++ b/scheduler/rulechecks_test.go
@@ -6,15 +6,7 @@
 	"time"
 )
 
-// The seven rules:
-//
-//  1. each request ends exactly once, by its deadline
-//  2. no request is executed twice where its class does not allow it
-//  3. no attempt goes to a draining or removed target
-//  4. a warming target gets no more than this initiator's part of what it can serve
-//  5. requests for a serialized extent run one at a time, in order
-//  6. retries stay within the retry budget
-//  7. a volume stays within this initiator's part of its limit
+// The checks of the seven rules that doc.go lists. They count by themselves, from events and actions alone.
 
 // tolerance allows for rounding, in units.
 const tolerance = 1e-6
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -35,9 +35,9 @@
 
 	// Requests.
 	requests         map[string]*request
-	deadlines        deadlineHeap
+	giveUps          giveUpHeap
 	shutdownDeadline time.Duration // no request may be open after it; never: no shutdown yet
-	rejected         rejectedRequests
+	givenUp          givenUpRequests
 	serialQueues     map[string]*serialQueue // by extent
 	shardQueues      []*shardQueue
 	volumes          map[string]*volume
@@ -71,7 +71,7 @@
 		minConcurrency:    max(1, sharedMinConcurrency/float64(settings.Initiators)),
 		requests:          map[string]*request{},
 		shutdownDeadline:  never,
-		rejected:          newRejectedRequests(),
+		givenUp:           newGivenUpRequests(),
 		serialQueues:      map[string]*serialQueue{},
 		volumes:           map[string]*volume{},
 		targetsByID:       map[string]*target{},
--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -35,7 +35,7 @@
 type Class struct {
 	Name             string
 	LatencyObjective time.Duration // a response within it earns the full PriorityWeight; must be positive
-	Deadline         time.Duration // how long a client waits, over all its tries; must be positive
+	Deadline         time.Duration // how long a client waits, over all its retries; must be positive
 	Idempotency      Idempotency
 	DedupScope       DedupScope    // for IdempotencyKey
 	DedupWindow      time.Duration // for IdempotencyKey: since the first attempt that may have been executed
@@ -63,7 +63,7 @@
 }
 
 // RetryBudget bounds the retries of an initiator: within each Window at most Minimum plus Ratio times the
-// number of first attempts.
+// number of requests that arrived.
 type RetryBudget struct {
 	Enabled bool
 	Minimum float64
--- a/scheduler/sweep_test.go
+++ b/scheduler/sweep_test.go
@@ -21,11 +21,11 @@
 		s := h.scheduler
 		for name, size := range map[string]int{
 			"requests":          len(s.requests),
-			"first attempts":    len(s.retryBudget.firstAttempts),
+			"arrivals":          len(s.retryBudget.arrivals),
 			"retries":           len(s.retryBudget.retries),
-			"rejected":          len(s.rejected.byKey),
-			"rejected in order": len(s.rejected.inOrder),
-			"deadlines":         len(s.deadlines),
+			"given up":          len(s.givenUp.byKey),
+			"given up in order": len(s.givenUp.inOrder),
+			"give-up heap":      len(s.giveUps),
 		} {
 			if size > 10 {
 				t.Errorf("retry budget %v: %d %s kept", hasBudget, size, name)
--- a/scheduler/timer.go
+++ b/scheduler/timer.go
@@ -37,11 +37,11 @@
 	}
 }
 
-// nextWorkAt returns when the next poll, the next deadline or the next dispatch is due.
+// nextWorkAt returns when the next poll, the next request to give up or the next dispatch is due.
 func (s *Scheduler) nextWorkAt() time.Duration {
 	next := s.poller.nextPoll
-	if r := s.deadlines.earliest(); r != nil {
-		next = min(next, r.answerBy)
+	if r := s.giveUps.earliest(); r != nil {
+		next = min(next, r.giveUpAt)
 	}
 	for _, q := range s.shardQueues {
 		if len(q.queued) > 0 {
