--- a/scheduler/attempts.go
+++ b/scheduler/attempts.go
@@ -17,7 +17,7 @@
 	}
 	s.settleExtent(r, e.Status)
 	if e.Status != ConnectFailed && e.Status != NotSent {
-		r.giveUpAt = r.deadline - s.timerMargin() // it was written, so it has its whole timeout
+		r.giveUpAt = r.deadline - s.timerMargin() // it was sent, so it has its whole timeout
 	}
 	r.recordExecution(t, e.Status)
 	switch {
--- a/scheduler/concurrency.go
+++ b/scheduler/concurrency.go
@@ -19,8 +19,8 @@
 	concurrencyIncrement = 0.25
 	// maxConcurrencyGrowth bounds the factor of one update.
 	maxConcurrencyGrowth = 2
-	// latencyTolerance is the multiple of the base latency that the limit tends to. What waits at a target
-	// can no longer be ordered.
+	// latencyTolerance is the smoothed latency, as a multiple of the base latency, that the limit is steered
+	// to. Requests that wait at a target can no longer be ordered.
 	latencyTolerance = 1.5
 	// calmObjectives is after how many shortest objectives without pressure a target is calm. It may then
 	// have a longer queue, since the order of requests does not matter.
@@ -29,9 +29,10 @@
 	calmFactor = 2
 )
 
-// updateConcurrency moves the concurrency limit after a response. It follows PARDA: the limit tends to
-// where the smoothed latency is latencyTolerance times the base latency, and grows only while it is used
-// up.
+// updateConcurrency moves the concurrency limit after a success. It follows PARDA: the limit tends to where
+// the smoothed latency is latencyTolerance times the base latency. It departs from PARDA in that the goal is
+// relative to the target's base latency and higher for a calm target, that one update grows the limit by a
+// bounded factor, and that the limit grows only while it is used up.
 func (s *Scheduler) updateConcurrency(t *target) {
 	goal := latencyTolerance * t.baseLatency
 	if s.now-t.lastPressure > calmObjectives*s.shortestObjective {
@@ -49,12 +50,15 @@
 // halveConcurrency is the response to overload: a rejection, or a target that does not answer.
 func (t *target) halveConcurrency() { t.concurrencyLimit = max(1, t.concurrencyLimit/2) }
 
-// hasCapacity reports whether the target may have another attempt in flight, with so many beyond its
-// concurrency limit.
+// hasCapacity reports whether the target may have another attempt in flight.
+func (s *Scheduler) hasCapacity(t *target) bool { return s.hasCapacityBeyond(t, 0) }
+
+// hasCapacityBeyond reports whether the target may have another attempt in flight, if that many may exceed
+// its concurrency limit. An outlier has no such excess.
 //
-// Failure: responses get lost, their attempts hold all slots, and nothing is sent until they time out. An
+// Prevents: responses get lost, their attempts hold all slots, and nothing is sent until they time out. An
 // attempt without a response for the silence timeout does not hold its slot.
-func (s *Scheduler) hasCapacity(t *target, beyondLimit int) bool {
+func (s *Scheduler) hasCapacityBeyond(t *target, excess int) bool {
 	inFlight := 0
 	for _, r := range t.inFlight {
 		if s.now-r.sentAt < s.silenceTimeout(t) {
@@ -64,5 +68,5 @@
 	if s.isOutlier(t) {
 		return inFlight == 0
 	}
-	return float64(inFlight) < math.Floor(t.concurrencyLimit)+float64(beyondLimit)
+	return float64(inFlight) < math.Floor(t.concurrencyLimit)+float64(excess)
 }
--- a/scheduler/dispatch.go
+++ b/scheduler/dispatch.go
@@ -4,9 +4,9 @@
 func (s *Scheduler) dispatchQueue(q *shardQueue) {
 	q.wakeAt = never
 	for q.target != nil && len(q.queued) > 0 {
-		hasCapacity := s.hasCapacity(q.target, 0)
+		hasCapacity := s.hasCapacity(q.target)
 		// A sequential run may exceed the concurrency limit, since it costs the target less.
-		if !hasCapacity && !s.hasCapacity(q.target, maxSequentialRun-1) {
+		if !hasCapacity && !s.hasCapacityBeyond(q.target, maxSequentialRun-1) {
 			return
 		}
 		r := s.selectNext(q, hasCapacity)
@@ -47,8 +47,8 @@
 		Timeout:   min(s.attemptTimeout(t, r), untilDeadline),
 	}
 	if r.needsDedup() {
-		// Failure: the connection takes long to come up, and the repeat arrives when targets no longer drop
-		// it.
+		// Prevents: the connection takes long to open, and the retry arrives when targets no longer drop it.
+		// The caller sends no first byte after this time.
 		action.StartWithin = r.dedupEndsAt() - s.now
 	}
 	return action
--- a/scheduler/endpoints.go
+++ b/scheduler/endpoints.go
@@ -9,8 +9,8 @@
 	maxPollBackoff = 8 * time.Second
 )
 
-// endpointPoller decides when the endpoint list is requested, where it does not come by itself. Once the
-// list has come, its changes follow without a further poll.
+// endpointPoller decides when the endpoint list is requested, where the caller does not watch it by itself.
+// Once the list was received, its changes follow without a further poll.
 type endpointPoller struct {
 	enabled  bool
 	nextPoll time.Duration // never: no poll is needed
@@ -37,7 +37,7 @@
 // recordSuccess resets the backoff.
 func (p *endpointPoller) recordSuccess() { p.backoff = minPollBackoff }
 
-// takeDue reports whether to poll now. The poll then counts as sent.
+// takeDue reports whether to poll now, and notes the poll as sent.
 func (p *endpointPoller) takeDue(now time.Duration) bool {
 	if p.nextPoll > now {
 		return false
@@ -76,15 +76,15 @@
 	t.Target = entry
 }
 
-// onTargetRestart forgets what was known of the target's former process.
+// onTargetRestart resets what was learned of the target's former process.
 func (s *Scheduler) onTargetRestart(t *target) {
 	t.concurrencyLimit = recoveryConcurrency
 	t.consecutiveFailures = 0
 	t.smoothedLatency = 0
-	if s.slowStart.shared {
-		// Failure: all initiators send what they have queued for the target in the moment of its start, and
-		// it fails under the load. Each waits for a random part of half a window, so that the first
-		// requests are spread.
+	if s.slowStart.oneRequestPerWindow {
+		// Prevents: all initiators send what they have queued for the target at the moment of its start,
+		// and it is overloaded and fails. Each initiator waits for a random part of half a window, which
+		// spreads the first requests.
 		spread := float64(s.slowStart.Window / 2)
 		t.ejectedUntil = s.now + time.Duration(s.rng.Float64()*spread)
 	}
--- a/scheduler/latency.go
+++ b/scheduler/latency.go
@@ -6,10 +6,10 @@
 )
 
 const (
-	// smoothingGain is the part by which one response moves an average.
+	// smoothingGain is the part of its difference from an average by which one response moves it.
 	smoothingGain = 0.1
-	// baseIncreaseDivisor is how much less a slower response moves the base latency than a quicker one, so
-	// that it tends to a low quantile.
+	// baseIncreaseDivisor divides the gain of a response slower than the base latency, so that the base
+	// latency tends to a low quantile.
 	baseIncreaseDivisor = 8
 	// latencyMemoryObjectives is for how many shortest objectives a response or a load report is believed.
 	// A response after a longer gap outweighs all before it; without one the estimate falls to the base
@@ -44,7 +44,7 @@
 }
 
 // attemptTimeout is the timeout of an attempt. It is long, since no other target has the data: an early
-// retry would only add load. It frees the slot of an attempt whose response was lost.
+// retry would only add load. The timeout frees the slot of an attempt whose response was lost.
 func (s *Scheduler) attemptTimeout(t *target, r *request) time.Duration {
 	return max(timeoutObjectives*r.class.LatencyObjective, seconds(2*silenceFactor*t.smoothedLatency))
 }
@@ -52,8 +52,8 @@
 // expectedLatency is the latency to expect now of a request of mean size, in seconds: the base latency, and
 // on top of it the greater of what responses and load reports showed.
 //
-// Failure: after one long response nothing is sent to the target any more, so that nothing corrects the
-// estimate. Both parts decay with time, and the estimate falls to the base latency.
+// Prevents: after one long response nothing is sent to the target any more, so that nothing corrects the
+// estimate. Both parts decay with time, so the estimate falls to the base latency.
 func (s *Scheduler) expectedLatency(t *target) float64 {
 	memory := s.latencyMemory()
 	observed := (t.smoothedLatency - t.baseLatency) * math.Exp(-(s.now-t.lastHeard).Seconds()/memory)
@@ -62,8 +62,10 @@
 	return t.baseLatency + max(observed, reported)
 }
 
-// onLoadReport keeps the target's reported load. A report with absent or absurd values changes nothing, and
-// so does one from a target without a measured latency.
+// onLoadReport stores the target's reported load. A report with absent or absurd values changes nothing, nor
+// does one from a target without a measured latency. The load is the queue depth, or else the number in
+// flight: targets need not report both, both grow with the requests ahead of a new one, and queueingFactor is
+// learned from the value that is used.
 func (s *Scheduler) onLoadReport(t *target, report *LoadReport) {
 	if report == nil || t.smoothedLatency == 0 {
 		return
--- a/scheduler/ordering.go
+++ b/scheduler/ordering.go
@@ -50,8 +50,8 @@
 
 // settleExtent delays the next request for the extent after an attempt that may still be running.
 //
-// Failure: an attempt times out here, the target goes on with it, and the next request for the extent
-// overtakes it.
+// Prevents: an attempt times out here, the target goes on with it, and the next request for the extent
+// overtakes it. The settle time leaves the target time to finish.
 func (s *Scheduler) settleExtent(r *request, status AttemptStatus) {
 	q := s.serialQueues[r.Extent]
 	if q == nil || !r.isSerialized() || !status.mayStillRun() {
--- a/scheduler/outlier.go
+++ b/scheduler/outlier.go
@@ -5,15 +5,15 @@
 const (
 	// outlierFailures is the number of failures in a row that makes a target an outlier.
 	outlierFailures = 3
-	// errorForgiveness is the part of a failure that an error response does not count for. A target that
-	// fails a part of its requests quickly still serves the others.
-	errorForgiveness = 0.75
-	// maxEjectionFailures is the number of failures in a row beyond which the ejection grows no longer.
+	// errorWeight is the part of a failure that an error response counts for. A target that fails a part of
+	// its requests quickly still serves the others.
+	errorWeight = 0.25
+	// maxEjectionFailures is the number of failures in a row beyond which the ejection no longer grows.
 	maxEjectionFailures = 4
-	// ejectionDivisor is the part of the silence timeout that each failure in a row adds to the ejection.
+	// ejectionDivisor divides the silence timeout: each failure in a row adds the quotient to the ejection.
 	ejectionDivisor = 4
-	// failureSteps is the number of steps in which a failure is counted, see errorForgiveness.
-	failureSteps = 4
+	// errorsPerFailure is the number of error responses that count for a whole failure.
+	errorsPerFailure = 1 / errorWeight
 )
 
 // isOutlier reports whether the target failed several times with no success between, or is silent: an
@@ -31,7 +31,8 @@
 	return false
 }
 
-// recordResult updates what is known of the target from the end of an attempt.
+// recordResult updates what is known of the target from the end of an attempt. Cancelled and NotSent are no
+// case: this initiator ended the attempt, which says nothing of the target.
 func (s *Scheduler) recordResult(t *target, r *request, e AttemptEnded) {
 	switch e.Status {
 	case Succeeded:
@@ -45,7 +46,7 @@
 	}
 }
 
-// recordSuccess ends the ejection, and takes the latency into the estimates.
+// recordSuccess ends the ejection, and updates the estimates with the latency.
 func (s *Scheduler) recordSuccess(t *target, r *request, latency time.Duration) {
 	if s.isOutlier(t) {
 		t.concurrencyLimit = recoveryConcurrency
@@ -73,8 +74,8 @@
 
 // recordTimeout counts a timeout as a failure, unless it was shorter than the silence timeout.
 //
-// Failure: clients with short timeouts make a healthy target an outlier. Such a timeout tells only that the
-// latency is at least that long.
+// Prevents: clients with short timeouts make a healthy target an outlier. A timeout shorter than the silence
+// timeout shows only that the latency is at least that long.
 func (s *Scheduler) recordTimeout(t *target, latency time.Duration) {
 	if latency < s.silenceTimeout(t) {
 		t.smoothedLatency += max(0, latency.Seconds()-t.smoothedLatency) * smoothingGain
@@ -86,18 +87,20 @@
 
 // recordFailure ejects the target for a time that grows with the failures in a row.
 func (s *Scheduler) recordFailure(t *target, status AttemptStatus) {
-	t.consecutiveFailures++
 	if status == Errored {
-		t.consecutiveFailures -= errorForgiveness
+		t.consecutiveFailures += errorWeight
+	} else {
+		t.consecutiveFailures++
 	}
 	t.lastHeard = s.now
 	t.ejectedUntil = s.now + s.ejectionTime(t)
 }
 
-// ejectionTime is how long the target gets no attempt after a failure: a quarter of the silence timeout for
-// each failure in a row after the first.
+// ejectionTime is how long the target gets no attempt after a failure: the silence timeout divided by
+// ejectionDivisor, for each failure in a row after the first. Durations stay integers: failures are counted
+// in errors.
 func (s *Scheduler) ejectionTime(t *target) time.Duration {
 	failures := max(0, min(t.consecutiveFailures, maxEjectionFailures)-1)
-	steps := time.Duration(failures * failureSteps) // a whole number
-	return s.silenceTimeout(t) * steps / (failureSteps * ejectionDivisor)
+	errorCount := time.Duration(failures * errorsPerFailure) // a whole number
+	return s.silenceTimeout(t) * errorCount / (errorsPerFailure * ejectionDivisor)
 }
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -6,8 +6,8 @@
 	// migrationFactor is how many times shorter the wait at another shard must be for a queued request to
 	// move.
 	migrationFactor = 2
-	// warmingUpFactor multiplies the expected wait at a target that warms up.
-	warmingUpFactor = 4
+	// slowStartWaitFactor multiplies the expected wait at a target in slow start.
+	slowStartWaitFactor = 4
 	// outlierPenaltyObjectives is added to the expected wait at an outlier or ejected target, in shortest
 	// objectives, so that any other target comes before it.
 	outlierPenaltyObjectives = 100
@@ -40,21 +40,23 @@
 	}
 	latency := t.smoothedLatency
 	if latency == 0 {
-		// Failure: each new object goes to one more target without a known latency, and takes up one of the
-		// few connections that a target holds. An unknown latency counts as a whole objective.
+		// Prevents: each new object goes to one more target without a known latency, and takes up one of
+		// the few connections that a target holds. An unknown latency counts as a whole objective, so
+		// targets that have answered come first.
 		latency = s.shortestObjective.Seconds()
 	}
 	wait := latency * (1 + float64(len(q.queued)+len(t.inFlight))/t.concurrencyLimit)
 	if s.isOutlier(t) || t.ejectedUntil > s.now {
 		wait += outlierPenaltyObjectives * s.shortestObjective.Seconds()
 	}
-	if s.slowStart.isWarmingUp(t, s.now) {
-		wait *= warmingUpFactor
+	if s.slowStart.isInSlowStart(t, s.now) {
+		wait *= slowStartWaitFactor
 	}
 	return wait
 }
 
-// migrateQueued moves queued new objects away from shards that have become much worse than the best.
+// migrateQueued moves queued new objects away from shards that have become much worse than the best. A
+// request keeps its tags: its units were charged to the volume, whose bucket all shards share, once.
 func (s *Scheduler) migrateQueued() {
 	for _, q := range s.shardQueues {
 		for i := 0; i < len(q.queued); i++ {
--- a/scheduler/priority.go
+++ b/scheduler/priority.go
@@ -2,11 +2,12 @@
 
 import "math"
 
-// minPriorityWeight keeps a division by the highest weight finite.
-const minPriorityWeight = 1e-9
+// minHighestPriority keeps a division by the highest priority finite.
+const minHighestPriority = 1e-9
 
-// priority is what a unit of the request earns: the full weight while the volume's reservation has units
-// left, the within-share part once its start tag has come, and less the further that is ahead.
+// priority is what a unit of the request earns if served within the objective: the full weight while
+// the volume's reservation has units left, the within-share part from its start tag on, and less the longer
+// it is until then.
 func (s *Scheduler) priority(r *request) float64 {
 	weight := r.class.PriorityWeight * r.volume.plan.PriorityFactor
 	if s.reservationCredit(r.volume) >= r.Units {
@@ -38,10 +39,11 @@
 // waitsForLessLoad reports whether the request waits until the target has less load; expectedLatency is in
 // seconds. The lower its priority, the less load it may meet.
 //
-// Failure: with tens of initiators, each adds low-priority requests to a target where it has nothing in
-// flight itself. What waits there is mostly the others' requests, which no tag of this initiator orders.
+// Prevents: with tens of initiators, each adds low-priority requests to a target where it has nothing in
+// flight itself, and requests of high priority wait behind them. No tag of this initiator orders the requests
+// of the others, so it holds its own back while the target has load.
 func (s *Scheduler) waitsForLessLoad(r *request, t *target, expectedLatency float64) bool {
-	relativePriority := s.priority(r) / max(s.highestWeight, minPriorityWeight)
+	relativePriority := s.priority(r) / max(s.highestPriority, minHighestPriority)
 	tolerated := (s.shortestObjective.Seconds() - t.baseLatency) * math.Sqrt(relativePriority)
 	return expectedLatency-t.baseLatency > max(tolerated, (idleLatencyFactor-1)*t.baseLatency)
 }
--- a/scheduler/retry.go
+++ b/scheduler/retry.go
@@ -8,19 +8,18 @@
 	// retryBackoffDivisor divides the silence timeout: each attempt adds the quotient to the pause before the
 	// next.
 	retryBackoffDivisor = 8
-	// retryBudgetMarginTicks is by how many ticks the window is shorter for arrivals and longer for retries.
-	// Steps are up to a tick late: a request has arrived before its step, and a retry leaves after its step. With
-	// the margin the budget also holds by the times at which they arrive and leave.
+	// retryBudgetMarginTicks is by how many ticks the window is shorter for arrivals and longer for
+	// retries. Steps are up to a tick late: a request has arrived before its step, and a retry leaves after
+	// its step. With the margin the budget also holds by the times at which they arrive and leave.
 	retryBudgetMarginTicks = 2
 )
 
 // retryAdmitAt returns the time from which a retry may go to the target, or a time at which to ask again.
 func (s *Scheduler) retryAdmitAt(r *request, t *target) time.Duration {
-	at := s.retryBudget.admitAt(s.now)
 	if !r.isInDedupScope(t) || !s.mayRetry(r) {
 		return never
 	}
-	return at
+	return s.retryBudget.admitAt(s.now)
 }
 
 // retryBackoff is the pause after the request's last attempt.
--- a/scheduler/rulechecks_test.go
+++ b/scheduler/rulechecks_test.go
@@ -112,14 +112,14 @@
 	if slowStart.Window <= 0 || t.Started <= 0 || age >= slowStart.Duration {
 		return
 	}
-	addUnits(s.warmUp, t.ID, s.now, r.Units)
+	addUnits(s.slowStart, t.ID, s.now, r.Units)
 	windowStart := s.now - slowStart.Window
-	sent := sumAfter(s.warmUp[t.ID], windowStart, t.Started)
+	sent := sumAfter(s.slowStart[t.ID], windowStart, t.Started)
 	served := sumAfter(s.served[t.ID], windowStart, 0)
 	capacity := slowStart.InitialCapacity + (1-slowStart.InitialCapacity)*age.Seconds()/slowStart.Duration.Seconds()
 	evenPart := slowStart.Budget / float64(s.settings.Initiators) * capacity / slowStart.InitialCapacity
 	if sent > evenPart+served+tolerance {
-		s.violation("rule 4: %v units to warming %s, which can serve %v for this initiator", sent, t.ID, evenPart+served)
+		s.violation("rule 4: %v units to %s in slow start, which can serve %v for this initiator", sent, t.ID, evenPart+served)
 	}
 }
 
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -24,7 +24,7 @@
 
 	// Derived from the settings.
 	shortestObjective time.Duration // least latency objective of the classes
-	highestWeight     float64       // greatest priority that a request can have
+	highestPriority   float64       // greatest that a request can have, see priority
 	minConcurrency    float64       // least concurrency limit of a responding target
 
 	// The current step.
@@ -45,7 +45,7 @@
 	// Targets.
 	targets        []*target
 	targetsByID    map[string]*target
-	queueingFactor float64 // part of the base latency that each request at a target adds
+	queueingFactor float64 // part of the base latency that each request at a target adds; learned
 	slowStart      slowStart
 	retryBudget    retryBudget
 	poller         endpointPoller
@@ -96,7 +96,7 @@
 		s.classes[class.Name] = class
 		s.shortestObjective = min(s.shortestObjective, class.LatencyObjective)
 		for _, plan := range s.settings.Plans {
-			s.highestWeight = max(s.highestWeight, class.PriorityWeight*plan.PriorityFactor)
+			s.highestPriority = max(s.highestPriority, class.PriorityWeight*plan.PriorityFactor)
 		}
 	}
 }
@@ -145,8 +145,8 @@
 	case Shutdown:
 		s.onShutdown(event)
 	case Timer:
-		// Failure: a timer comes a little early, since the caller rounds; nothing is due yet, and no other
-		// is set.
+		// Prevents: a timer fires a little early, since the caller rounds; nothing is due yet, no other timer
+		// is set, and the queued requests are never ended. Without a timer, this step requests another.
 		s.timer.setFor = never
 	}
 }
--- a/scheduler/selection.go
+++ b/scheduler/selection.go
@@ -149,7 +149,8 @@
 // deprioritizeExcess counts the request as work. While it cannot be served within its objective behind the
 // others, the one of least priority among them is deprioritized.
 //
-// Failure: under overload, the earliest deadline first serves each request just too late.
+// Prevents: under overload, earliest deadline first serves each request just too late. With the excess set
+// aside, the others are served in time.
 func (s *Scheduler) deprioritizeExcess(r *request, t *target, work *workEstimate) {
 	work.units += r.Units
 	for s.servedAt(r, work) > r.objectiveAt && !r.deprioritized {
--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -39,7 +39,7 @@
 	Idempotency      Idempotency
 	DedupScope       DedupScope    // for IdempotencyKey
 	DedupWindow      time.Duration // for IdempotencyKey: since the first attempt that may have been executed
-	PriorityWeight   float64       // what a request of mean size earns when it is served within the objective
+	PriorityWeight   float64       // what a unit of a request earns if served within the objective
 	Serialized       bool          // requests for one extent run one at a time, in order of arrival
 }
 
@@ -55,7 +55,7 @@
 
 // SlowStart bounds the load of a target that has started recently.
 type SlowStart struct {
-	Budget          float64       // units within Window that a starting target can serve, from all initiators
+	Budget          float64       // units within Window that a target serves at its start, for all initiators
 	InitialCapacity float64       // part of its full capacity that a target has at its start, 0 to 1
 	Duration        time.Duration // time from the start to the full capacity
 	Window          time.Duration // span over which units are counted; 0: no bound
@@ -74,7 +74,7 @@
 // Settings configures a scheduler. A rule whose values are zero is off.
 type Settings struct {
 	Initiators        int           // number of initiators that share the targets; at least 1
-	Tick              time.Duration // least time between two steps
+	Tick              time.Duration // granularity of timers and steps; margins are multiples of it
 	Classes           []Class       // at least one
 	Plans             []Plan        // at least one
 	MeanUnits         float64       // mean size of a request
--- a/scheduler/share.go
+++ b/scheduler/share.go
@@ -38,7 +38,7 @@
 	u.localAt = now
 }
 
-// recordGlobal takes the rate of a usage report into the average.
+// recordGlobal updates the average with the rate of a usage report.
 func (u *serviceRates) recordGlobal(now time.Duration, rate float64) {
 	if u.globalAt == 0 {
 		u.global = rate
@@ -47,7 +47,7 @@
 	u.globalAt = now
 }
 
-// isGlobalKnown reports whether a usage report came recently. Without a period there are none.
+// isGlobalKnown reports whether a usage report arrived recently. Without a period there are none.
 func (u *serviceRates) isGlobalKnown(now, period time.Duration) bool {
 	return period > 0 && u.globalAt > 0 && now-u.globalAt < usageReportLifetime*period && u.global > 0
 }
--- a/scheduler/simulation_test.go
+++ b/scheduler/simulation_test.go
@@ -61,11 +61,11 @@
 	serial     int                           // of the last request
 
 	// What the rules count.
-	arrivals []time.Duration
-	retries  []time.Duration
-	warmUp   map[string]unitHistory // sent to a warming target, by target
-	served   map[string]unitHistory // by target
-	charged  map[string]unitHistory // first attempts by volume
+	arrivals  []time.Duration
+	retries   []time.Duration
+	slowStart map[string]unitHistory // sent to a target in slow start, by target
+	served    map[string]unitHistory // by target
+	charged   map[string]unitHistory // first attempts by volume
 
 	violations []string
 }
@@ -85,7 +85,7 @@
 		notServing: map[string]bool{},
 		requests:   map[string]*observedRequest{},
 		serialized: map[string][]*observedRequest{},
-		warmUp:     map[string]unitHistory{},
+		slowStart:  map[string]unitHistory{},
 		served:     map[string]unitHistory{},
 		charged:    map[string]unitHistory{},
 	}
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -14,41 +14,42 @@
 	SlowStart
 	tick       time.Duration
 	initiators float64
-	// shared is set when the even part of the budget is less than one request of mean size. Few of the
-	// initiators then have work for the target at a time, and each may send one request a window.
-	shared bool
+	// oneRequestPerWindow is set when the even part of the budget is less than one request of mean size. Few
+	// of the initiators then have work for the target at a time, and each may send one request a window.
+	oneRequestPerWindow bool
 }
 
 func newSlowStart(settings *Settings) slowStart {
 	initiators := float64(settings.Initiators)
 	return slowStart{
-		SlowStart:  settings.SlowStart,
-		tick:       settings.Tick,
-		initiators: initiators,
-		shared:     settings.SlowStart.Budget < settings.MeanUnits*initiators,
+		SlowStart:           settings.SlowStart,
+		tick:                settings.Tick,
+		initiators:          initiators,
+		oneRequestPerWindow: settings.SlowStart.Budget < settings.MeanUnits*initiators,
 	}
 }
 
-// isWarmingUp reports whether the target's capacity still grows.
-func (p *slowStart) isWarmingUp(t *target, now time.Duration) bool {
+// isInSlowStart reports whether the target started within the slow-start duration: its capacity still grows.
+func (p *slowStart) isInSlowStart(t *target, now time.Duration) bool {
 	return t.Started > 0 && now-t.Started < p.Duration
 }
 
 // admitAt returns the time from which that many units may go to the target, or a time at which to ask
 // again.
 //
-// Failure: a target that has just started gets the full load, and fails again. Within each window it gets
-// at most what it can serve; what it did serve within the window shows that it can serve as much.
+// Prevents: a target that has just started gets the full load, is overloaded and fails again. Within each
+// window it gets at most what it can serve; what it did serve within the window shows that it can serve as
+// much.
 func (p *slowStart) admitAt(now time.Duration, t *target, units float64) time.Duration {
-	// Counted for a warm target too: the endpoint list tells of a start some time after it. The window is
-	// one tick longer for what was sent and one shorter for what was served, so that rounding cannot exceed
-	// the budget.
+	// Counted after the slow start too: the endpoint list reports a start some time after it. The window is
+	// one tick longer for what was sent and one shorter for what was served: steps are up to a tick late,
+	// so a request leaves after the time that is counted, and was served before it.
 	sent := t.recentlySent.sumSince(now - p.Window - p.tick)
 	served := t.recentlyServed.sumSince(now - p.Window + p.tick)
-	if p.Window <= 0 || !p.isWarmingUp(t, now) {
+	if p.Window <= 0 || !p.isInSlowStart(t, now) {
 		return 0
 	}
-	if p.shared && sent == 0 || sent+units <= p.budget(now-t.Started, served) {
+	if p.oneRequestPerWindow && sent == 0 || sent+units <= p.budget(now-t.Started, served) {
 		return 0
 	}
 	return now + p.Window/slowStartChecks
@@ -57,7 +58,9 @@
 // budget is the number of units within a window that a target of this age can serve for this initiator. The
 // capacity grows linearly from InitialCapacity; served is what the target has served within the window.
 func (p *slowStart) budget(age time.Duration, served float64) float64 {
-	if p.shared {
+	if p.oneRequestPerWindow {
+		// The target fails at OverloadFactor times what it can serve. Half of that stays clear of it, and
+		// lets what is sent grow from window to window.
 		return p.OverloadFactor / 2 * served
 	}
 	growth := 1/max(p.InitialCapacity, minInitialCapacity) - 1
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// TestSharedSlowStartSendsOnePerWindow guards against incident i67078b: with hundreds of initiators the
-// even part of the slow-start budget is less than one request, and nothing reached restarted targets until
-// they were warm. Each initiator must send its first request soon, at a random time, and then one a window.
-func TestSharedSlowStartSendsOnePerWindow(t *testing.T) {
+// TestSlowStartSendsOneRequestPerWindow has hundreds of initiators: the even part of the slow-start budget is
+// less than one request. Without a rule for that, nothing would reach a restarted target until the end of its
+// slow start. Each initiator must send its first request soon, at a random time, and then one a window.
+func TestSlowStartSendsOneRequestPerWindow(t *testing.T) {
 	settings := testSettings()
 	settings.Initiators = 200
 	settings.SlowStart = SlowStart{
@@ -23,7 +23,7 @@
 	}
 	starts := map[time.Duration]bool{}
 	for seed := range uint64(20) {
-		sent := sendsToSilentWarmingTarget(t, settings, seed)
+		sent := sendsToSilentTargetInSlowStart(t, settings, seed)
 		if len(sent) == 0 || sent[0] == 0 || sent[0] > settings.SlowStart.Window/2+50*ms {
 			t.Errorf("seed %d: requests sent %v after the start was listed", seed, sent)
 			continue
@@ -31,7 +31,7 @@
 		starts[sent[0].Round(100*ms)] = true
 		for i := 1; i < len(sent); i++ {
 			if sent[i]-sent[i-1] < time.Second-20*ms { // observed once in 15 ms
-				t.Errorf("seed %d: two requests to a silent warming target within a window", seed)
+				t.Errorf("seed %d: two requests to a silent target in slow start within a window", seed)
 			}
 		}
 	}
@@ -40,9 +40,9 @@
 	}
 }
 
-// sendsToSilentWarmingTarget has a request arrive each 15 ms for a target that has started a second ago and
+// sendsToSilentTargetInSlowStart has a request arrive each 15 ms for a target that has started a second ago and
 // does not respond. It returns the times of the attempts since the start was listed.
-func sendsToSilentWarmingTarget(t *testing.T, settings Settings, seed uint64) []time.Duration {
+func sendsToSilentTargetInSlowStart(t *testing.T, settings Settings, seed uint64) []time.Duration {
 	t.Helper()
 	h := newHarness(t, settings, servingTarget("n", 0))
 	h.scheduler, _ = New(settings, seed)
@@ -61,10 +61,10 @@
 	return sent
 }
 
-// TestSharedSlowStartFollowsResponses has a warming target answer. It must get more than one request a
-// window from an initiator of many, but never more than half the overload factor times what it answered
+// TestOneRequestPerWindowFollowsResponses has a target in slow start answer. It must get more than one request
+// a window from an initiator of many, but never more than half the overload factor times what it answered
 // within the window.
-func TestSharedSlowStartFollowsResponses(t *testing.T) {
+func TestOneRequestPerWindowFollowsResponses(t *testing.T) {
 	settings := testSettings()
 	settings.Initiators = 200
 	settings.SlowStart = SlowStart{
@@ -97,13 +97,13 @@
 		}
 	}
 	if len(answered) < 40 {
-		t.Errorf("%d answered while it was warming up, want far more than one a window", len(answered))
+		t.Errorf("%d answered during the slow start, want far more than one a window", len(answered))
 	}
 }
 
 // TestSlowStartBudgetGrows checks the budget of one of two initiators: 10 units of 20 at the start of a
-// target with a fifth of its capacity, five times as many when it is warm, and more by what the target has
-// served.
+// target with a fifth of its capacity, five times as many at the end of its slow start, and more by what the
+// target has served.
 func TestSlowStartBudgetGrows(t *testing.T) {
 	policy := newSlowStart(&Settings{
 		Initiators: 2,
@@ -133,20 +133,20 @@
 	}
 }
 
-// TestSharedSlowStartBudget checks that one of many initiators sends half the overload factor times what
+// TestOneRequestPerWindowBudget checks that one of many initiators sends half the overload factor times what
 // the target has served.
-func TestSharedSlowStartBudget(t *testing.T) {
+func TestOneRequestPerWindowBudget(t *testing.T) {
 	policy := newSlowStart(&Settings{
 		Initiators: 100,
 		MeanUnits:  1,
 		SlowStart:  SlowStart{Budget: 20, InitialCapacity: 0.2, Duration: 10 * time.Second, OverloadFactor: 4},
 	})
-	if got := policy.budget(time.Second, 3); !policy.shared || got != 6 {
-		t.Errorf("shared %v, budget %v after 3 units served, want 6", policy.shared, got)
+	if got := policy.budget(time.Second, 3); !policy.oneRequestPerWindow || got != 6 {
+		t.Errorf("one request per window %v, budget %v after 3 units served, want 6", policy.oneRequestPerWindow, got)
 	}
 }
 
-// TestSlowStartEnds checks that a target is bounded while it warms up alone.
+// TestSlowStartEnds checks that a target is bounded only during its slow start.
 func TestSlowStartEnds(t *testing.T) {
 	policy := newSlowStart(&Settings{
 		Initiators: 1,
@@ -154,15 +154,15 @@
 		SlowStart:  SlowStart{Budget: 5, InitialCapacity: 0.5, Duration: 10 * time.Second, Window: time.Second},
 	})
 	start := time.Minute
-	warming := &target{Target: Target{Started: start}}
-	warming.recentlySent.add(start, 5)
-	if at := policy.admitAt(start, warming, 1); at <= start {
+	started := &target{Target: Target{Started: start}}
+	started.recentlySent.add(start, 5)
+	if at := policy.admitAt(start, started, 1); at <= start {
 		t.Error("a sixth unit is admitted at the start")
 	}
-	warm := start + 10*time.Second
-	warming.recentlySent.add(warm, 1000)
-	if at := policy.admitAt(warm, warming, 1); at > warm {
-		t.Errorf("admitted at %v when warm, want now", at)
+	end := start + 10*time.Second
+	started.recentlySent.add(end, 1000)
+	if at := policy.admitAt(end, started, 1); at > end {
+		t.Errorf("admitted at %v after the slow start, want now", at)
 	}
 }
 
--- a/scheduler/tags.go
+++ b/scheduler/tags.go
@@ -9,15 +9,17 @@
 //   - The start tag of a request is the time from which it is eligible: its volume then is within its rate.
 //   - The finish tag is the order in which eligible requests leave: the start tag plus the latency objective.
 //   - A synchronization point is a moment at which a target has capacity and no request for it is eligible.
-//     All tags of the shard shift back by the least gap, so that the use of spare capacity is not held
-//     against a volume later.
+//     All tags of the shard shift to an earlier time by the least gap, so that the use of spare capacity is
+//     not held against a volume later.
 
 // rho is the volume's rate times the part of its service that this initiator does, in units per second.
 func (s *Scheduler) rho(v *volume) float64 {
 	return max(v.plan.ProvisionedRate*s.localShare(v), minRate)
 }
 
-// sigma is the volume's bucket depth: one second of its rate, and one request of the largest size.
+// sigma is the volume's bucket depth: one second of its rate, and one request of the largest size, without
+// which a bucket of a slow volume could never hold such a request. The rate is an even part, not that of rho:
+// a burst may arrive here before the measured share shows it.
 func (s *Scheduler) sigma(v *volume) float64 {
 	return max(v.plan.Reservation, v.plan.ProvisionedRate)/v.initiators +
 		max(s.settings.MaxUnits, s.settings.MeanUnits)
@@ -43,7 +45,7 @@
 }
 
 // refundTag returns what a request took from its volume's bucket, since it cannot be served within its
-// objective, and moves the later requests of the volume forward.
+// objective, and shifts the tags of the volume's later requests to an earlier time.
 func (s *Scheduler) refundTag(r *request) {
 	refund := seconds(r.Units / s.rho(r.volume))
 	r.volume.bucket.tokens += r.Units
@@ -55,8 +57,9 @@
 	r.queue.flow(r.volume).maxStartTag -= refund
 }
 
-// resynchronize is a synchronization point of the queue: all its tags shift back by the gap, and its
-// volumes with nothing queued or in flight at this initiator get a full bucket.
+// resynchronize is a synchronization point of the queue: all its tags shift to an earlier time by the gap,
+// and its volumes with nothing queued or in flight at this initiator get a full bucket. The maxStartTag of
+// a flow with nothing queued stays: none of its requests was shifted.
 func (s *Scheduler) resynchronize(q *shardQueue, gap time.Duration) {
 	for _, r := range q.queued {
 		r.shiftTags(gap)
@@ -71,7 +74,7 @@
 	}
 }
 
-// shiftTags moves both tags back.
+// shiftTags moves both tags to an earlier time.
 func (r *request) shiftTags(by time.Duration) {
 	r.startTag -= by
 	r.finishTag -= by
--- a/scheduler/target.go
+++ b/scheduler/target.go
@@ -16,10 +16,12 @@
 	loadReportedAt time.Duration
 
 	concurrencyLimit float64       // attempts that this initiator may have in flight here
-	lastPressure     time.Duration // when a request for it last passed its objective or was deprioritized
+	lastPressure     time.Duration // when a request for it last missed its objective or was deprioritized
 
-	consecutiveFailures float64       // errors count for a part of a failure
-	ejectedUntil        time.Duration // no attempt before
+	consecutiveFailures float64 // an error response counts for errorWeight
+	// No attempt starts before ejectedUntil: an ejection after a failure, the pause after a rejection, or the
+	// random pause that spreads the first requests after a start; 0: none.
+	ejectedUntil time.Duration
 
 	lastExtent    string // extent of the last attempt
 	sequentialRun int    // number of attempts in a row for lastExtent
--- a/scheduler/timer.go
+++ b/scheduler/timer.go
@@ -6,14 +6,14 @@
 // shows.
 const timersPerObjective = 8
 
-// wakeTimer is when the caller is to bring the next Timer event.
+// wakeTimer is the timer requested from the caller.
 type wakeTimer struct {
 	setFor     time.Duration // never: no timer is set
-	nextWorkAt time.Duration // when something is due, if no event but a Timer comes before
+	nextWorkAt time.Duration // when something is due, if no event but a Timer arrives before
 }
 
-// measureStall notes how late the timer is: for that long this process stood still, and what it finds now
-// has waited here rather than at a target.
+// measureStall notes how late the timer is: this process stood still for that long, and the events of this
+// step have waited here rather than at a target.
 func (s *Scheduler) measureStall() {
 	s.stall = 0
 	late := s.now - s.timer.setFor
@@ -26,8 +26,8 @@
 	}
 }
 
-// setTimer asks for a Timer event when something is due, and several times within the shortest objective in
-// any case.
+// setTimer requests a Timer event when something is due, and several times within the shortest objective in
+// any case, so that a stall shows.
 func (s *Scheduler) setTimer() {
 	s.timer.nextWorkAt = s.nextWorkAt()
 	next := min(s.timer.nextWorkAt, s.now+s.shortestObjective/timersPerObjective)
--- a/scheduler/volume.go
+++ b/scheduler/volume.go
@@ -22,16 +22,16 @@
 	return v
 }
 
-// setInitiators notes how many initiators carry the volume; a request may tell a new number.
+// setInitiators notes how many initiators carry the volume; each request may carry a different count.
 func (v *volume) setInitiators(count int) { v.initiators = float64(max(1, count)) }
 
-// isIdle reports whether the volume has nothing queued or in flight, and nothing came or was served since
-// then.
+// isIdle reports whether the volume has nothing queued or in flight, and no request has arrived or was served
+// since then.
 func (v *volume) isIdle(since time.Duration) bool {
 	return v.backlog == 0 && v.bucket.refilledAt < since && v.usage.localAt < since
 }
 
-// tokenBucket counts units that may be used. Its rate and capacity change with time, so the owner states
+// tokenBucket counts units that may be used. Its rate and capacity change with time, so the caller passes
 // them.
 type tokenBucket struct {
 	tokens     float64       // units
