--- a/cmd/initiator/initiator.go
+++ b/cmd/initiator/initiator.go
@@ -26,8 +26,8 @@
 	// runtimeMemoryPercent is the part of the process's memory that the Go runtime may use before it collects garbage more
 	// often; the rest is a margin against the machine's limit, which kills.
 	runtimeMemoryPercent = 70
-	// answerMargin is how long before the client's timeout a response must be decided, so that it can still be written.
-	answerMargin = 12 * time.Millisecond
+	// responseWriteMargin is how long before the client's timeout a response must be decided, so that it can still be written.
+	responseWriteMargin = 12 * time.Millisecond
 	// A graceful shutdown is given up shutdownMargin after the longest deadline, or after minShutdownTimeout if that is
 	// longer.
 	minShutdownTimeout = 3 * time.Second
@@ -101,9 +101,9 @@
 		Logger:            log,
 	}, func(result dispatcher.AttemptResult) { in.dispatcher.ReportResult(result) })
 	in.dispatcher = dispatcher.New(decisions, in.registry, in.clock, dispatcher.Options{
-		MaxOpenCalls: cfg.MaxOpenCalls,
-		AnswerMargin: answerMargin,
-		Logger:       log,
+		MaxOpenCalls:        cfg.MaxOpenCalls,
+		ResponseWriteMargin: responseWriteMargin,
+		Logger:              log,
 	})
 	in.startTimes = discovery.NewStartTimes(time.Now, func() time.Duration { return in.clock.At(time.Now()) })
 	in.watcher = discovery.New(cfg.Discovery, cfg.KnownEndpoints, pollSpread(cfg), in.applyEndpoints, log)
--- a/internal/dispatcher/actions.go
+++ b/internal/dispatcher/actions.go
@@ -12,27 +12,36 @@
 	switch action.Kind {
 	case scheduler.SetTimer:
 		d.setTimer(now.Add(action.After))
-	case scheduler.Send, scheduler.Reject, scheduler.Fail:
-		state := d.calls.get(action.RequestID)
-		if state == nil || state.answered || state.inFlight {
-			return
+	case scheduler.Send:
+		if state := d.idleCall(action.RequestID); state != nil {
+			d.send(state, now, action)
 		}
-		d.executeForCall(state, now, action)
+	case scheduler.Reject:
+		d.end(action.RequestID, Response{Status: Rejected, RetryAfter: action.RetryAfter})
+	case scheduler.Fail:
+		d.end(action.RequestID, Response{Status: Failed})
 	case scheduler.WatchEndpoints:
-		// Endpoints are watched from the start.
+		// Only the simulator's adapter serves this action. The discovery watcher of the daemon polls by itself.
 	}
 }
 
-// executeForCall carries out an action on an open call that has no attempt in flight.
-func (d *Dispatcher) executeForCall(state *callState, now time.Time, action scheduler.Action) {
-	switch action.Kind {
-	case scheduler.Send:
-		d.send(state, now, action)
-	case scheduler.Reject:
-		d.respond(state, Response{Status: Rejected, RetryAfter: action.RetryAfter})
-		d.releaseIfDone(state)
-	case scheduler.Fail:
-		d.respond(state, Response{Status: Failed})
+// idleCall returns the call if it is open and has no attempt in flight, otherwise nil: the action is dropped then.
+//
+// A call is unknown or answered if its client has closed the connection, and the scheduler ends the request on an event ahead of
+// ClientClosed in the same batch: nobody reads the response. An attempt in flight cannot occur, since the scheduler ends or
+// sends a request only after AttemptEnded; dropping the action keeps the rule that a request has one attempt at a time.
+func (d *Dispatcher) idleCall(requestID string) *callState {
+	state := d.calls.get(requestID)
+	if state == nil || state.answered || state.inFlight {
+		return nil
+	}
+	return state
+}
+
+// end gives an idle call its response and releases it.
+func (d *Dispatcher) end(requestID string, response Response) {
+	if state := d.idleCall(requestID); state != nil {
+		d.respond(state, response)
 		d.releaseIfDone(state)
 	}
 }
@@ -63,12 +72,23 @@
 	}
 	state.answered = true
 	response.LastAttempt = state.lastStatus
-	d.logCall(eventRequestEnded, state.call, slog.String(fieldReason, response.Status.String()),
-		slog.Int(fieldAttempts, state.attempts), slog.String(fieldLastAttempt, state.lastStatus.String()),
-		slog.Duration(fieldAge, time.Since(state.call.ReceivedAt)))
+	d.logResponse(state, response)
 	state.call.Respond(response)
 }
 
+// logResponse logs the end of a call that gets a response.
+func (d *Dispatcher) logResponse(state *callState, response Response) {
+	attrs := []slog.Attr{
+		slog.String(fieldReason, response.Status.String()),
+		slog.Int(fieldAttempts, state.attempts),
+	}
+	if state.attempts > 0 {
+		attrs = append(attrs, slog.String(fieldLastAttempt, state.lastStatus.String()))
+	}
+	attrs = append(attrs, slog.Duration(fieldAge, time.Since(state.call.ReceivedAt)))
+	d.logCall(eventRequestEnded, state.call, attrs...)
+}
+
 // releaseIfDone forgets a call that is answered and has no attempt in flight.
 func (d *Dispatcher) releaseIfDone(state *callState) {
 	if !state.answered || state.inFlight {
--- a/internal/dispatcher/call.go
+++ b/internal/dispatcher/call.go
@@ -13,7 +13,7 @@
 const (
 	// Served carries the target's response.
 	Served Status = iota
-	// Rejected promises that no target has executed the request: a retry by the client is harmless.
+	// Rejected promises that a repeat by the client is harmless; an idempotent request may have been executed.
 	Rejected
 	// Failed makes no promise about the request's effect.
 	Failed
@@ -41,12 +41,15 @@
 type Response struct {
 	Status      Status
 	Payload     any                     // what the upstream returned; set if Status is Served
-	RetryAfter  time.Duration           // how long the client should wait before a retry; 0: no advice
+	RetryAfter  time.Duration           // how long the client should wait before it sends the request again; 0: no advice
 	LastAttempt scheduler.AttemptStatus // how the last attempt ended; without meaning if there was none
 }
 
-// Overloaded is the response of a server to a request that it cannot submit for lack of capacity: no target has seen it.
-var Overloaded = Response{Status: Rejected, RetryAfter: time.Second}
+// overloadRetryAfter is the Retry-After of Overloaded: it gives open calls time to end before the client asks again.
+const overloadRetryAfter = time.Second
+
+// Overloaded is the response of a server to a request that it cannot submit for lack of capacity: no attempt was made.
+var Overloaded = Response{Status: Rejected, RetryAfter: overloadRetryAfter}
 
 // Call is one client request. Its server fills it in and must not change it after Submit; the dispatcher sets ID and Timeout
 // of the embedded request.
@@ -57,7 +60,7 @@
 	ClientRequestID string
 	// ReceivedAt is when the last byte of the request had arrived.
 	ReceivedAt time.Time
-	// ClientTimeout is how long the client waits, from ReceivedAt on.
+	// ClientTimeout is how long the client waits for the response, from ReceivedAt on.
 	ClientTimeout time.Duration
 	// Payload is handed to the upstream with each attempt, unread.
 	Payload any
@@ -76,7 +79,7 @@
 	Number          int    // of the request's attempts, from 0
 	Target          string
 	StartBy         time.Time   // no first byte may be sent after that; zero: no bound
-	Deadline        time.Time   // the upstream gives the attempt up then
+	Deadline        time.Time   // the attempt times out then
 	ClientGone      func() bool // as of the call
 	Payload         any         // of the call
 }
--- a/internal/dispatcher/calllog.go
+++ b/internal/dispatcher/calllog.go
@@ -5,7 +5,7 @@
 	"log/slog"
 )
 
-// What the log tells of a request, in this order.
+// Log events of a request, in this order.
 const (
 	eventRequestAccepted   = "request accepted"
 	eventAttemptDispatched = "attempt dispatched"
@@ -25,14 +25,14 @@
 	fieldAttempts    = "attempts" // how many were sent
 	fieldInFlight    = "in_flight"
 	fieldLatency     = "latency"
-	fieldLastAttempt = "last_attempt"
+	fieldLastAttempt = "last_attempt" // its status; absent if there was no attempt
 )
 
 // reasonClientClosed ends a request without a response. Other requests end with their response's Status as the reason, and
 // attempts with their scheduler.AttemptStatus.
 const reasonClientClosed = "CLIENT_CLOSED"
 
-// logCall logs what happens to a call, at debug level.
+// logCall logs an event of a call, at debug level.
 func (d *Dispatcher) logCall(event string, call *Call, attrs ...slog.Attr) {
 	ctx := context.Background()
 	if !d.options.Logger.Enabled(ctx, slog.LevelDebug) {
--- a/internal/dispatcher/calltable.go
+++ b/internal/dispatcher/calltable.go
@@ -32,11 +32,11 @@
 	call     *Call
 	answered bool // its response was given, or its client has closed the connection
 
-	attempts        int  // begun so far
-	inFlight        bool // the last of them
-	target          string
-	sentAt          time.Time
-	lastStatus      scheduler.AttemptStatus // of the last attempt that ended
+	attempts        int                     // number of attempts begun
+	inFlight        bool                    // the last attempt has not ended
+	target          string                  // of the last attempt
+	sentAt          time.Time               // start of the last attempt
+	lastStatus      scheduler.AttemptStatus // of the last attempt; without meaning if there was none
 	mayHaveExecuted bool                    // some attempt may have been executed by its target
 }
 
@@ -50,11 +50,11 @@
 	return number
 }
 
-// awaits tells whether the attempt of that number is in flight.
+// awaits reports whether the attempt of that number is in flight.
 func (s *callState) awaits(number int) bool { return s.inFlight && number == s.attempts-1 }
 
-// finishAttempt notes how the attempt in flight ended.
-func (s *callState) finishAttempt(status scheduler.AttemptStatus) {
+// endAttempt notes how the attempt in flight ended.
+func (s *callState) endAttempt(status scheduler.AttemptStatus) {
 	s.inFlight = false
 	s.lastStatus = status
 	s.mayHaveExecuted = s.mayHaveExecuted || status.MayHaveExecuted()
--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -13,13 +13,14 @@
 	"dapplegate/scheduler"
 )
 
-// Options bound what a Dispatcher holds.
+// Options configures a Dispatcher.
 type Options struct {
 	// MaxOpenCalls is how many calls may be open at a time; 0: any number.
 	MaxOpenCalls int
-	// AnswerMargin is subtracted from each client's timeout, so that the response can still be written before it ends.
-	AnswerMargin time.Duration
-	// Logger gets what happens to each request, at debug level; nil: nothing is logged.
+	// ResponseWriteMargin is subtracted from each client's timeout, so that the response can still be written before it ends.
+	// The scheduler has a timer margin of its own, for steps that are late.
+	ResponseWriteMargin time.Duration
+	// Logger gets the events of each request, at debug level; nil: nothing is logged.
 	Logger *slog.Logger
 }
 
@@ -42,7 +43,7 @@
 	shutdownDeadline time.Time     // attempts still in flight are cancelled then; zero: no shutdown
 	lastStep         time.Duration // the scheduler's time of the last step
 
-	// Buffers that each batch of events reuses.
+	// Buffers that each batch of messages reuses.
 	events         []scheduler.Event
 	endpointEvents []scheduler.Event
 }
@@ -79,14 +80,15 @@
 func (d *Dispatcher) Cancel(call *Call) { d.inbox.Put(callCancelled{call}) }
 
 // ReportResult reports the end of an attempt. A result that is not of its request's attempt in flight is ignored.
-func (d *Dispatcher) ReportResult(result AttemptResult) { d.inbox.Put(attemptFinished{result}) }
+func (d *Dispatcher) ReportResult(result AttemptResult) { d.inbox.Put(attemptEnded{result}) }
 
 // UpdateEndpoints reports a new endpoint list or a change of it.
 func (d *Dispatcher) UpdateEndpoints(list scheduler.EndpointList) {
 	d.inbox.Put(endpointsUpdated{list})
 }
 
-// Shutdown has every call answered by the deadline: from then on attempts in flight are cancelled.
+// Shutdown begins a graceful shutdown. Queued calls are answered by the deadline; attempts in flight are cancelled then, and
+// their results bring the response.
 func (d *Dispatcher) Shutdown(deadline time.Time) { d.inbox.Put(shutdownRequested{deadline}) }
 
 // OpenCalls is how many calls were submitted and are not released yet. A call is released once it is answered or cancelled
@@ -116,7 +118,7 @@
 
 // step passes one batch of messages to the scheduler and carries out its actions.
 func (d *Dispatcher) step(now time.Time, messages []message) {
-	events := d.collectEvents(now, messages)
+	events := d.applyMessages(now, messages)
 	if len(events) == 0 {
 		return
 	}
--- a/internal/dispatcher/dispatcher_test.go
+++ b/internal/dispatcher/dispatcher_test.go
@@ -1,8 +1,11 @@
 package dispatcher
 
 import (
+	"bytes"
 	"context"
 	"fmt"
+	"log/slog"
+	"strings"
 	"sync"
 	"testing"
 	"time"
@@ -67,7 +70,7 @@
 func newHarness(t *testing.T) *harness {
 	t.Helper()
 	h := &harness{upstream: &recorder{}, now: time.Now()}
-	h.Dispatcher = New(newScheduler(t), h.upstream, NewClock(), Options{MaxOpenCalls: 100, AnswerMargin: 10 * time.Millisecond})
+	h.Dispatcher = New(newScheduler(t), h.upstream, NewClock(), Options{MaxOpenCalls: 100, ResponseWriteMargin: 10 * time.Millisecond})
 	h.receive(endpointsUpdated{oneTarget()})
 	return h
 }
@@ -107,8 +110,8 @@
 	result.Payload = "body"
 	unknown := result
 	unknown.Number = 3
-	h.receive(attemptFinished{unknown}, attemptFinished{result}, attemptFinished{result})
-	h.receive(attemptFinished{result})
+	h.receive(attemptEnded{unknown}, attemptEnded{result}, attemptEnded{result})
+	h.receive(attemptEnded{result})
 	if len(h.responses) != 1 || h.responses[0].Status != Served || h.responses[0].Payload != "body" {
 		t.Fatalf("responses %+v, want one", h.responses)
 	}
@@ -139,7 +142,7 @@
 	for _, status := range inDoubt {
 		h := newHarness(t)
 		h.receive(callSubmitted{h.newCall("put", h.now)})
-		h.receive(attemptFinished{h.upstream.result(status)})
+		h.receive(attemptEnded{h.upstream.result(status)})
 		h.advance(3 * time.Second)
 		if len(h.upstream.sent) != 1 {
 			t.Errorf("%v: %d attempts, want 1", status, len(h.upstream.sent))
@@ -150,6 +153,37 @@
 	}
 }
 
+// TestLastAttemptIsLoggedAfterAttempt checks that the log line of a request's end tells the status of its last attempt, and that
+// the field is absent if there was none: the zero status would read as a success.
+func TestLastAttemptIsLoggedAfterAttempt(t *testing.T) {
+	for _, hasAttempt := range []bool{false, true} {
+		h := newHarness(t)
+		var log bytes.Buffer
+		h.options.Logger = slog.New(slog.NewTextHandler(&log, &slog.HandlerOptions{Level: slog.LevelDebug}))
+		if !hasAttempt {
+			h.receive(endpointsUpdated{scheduler.EndpointList{Complete: true}})
+		}
+		h.receive(callSubmitted{h.newCall("put", h.now)})
+		if hasAttempt {
+			h.receive(attemptEnded{h.upstream.result(scheduler.Errored)})
+		}
+		h.advance(3 * time.Second)
+		ended := ""
+		for line := range strings.Lines(log.String()) {
+			if strings.Contains(line, eventRequestEnded) {
+				ended += line
+			}
+		}
+		if strings.Count(ended, "\n") != 1 {
+			t.Fatalf("request with attempt: %v; log of its end %q, want one line", hasAttempt, ended)
+		}
+		wantField := fieldLastAttempt + "=" + scheduler.Errored.String()
+		if strings.Contains(ended, fieldLastAttempt+"=") != hasAttempt || strings.Contains(ended, wantField) != hasAttempt {
+			t.Errorf("request with attempt: %v; log of its end %q", hasAttempt, ended)
+		}
+	}
+}
+
 // TestEndpointsComeFirst
 //
 // A target's drain notice may wait behind a request in the same batch. If the request went first, it would be sent to a target
@@ -159,12 +193,12 @@
 	batch := func() []message {
 		return []message{
 			callSubmitted{h.newCall("get", h.now)},
-			attemptFinished{AttemptResult{RequestID: "none"}},
+			attemptEnded{AttemptResult{RequestID: "none"}},
 			endpointsUpdated{scheduler.EndpointList{Targets: []scheduler.Target{{ID: targetID, State: scheduler.Draining}}}},
 		}
 	}
-	if _, first := h.collectEvents(h.now, batch())[0].(scheduler.EndpointList); !first {
-		t.Error("the list came behind the request")
+	if _, first := h.applyMessages(h.now, batch())[0].(scheduler.EndpointList); !first {
+		t.Error("the endpoint list is behind the request")
 	}
 	h.receive(batch()...)
 	if len(h.upstream.sent) != 0 {
@@ -183,7 +217,7 @@
 		t.Fatalf("cancelled %v, %d calls held; want it cancelled, and held until its result",
 			h.upstream.cancelled, len(h.calls.byID))
 	}
-	h.receive(attemptFinished{h.upstream.result(scheduler.Cancelled)})
+	h.receive(attemptEnded{h.upstream.result(scheduler.Cancelled)})
 	h.advance(3 * time.Second)
 	if len(h.responses) != 0 || len(h.calls.byID) != 0 {
 		t.Errorf("responses %v, %d calls held; want none", h.responses, len(h.calls.byID))
@@ -204,7 +238,7 @@
 	if len(h.upstream.cancelled) == 0 {
 		t.Fatal("the attempt is in flight after the deadline")
 	}
-	h.receive(attemptFinished{h.upstream.result(scheduler.Cancelled)})
+	h.receive(attemptEnded{h.upstream.result(scheduler.Cancelled)})
 	if len(h.responses) != 1 || h.responses[0].Status != Failed {
 		t.Errorf("responses %+v, want one failure", h.responses)
 	}
@@ -234,7 +268,7 @@
 		if len(h.upstream.sent) != 1 || !h.upstream.sent[0].StartBy.IsZero() {
 			t.Fatalf("%s: attempts %+v, want one that may start at any time", class, h.upstream.sent)
 		}
-		h.receive(attemptFinished{h.upstream.result(scheduler.ConnectionReset)})
+		h.receive(attemptEnded{h.upstream.result(scheduler.ConnectionReset)})
 		h.advance(300 * time.Millisecond)
 		if len(h.upstream.sent) != 2 {
 			t.Fatalf("%s: %d attempts, want a retry", class, len(h.upstream.sent))
@@ -246,7 +280,7 @@
 		if got := h.upstream.sent[1].StartBy; !got.Equal(want) {
 			t.Errorf("%s: must start by %v, want %v", class, got, want)
 		}
-		h.receive(attemptFinished{h.upstream.result(scheduler.Succeeded)})
+		h.receive(attemptEnded{h.upstream.result(scheduler.Succeeded)})
 	}
 }
 
--- a/internal/dispatcher/events.go
+++ b/internal/dispatcher/messages.go
@@ -13,21 +13,21 @@
 type (
 	callSubmitted     struct{ call *Call }
 	callCancelled     struct{ call *Call }
-	attemptFinished   struct{ result AttemptResult }
+	attemptEnded      struct{ result AttemptResult }
 	endpointsUpdated  struct{ list scheduler.EndpointList }
 	shutdownRequested struct{ deadline time.Time }
 )
 
 func (callSubmitted) message()     {}
 func (callCancelled) message()     {}
-func (attemptFinished) message()   {}
+func (attemptEnded) message()      {}
 func (endpointsUpdated) message()  {}
 func (shutdownRequested) message() {}
 
-// collectEvents turns a batch of messages, and the timer if it is due, into one batch of events. Endpoint lists go first:
-// otherwise a request ahead of one could be sent to a target that is already known to be draining. The slice is valid until
-// the next call.
-func (d *Dispatcher) collectEvents(now time.Time, messages []message) []scheduler.Event {
+// applyMessages applies a batch of messages to the calls, and returns the scheduler's events for it, with the timer if that is
+// due. Endpoint lists go first: otherwise a request ahead of one could be sent to a target that is already known to be
+// draining. The slice is valid until the next call.
+func (d *Dispatcher) applyMessages(now time.Time, messages []message) []scheduler.Event {
 	d.events = d.events[:0]
 	d.endpointEvents = d.endpointEvents[:0]
 	for _, m := range messages {
@@ -36,8 +36,8 @@
 			d.accept(now, m.call)
 		case callCancelled:
 			d.cancel(m.call)
-		case attemptFinished:
-			d.finishAttempt(now, m.result)
+		case attemptEnded:
+			d.onAttemptEnded(now, m.result)
 		case endpointsUpdated:
 			d.endpointEvents = append(d.endpointEvents, m.list)
 		case shutdownRequested:
@@ -49,10 +49,11 @@
 		d.nextTimer = time.Time{}
 		d.events = append(d.events, scheduler.Timer{})
 	}
-	return append(d.endpointEvents, d.events...)
+	d.endpointEvents = append(d.endpointEvents, d.events...)
+	return d.endpointEvents
 }
 
-// accept starts a call, unless its request id is taken: targets know requests by these ids, and would take a request under
+// accept opens a call, unless its request id is reserved: targets know requests by these ids, and would take a request under
 // the id of another for a hedged request.
 func (d *Dispatcher) accept(now time.Time, call *Call) {
 	if !d.requestIDs.reserve(call.ClientRequestID) {
@@ -64,7 +65,7 @@
 	d.calls.add(call)
 	// The client's timeout runs from the arrival: a busy process must not count from when it gets to the request.
 	age := now.Sub(call.ReceivedAt)
-	call.Timeout = call.ClientTimeout - age - d.options.AnswerMargin
+	call.Timeout = call.ClientTimeout - age - d.options.ResponseWriteMargin
 	d.logCall(eventRequestAccepted, call, slog.String(fieldClass, call.Class),
 		slog.Duration(fieldTimeout, call.ClientTimeout), slog.Duration(fieldAge, age))
 	d.events = append(d.events, call.Request)
@@ -86,15 +87,15 @@
 	d.releaseIfDone(state)
 }
 
-// finishAttempt takes the result of the attempt in flight, and responds if it is a success. Any other result is reported to
-// the scheduler alone, which decides what becomes of the request.
-func (d *Dispatcher) finishAttempt(now time.Time, result AttemptResult) {
+// onAttemptEnded handles the result of the attempt in flight, and responds if it is a success. Any other result only goes to
+// the scheduler, which decides whether the request gets a retry or ends.
+func (d *Dispatcher) onAttemptEnded(now time.Time, result AttemptResult) {
 	state := d.calls.get(result.RequestID)
 	if state == nil || !state.awaits(result.Number) {
 		return
 	}
 	latency := now.Sub(state.sentAt)
-	state.finishAttempt(result.Status)
+	state.endAttempt(result.Status)
 	d.logCall(eventAttemptEnded, state.call, slog.Int(fieldAttempt, result.Number), slog.String(fieldTarget, result.Target),
 		slog.String(fieldReason, result.Status.String()), slog.Duration(fieldLatency, latency))
 	if result.Status == scheduler.Succeeded {
--- a/internal/dispatcher/requestids.go
+++ b/internal/dispatcher/requestids.go
@@ -8,9 +8,10 @@
 // requestIDs keeps clients from using a request id twice. Targets know requests by these ids: two requests under one id
 // would look to them like a request and its hedged request, or execute a write twice. An id is reserved while its request
 // is open, and for executedIDLifetime or longer after a request that may have been executed. The id of a request that no
-// target has seen is free at once, so that a client may repeat a rejected request under it.
+// target may have executed is free at once, so that a client may repeat a rejected request under it.
 //
-// Ids of ended requests are kept in two generations, so that expiry costs no work for each id.
+// Ids of ended requests are held in two generations, so that expiry costs no work for each id. Expiry is checked when an
+// attempt ends: without attempts, no id of a request that may have been executed is added.
 type requestIDs struct {
 	open           map[string]bool
 	executed       map[string]bool // ended since the last rotation
@@ -39,7 +40,8 @@
 	return true
 }
 
-// release ends the reservation of an open request's id, at once or after its lifetime if the request may have been executed.
+// release ends the reservation of an open request's id: at once, or after executedIDLifetime if the request may have been
+// executed.
 func (r *requestIDs) release(id string, mayHaveExecuted bool) {
 	if id == "" {
 		return
@@ -50,7 +52,7 @@
 	}
 }
 
-// expire frees ids whose lifetime is over.
+// expire frees ids whose lifetime has ended.
 func (r *requestIDs) expire(now time.Time) {
 	if now.Sub(r.lastRotation) <= executedIDLifetime {
 		return
--- a/internal/dispatcher/requestids_test.go
+++ b/internal/dispatcher/requestids_test.go
@@ -38,7 +38,7 @@
 	wantDuplicate("open")
 	h.receive(callCancelled{first})
 	wantDuplicate("cancelled, its attempt in flight")
-	h.receive(attemptFinished{h.upstream.result(scheduler.Cancelled)})
+	h.receive(attemptEnded{h.upstream.result(scheduler.Cancelled)})
 	wantDuplicate("may have been executed")
 	if len(h.upstream.sent) != 1 || h.OpenCalls() != 0 {
 		t.Errorf("%d attempts, %d open calls; want one, none", len(h.upstream.sent), h.OpenCalls())
@@ -47,7 +47,7 @@
 	for range 3 {
 		h.now = h.now.Add(executedIDLifetime + time.Second)
 		h.submitWithID(t, "b", "put")
-		h.receive(attemptFinished{h.upstream.result(scheduler.NotSent)})
+		h.receive(attemptEnded{h.upstream.result(scheduler.NotSent)})
 		h.receive(endpointsUpdated{scheduler.EndpointList{Complete: true}})
 		h.advance(2 * time.Second)
 		if got := h.lastResponse(); got.Status != Rejected {
@@ -57,7 +57,7 @@
 	}
 
 	h.submitWithID(t, "c", "get")
-	h.receive(attemptFinished{h.upstream.result(scheduler.Succeeded)})
+	h.receive(attemptEnded{h.upstream.result(scheduler.Succeeded)})
 	ids := h.requestIDs
 	if n := len(ids.open) + len(ids.executed) + len(ids.executedBefore); n != 1 {
 		t.Errorf("%d ids are reserved, want the last alone", n)
--- a/internal/dispatcher/shutdown.go
+++ b/internal/dispatcher/shutdown.go
@@ -1,9 +1,6 @@
 package dispatcher
 
-import (
-	"context"
-	"time"
-)
+import "time"
 
 // AcceptGrace is how long after SIGTERM a server accepts new connections. Clients go on opening them for 0.4 s, and one
 // that the kernel has accepted but no server has read from would be lost when the listener closes.
@@ -21,6 +18,7 @@
 }
 
 const (
+	// maxAnswerBy bounds AnswerBy, so that the successor need not wait for the longest deadline.
 	maxAnswerBy = 2600 * time.Millisecond
 	// lastRequestTimeout is what is left between ServeConnsFor and AnswerBy for the last requests read.
 	lastRequestTimeout = 800 * time.Millisecond
@@ -57,11 +55,3 @@
 	}
 	return max(min(timeout, s.AnswerBy-since), 0)
 }
-
-// WaitUntil returns at the given time, or when the context ends.
-func WaitUntil(ctx context.Context, until time.Time) {
-	select {
-	case <-time.After(time.Until(until)):
-	case <-ctx.Done():
-	}
-}
--- a/internal/nvme/status.go
+++ b/internal/nvme/status.go
@@ -68,8 +68,9 @@
 	return len(retryDelays)
 }
 
-// completionStatus returns the status for a command's final response. Only a rejected command, which nothing has executed, may
-// be retried. What may have been executed has DNR set, so that no host sends it again by itself: a write would run twice.
+// completionStatus returns the status for a command's final response. Only a rejected command may be retried: a repeat by the
+// client is harmless; an idempotent request may have been executed. Any other has DNR set, so that no host sends it again by
+// itself: a write could run twice.
 func completionStatus(response dispatcher.Response, advancedRetry bool) status {
 	switch response.Status {
 	case dispatcher.Served:
