--- a/internal/mailbox/mailbox.go
+++ b/internal/mailbox/mailbox.go
@@ -33,8 +33,8 @@
 // have taken the messages.
 func (b *Box[T]) Wake() <-chan struct{} { return b.wake }
 
-// Take removes and returns all messages, in the order of their Puts; none: an empty slice. The mailbox clears spare and
-// reuses its memory for messages to come: the caller passes the slice of an earlier Take that it is done with, or nil.
+// Take removes and returns all messages, in the order of their Puts; none: an empty slice. Take reuses the memory of spare,
+// which the caller must not use any more: the slice of an earlier Take, or nil.
 func (b *Box[T]) Take(spare []T) []T {
 	clear(spare)
 	b.mu.Lock()
--- a/scheduler/placement_test.go
+++ b/scheduler/placement_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// TestNewObjectsStayWithKnownTargets guards against using one more target with each new object, which takes
-// up one of the few connections that a target holds. New objects go to targets that have answered, until
-// those would take longer than an objective.
+// TestNewObjectsStayWithKnownTargets checks that new objects go to targets that have answered, until those
+// would take longer than an objective. Otherwise each new object would go to one more target, and take up one
+// of the few connections that a target holds.
 func TestNewObjectsStayWithKnownTargets(t *testing.T) {
 	h := newHarness(t, testSettings(),
 		servingTarget("a", 0), servingTarget("b", 1), servingTarget("c", 2), servingTarget("d", 3), servingTarget("e", 4))
--- a/scheduler/rulechecks_test.go
+++ b/scheduler/rulechecks_test.go
@@ -99,6 +99,7 @@
 		s.violation("rule 2: non-idempotent %s sent again", r.ID)
 	case s.now > execution.sentAt+r.class.DedupWindow:
 		s.violation("rule 2: %s sent after its dedup window", r.ID)
+	case r.class.DedupScope == DedupEverywhere:
 	case r.class.DedupScope == DedupShard && first.Shard != t.Shard, first.Zone != t.Zone:
 		s.violation("rule 2: %s sent outside its dedup scope", r.ID)
 	}
