--- a/cmd/initiator/initiator.go
+++ b/cmd/initiator/initiator.go
@@ -26,8 +26,8 @@
 	// runtimeMemoryPercent is the percentage of the process's memory that the Go runtime may use before it collects garbage more
 	// often; the rest is a margin, since the process is killed at the machine's limit.
 	runtimeMemoryPercent = 70
-	// answerMargin is how long before the client's timeout a response must be decided, so that it can still be written.
-	answerMargin = 12 * time.Millisecond
+	// responseWriteMargin is how long before the client's timeout a response must be decided, so that it can still be written.
+	responseWriteMargin = 12 * time.Millisecond
 	// poolIdleNumerator and poolIdleDenominator are the part of a target's idle timeout after which the initiator closes its
 	// unused connections: the target would close them while attempts are on their way.
 	poolIdleNumerator   = 4
@@ -115,9 +115,9 @@
 		Logger:            log,
 	}, func(result dispatcher.AttemptResult) { in.dispatcher.ReportResult(result) })
 	in.dispatcher = dispatcher.New(decider, in.registry, in.clock, dispatcher.Options{
-		MaxOpenCalls: cfg.MaxOpenCalls,
-		AnswerMargin: answerMargin,
-		Logger:       log,
+		MaxOpenCalls:        cfg.MaxOpenCalls,
+		ResponseWriteMargin: responseWriteMargin,
+		Logger:              log,
 	})
 	in.startTimes = discovery.NewStartTimes(time.Now, func() time.Duration { return in.clock.At(time.Now()) })
 	in.watcher = discovery.New(cfg.Discovery, cfg.KnownEndpoints, pollSpread(cfg), in.applyEndpoints, log)
--- a/internal/nvme/status.go
+++ b/internal/nvme/status.go
@@ -72,7 +72,7 @@
 //
 //	response                         status                     DNR    promise to the host
 //	Served                           Successful Completion      -      executed
-//	Rejected                         Namespace Not Ready        clear  not executed: may be retried, with CRD if it has ACRE
+//	Rejected                         Namespace Not Ready        clear  a repeat is harmless, with CRD if it has ACRE
 //	Failed, the last attempt ended   Transient Transport Error  set    none: may have been executed
 //	by its deadline or a reset
 //	any other                        Internal Error             set    none: may have been executed
--- a/scheduler/retry_test.go
+++ b/scheduler/retry_test.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// TestRetryStaysWithinDedupWindow guards the window in which targets drop repeats of a request that may
-// have been executed. A retry must carry the time within which its first byte must leave, and a request
+// TestRetryStaysWithinDedupWindow checks retries of a request that may have been executed. After its dedup
+// window targets no longer drop a repeat, and it would be executed twice. A retry must carry the time within which its first byte must leave, and a request
 // that waits past the window must be answered then, not at its deadline.
 func TestRetryStaysWithinDedupWindow(t *testing.T) {
 	settings := testSettings()
 	settings.Classes[0].Idempotency = IdempotencyKey
 	settings.Classes[0].DedupWindow = 500 * ms
-	h := newHarness(t, settings, Target{ID: "n"})
+	h := newHarness(t, settings, Target{ID: testTarget})
 	start := h.now
 	h.step(testRequest("a", "v", 1), testRequest("b", "w", 1))
 	h.advance(50 * ms)
@@ -28,7 +28,7 @@
 			t.Errorf("retry %d may start within %v", i, retry.StartWithin)
 		}
 	}
-	h.step(EndpointList{Targets: []Target{{ID: "n", State: Draining}}})
+	h.step(EndpointList{Targets: []Target{{ID: testTarget, State: Draining}}})
 	for _, retry := range h.sends[2:] {
 		h.endAttempt(retry.RequestID, ConnectFailed, 10*ms)
 	}
@@ -40,8 +40,8 @@
 	}
 }
 
-// TestRetryBudget checks the bound on retries: a minimum of 2 and a tenth of the first attempts, within 10
-// s.
+// TestRetryBudget checks the bound on retries: a minimum of 2 and a tenth of the requests that arrived,
+// within 10 s.
 func TestRetryBudget(t *testing.T) {
 	budget := retryBudget{
 		RetryBudget: RetryBudget{Enabled: true, Minimum: 2, Ratio: 0.1, Window: 10 * time.Second},
@@ -49,7 +49,7 @@
 	}
 	now := time.Minute
 	for range 10 {
-		budget.recordFirstAttempt(now)
+		budget.recordArrival(now)
 	}
 	for i := range 3 {
 		if at := budget.admitAt(now); at > now {
@@ -58,14 +58,14 @@
 		budget.recordRetry(now)
 	}
 	if at := budget.admitAt(now); at <= now {
-		t.Error("a fourth retry is admitted with 10 first attempts")
+		t.Error("a fourth retry is admitted with 10 arrivals")
 	}
 	now += 10*time.Second + 3*ms
 	if at := budget.admitAt(now); at > now {
 		t.Errorf("a retry is admitted at %v after the window, want now", at)
 	}
-	if len(budget.firstAttempts)+len(budget.retries) != 0 {
-		t.Errorf("%d first attempts and %d retries kept after the window", len(budget.firstAttempts), len(budget.retries))
+	if len(budget.arrivals)+len(budget.retries) != 0 {
+		t.Errorf("%d arrivals and %d retries kept after the window", len(budget.arrivals), len(budget.retries))
 	}
 	budget.Enabled = false
 	for range 100 {
@@ -94,7 +94,7 @@
 			mayHaveExecuted: true,
 			firstExecution:  execution{zone: "a", shard: 1},
 		}
-		got := []bool{r.isDeduplicated(same), r.isDeduplicated(otherShard), r.isDeduplicated(otherZone)}
+		got := []bool{r.isInDedupScope(same), r.isInDedupScope(otherShard), r.isInDedupScope(otherZone)}
 		if want := []bool{c.same, c.otherShard, c.otherZone}; !slices.Equal(got, want) {
 			t.Errorf("scope %d: same, other shard, other zone: %v, want %v", c.scope, got, want)
 		}
--- a/scheduler/rulechecks_test.go
+++ b/scheduler/rulechecks_test.go
@@ -6,15 +6,7 @@
 	"time"
 )
 
-// The seven rules:
-//
-//  1. each request ends exactly once, by its deadline
-//  2. no request is executed twice where its class does not allow it
-//  3. no attempt goes to a draining or removed target
-//  4. a warming target gets no more than this initiator's part of what it can serve
-//  5. requests for a serialized extent run one at a time, in order
-//  6. retries stay within the retry budget
-//  7. a volume stays within this initiator's part of its limit
+// The checks of the seven rules that doc.go lists. They count by themselves, from events and actions alone.
 
 // tolerance allows for rounding, in units.
 const tolerance = 1e-6
@@ -107,6 +99,7 @@
 		s.violation("rule 2: non-idempotent %s sent again", r.ID)
 	case s.now > execution.sentAt+r.class.DedupWindow:
 		s.violation("rule 2: %s sent after its dedup window", r.ID)
+	case r.class.DedupScope == DedupEverywhere:
 	case r.class.DedupScope == DedupShard && first.Shard != t.Shard, first.Zone != t.Zone:
 		s.violation("rule 2: %s sent outside its dedup scope", r.ID)
 	}
@@ -120,14 +113,14 @@
 	if slowStart.Window <= 0 || t.Started <= 0 || age >= slowStart.Duration {
 		return
 	}
-	addUnits(s.warmUp, t.ID, s.now, r.Units)
+	addUnits(s.slowStart, t.ID, s.now, r.Units)
 	windowStart := s.now - slowStart.Window
-	sent := sumAfter(s.warmUp[t.ID], windowStart, t.Started)
+	sent := sumAfter(s.slowStart[t.ID], windowStart, t.Started)
 	served := sumAfter(s.served[t.ID], windowStart, 0)
 	capacity := slowStart.InitialCapacity + (1-slowStart.InitialCapacity)*age.Seconds()/slowStart.Duration.Seconds()
 	evenPart := slowStart.Budget / float64(s.settings.Initiators) * capacity / slowStart.InitialCapacity
 	if sent > evenPart+served+tolerance {
-		s.violation("rule 4: %v units to warming %s, which can serve %v for this initiator", sent, t.ID, evenPart+served)
+		s.violation("rule 4: %v units to %s in slow start, which can serve %v for this initiator", sent, t.ID, evenPart+served)
 	}
 }
 
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -24,7 +24,7 @@
 
 	// Derived from the settings.
 	shortestObjective time.Duration // least latency objective of the classes
-	highestWeight     float64       // greatest priority that a request can have
+	highestPriority   float64       // greatest that a request can have, see priority
 	minConcurrency    float64       // least concurrency limit of a responding target
 
 	// The current step.
@@ -35,9 +35,9 @@
 
 	// Requests.
 	requests         map[string]*request
-	deadlines        deadlineHeap
+	giveUps          giveUpHeap
 	shutdownDeadline time.Duration // no request may be open after it; never: no shutdown yet
-	rejected         rejectedRequests
+	givenUp          givenUpRequests
 	serialQueues     map[string]*serialQueue // by extent
 	shardQueues      []*shardQueue
 	volumes          map[string]*volume
@@ -45,7 +45,7 @@
 	// Targets.
 	targets        []*target
 	targetsByID    map[string]*target
-	queueingFactor float64 // part of the base latency that each request at a target adds
+	queueingFactor float64 // part of the base latency that each request at a target adds; learned
 	slowStart      slowStart
 	retryBudget    retryBudget
 	poller         endpointPoller
@@ -71,7 +71,7 @@
 		minConcurrency:    max(1, sharedMinConcurrency/float64(settings.Initiators)),
 		requests:          map[string]*request{},
 		shutdownDeadline:  never,
-		rejected:          newRejectedRequests(),
+		givenUp:           newGivenUpRequests(),
 		serialQueues:      map[string]*serialQueue{},
 		volumes:           map[string]*volume{},
 		targetsByID:       map[string]*target{},
@@ -96,7 +96,7 @@
 		s.classes[class.Name] = class
 		s.shortestObjective = min(s.shortestObjective, class.LatencyObjective)
 		for _, plan := range s.settings.Plans {
-			s.highestWeight = max(s.highestWeight, class.PriorityWeight*plan.PriorityFactor)
+			s.highestPriority = max(s.highestPriority, class.PriorityWeight*plan.PriorityFactor)
 		}
 	}
 }
@@ -145,8 +145,8 @@
 	case Shutdown:
 		s.onShutdown(event)
 	case Timer:
-		// Failure: a timer comes a little early, since the caller rounds; nothing is due yet, and no other
-		// is set.
+		// Prevents: a timer fires a little early, since the caller rounds; nothing is due yet, no other timer
+		// is set, and the queued requests are never ended. Without a timer, this step requests another.
 		s.timer.setFor = never
 	}
 }
