--- a/cmd/initiator/reload_test.go
+++ b/cmd/initiator/reload_test.go
@@ -12,6 +12,8 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"dapplegate/internal/config"
 )
 
 // TestReloadOutlastsAFailingRead
@@ -24,11 +26,17 @@
 	b := newTestbed(t)
 	configFile := filepath.Join(t.TempDir(), "config.json")
 	hangups := make(chan os.Signal, 1)
-	addrs := watchReloads(hangups, environment(map[string]string{"PROXY_CONFIG": configFile}), b.discoveryAddr, discardLog)
+	getenv := config.FileEnvironment(configFile)
+	addrs := watchReloads(hangups, getenv, b.discoveryAddr, discardLog)
 	hangups <- syscall.SIGHUP
-	time.Sleep(100 * time.Millisecond)
-	if _, err := os.Stat(configFile); !errors.Is(err, os.ErrNotExist) {
-		t.Fatal(err)
+	time.Sleep(2 * reloadRetryInterval) // several reads have failed by then
+	if _, err := config.Reload(getenv); !errors.Is(err, os.ErrNotExist) {
+		t.Fatalf("a read of the configuration: %v, want it to fail since there is no file yet", err)
+	}
+	select {
+	case addr := <-addrs:
+		t.Fatalf("moved to %s without a configuration", addr)
+	default:
 	}
 	const moved = "127.0.0.1:9"
 	writeFile(t, configFile, strings.Replace(b.config(), b.discoveryAddr, moved, 1))
--- a/cmd/initiator/testbed_test.go
+++ b/cmd/initiator/testbed_test.go
@@ -21,6 +21,8 @@
 const (
 	// waitTimeout is how long a test waits for what may take a while on a busy machine.
 	waitTimeout = time.Minute
+	// initiatorName is the name in the testbed's configuration.
+	initiatorName = "n1"
 	// targetBody is what the testbed's target responds with.
 	targetBody = "from the target"
 
@@ -76,7 +78,7 @@
 
 // config is a configuration file for the testbed.
 func (b *testbed) config() string {
-	return fmt.Sprintf(`{"name":"n1","listen":%q,"discovery":%q,"settings":%s}`, b.listen, b.discoveryAddr, settings)
+	return fmt.Sprintf(`{"name":%q,"listen":%q,"discovery":%q,"settings":%s}`, initiatorName, b.listen, b.discoveryAddr, settings)
 }
 
 // request sends one request on a connection of its own. A status of 0 says that there was no response; then the text is the
