--- a/cmd/initiator/version.go
+++ b/cmd/initiator/version.go
@@ -17,7 +17,7 @@
 	}
 }
 
-// buildVersion returns the module's version and, where the build knows it, the revision.
+// buildVersion returns the module's version and, if the build recorded it, the revision.
 func buildVersion() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/internal/config/agent.go
+++ b/internal/config/agent.go
@@ -15,7 +15,7 @@
 	Peers []Peer `toml:"peer"`
 }
 
-// Peer is a server of the configuration store as all of them know it.
+// Peer is a server of the configuration store, as each server lists it.
 type Peer struct {
 	// ID names the server; unique among the peers.
 	ID string `toml:"id"`
--- a/internal/config/nvme.go
+++ b/internal/config/nvme.go
@@ -132,7 +132,8 @@
 }
 
 func (n *NVMe) validateNamespaces(platform *Config) *FieldError {
-	classes, plans := platform.ClassNames(), platform.PlanNames()
+	classes := platform.ClassNames()
+	plans := platform.PlanNames()
 	ids := map[uint32]bool{}
 	for i := range n.Namespaces {
 		namespace := &n.Namespaces[i]
--- a/internal/discovery/starttimes.go
+++ b/internal/discovery/starttimes.go
@@ -67,7 +67,7 @@
 // At returns when the target of an entry started, on the monotonic clock; 0: long ago.
 func (s *StartTimes) At(entry endpoints.Entry) time.Duration { return s.known[entry.ID].monotonic }
 
-// detectStep takes over the wall clock's offset if it was stepped.
+// detectStep updates the offset if the wall clock was stepped.
 func (s *StartTimes) detectStep(now time.Duration) {
 	offset := time.Duration(s.wallClock().UnixNano()) - now
 	if (offset - s.offset).Abs() >= minClockStep {
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -131,7 +131,7 @@
 	return time.Since(r.Context().Value(testStartKey{}).(time.Time))
 }
 
-// pollRecorder is a discovery that holds each poll for good, or fails each at once. It notes when they come.
+// pollRecorder is a discovery that never responds to a poll, or fails each at once. It records when they begin.
 type pollRecorder struct {
 	fail   bool
 	begins []time.Duration
@@ -215,7 +215,7 @@
 	}
 }
 
-// silentWatches is a discovery whose polls fall silent where they may wait for a change. It notes when each
+// silentWatches is a discovery whose polls fall silent where they may wait for a change. It records when each
 // of these is given up.
 type silentWatches struct{ ends []time.Duration }
 
--- a/internal/endpoints/endpoints.go
+++ b/internal/endpoints/endpoints.go
@@ -15,7 +15,7 @@
 
 // List is the complete endpoint list, or the entries that changed since an earlier version.
 type List struct {
-	Version  *int64  `json:"version"` // nil only in a list that Check refuses
+	Version  *int64  `json:"version"` // nil only in a list that Check rejects
 	Complete bool    `json:"full"`
 	Entries  []Entry `json:"servers"`
 }
@@ -26,7 +26,7 @@
 	Addr      string `json:"addr"` // host:port
 	Zone      string `json:"zone"`
 	Shard     *int   `json:"cell"`       // nil only in an entry of a removed target
-	State     string `json:"state"`      // one that Check knows
+	State     string `json:"state"`      // a key of states, once Check has passed
 	StartedMs int64  `json:"started_ms"` // last start, Unix time in milliseconds; 0: long ago
 }
 
--- a/internal/httpmsg/httpmsg.go
+++ b/internal/httpmsg/httpmsg.go
@@ -1,4 +1,4 @@
-// Package httpmsg holds what a client's HTTP request and the attempts made for it have in common.
+// Package httpmsg defines the part of a client's HTTP request that its attempts forward.
 package httpmsg
 
 // MaxRequestBody is the largest body of a request, in bytes.
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -17,8 +17,7 @@
 // Sequence: clients leave while the connections for their attempts are being dialed. Each attempt was
 // reported as one that could not connect; after three of them the target counted as an outlier and was
 // ejected for a while.
-// Cause: an attempt that was cancelled before its first byte was reported with how far it had got, not as not
-// sent.
+// Cause: an attempt that was cancelled before its first byte was reported as ConnectFailed, not as NotSent.
 // Settled by the log: "attempt ended" reason=CONNECT_FAILED latency=0.4ms, right after "request ended"
 // reason=CLIENT_CLOSED.
 func TestCancelWhileDialingIsNotSent(t *testing.T) {
--- a/internal/upstream/connpool_test.go
+++ b/internal/upstream/connpool_test.go
@@ -45,7 +45,7 @@
 	return c
 }
 
-// expectAcquire checks what the pool gives out: a connection, or nil for one to be dialed.
+// expectAcquire checks what acquire returns: a connection, or nil for one to be dialed.
 func expectAcquire(t *testing.T, p *connPool, want *pooledConn, wantOK bool) {
 	t.Helper()
 	if got, ok := p.acquire(); got != want || ok != wantOK {
@@ -100,8 +100,8 @@
 
 // TestDeadlineClearedAfterAttempt
 //
-// Once an attempt's deadline was left on its connection. When it had passed, the check of the idle connection
-// failed, the healthy connection was closed for it, and nearly every request paid for a handshake.
+// An attempt's deadline was not cleared on its connection. Once it had passed, the check of the idle connection failed, the
+// healthy connection was closed, and nearly every request needed a new one.
 func TestDeadlineClearedAfterAttempt(t *testing.T) {
 	actor := newTestTarget(scheduler.Serving)
 	near, far := net.Pipe()
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -161,7 +161,7 @@
 	return r.targets[testTarget]
 }
 
-// awaitNoBackgroundDial waits until the actor knows how its background dial ended.
+// awaitNoBackgroundDial waits until the actor has handled the end of its background dial.
 func awaitNoBackgroundDial(actor *target) {
 	for actor.backgroundDialActive.Load() {
 		time.Sleep(time.Millisecond)
--- a/internal/upstream/http_test.go
+++ b/internal/upstream/http_test.go
@@ -17,8 +17,7 @@
 	"dapplegate/scheduler"
 )
 
-// TestRequestHeadSamples encodes attempts in the form of the protocol page: what is forwarded is forwarded
-// unchanged.
+// TestRequestHeadSamples encodes attempts in the form of the protocol page: method, URI and ID are forwarded unchanged.
 func TestRequestHeadSamples(t *testing.T) {
 	const host = "10.1.0.18:8080"
 	write := &httpmsg.Request{Method: "PUT", URI: "/checkout/7f3a9c21e0b4d655?q=1", ID: "9b1f03aa5c7e2d41", Body: []byte("body")}
@@ -94,9 +93,9 @@
 
 // TestUnusableResponses
 //
-// Targets send what is no usable response. The attempt may have executed, nothing of the response is served,
-// the connection is not used again, and a response that stops midway is not waited for until the deadline.
-// What is only more than was due costs the connection alone.
+// Targets send responses that cannot be used. The attempt may have executed, nothing of the response is served, the
+// connection is not used again, and a response that stops midway is not waited for until the deadline. Where more bytes come
+// than the response, the response is used and the connection closed.
 func TestUnusableResponses(t *testing.T) {
 	const good = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx"
 	const informational = "HTTP/1.1 103 Early Hints\r\n\r\n"
@@ -242,6 +241,27 @@
 	}
 }
 
+// TestTooLargeResponseReason checks that a response which is too large has the same reason in the log whether its head, its
+// announced length or its body is the cause.
+func TestTooLargeResponseReason(t *testing.T) {
+	for _, c := range []struct{ name, response string }{
+		{"head", "HTTP/1.1 200 OK\r\nA: " + strings.Repeat("b", 2*maxHeadBytes)},
+		{"length", fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", maxBodyBytes+1)},
+		{"body", "HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("b", maxBodyBytes+1)},
+	} {
+		conn := withoutDeadlines{strings.NewReader(c.response)}
+		reader := newResponseReader(conn, time.Now().Add(time.Minute), newMemoryBudget(2*maxBodyBytes))
+		_, err := reader.read(http.MethodGet)
+		if err == nil {
+			t.Errorf("%s: the response was read", c.name)
+			continue
+		}
+		if result := reader.failure(err); result.Status != scheduler.ConnectionReset || result.CloseReason != ReasonResponseTooLarge {
+			t.Errorf("%s: status %v, reason %s", c.name, result.Status, result.CloseReason)
+		}
+	}
+}
+
 // TestPartialWrite checks that an attempt which ends short of its last byte counts as one that cannot have
 // executed.
 func TestPartialWrite(t *testing.T) {
--- a/internal/upstream/loadreport.go
+++ b/internal/upstream/loadreport.go
@@ -7,14 +7,14 @@
 	"dapplegate/scheduler"
 )
 
-// maxReportedRequests is more than a target ever holds: a figure of this much or more is ignored.
+// maxReportedRequests exceeds the requests that a target ever has queued or in flight: a figure of this much or more is ignored.
 const maxReportedRequests = 1e5
 
 // notReported is the scheduler's value of a figure that a load report lacks.
 const notReported = -1
 
-// parseLoadReport reads a load report such as "inflight=7,queue=2", in requests. Fields that it does not know
-// or cannot use are skipped; nil if none is left.
+// parseLoadReport reads a load report such as "inflight=7,queue=2", in requests. Unknown and unusable
+// fields are skipped; nil if there is no other.
 func parseLoadReport(header string) *scheduler.LoadReport {
 	report := &scheduler.LoadReport{QueueDepth: notReported, InFlight: notReported}
 	for field := range strings.SplitSeq(header, ",") {
--- a/internal/upstream/memorybudget_test.go
+++ b/internal/upstream/memorybudget_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// TestMemoryBudget checks that a budget gives out no more than it has, and nothing in part.
+// TestMemoryBudget checks that acquire takes all bytes or none, and never more than the budget has.
 func TestMemoryBudget(t *testing.T) {
 	budget := newMemoryBudget(10)
 	if !budget.acquire(7) {
--- a/internal/upstream/registry.go
+++ b/internal/upstream/registry.go
@@ -58,8 +58,7 @@
 	}
 }
 
-// Apply takes over entries of the endpoint list. If the list is complete, a target that it does not name is
-// removed.
+// Apply applies entries of the endpoint list. If the list is complete, targets that it does not name are removed.
 func (r *Registry) Apply(list []Endpoint, complete bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -114,7 +113,7 @@
 	if r.deliver(attempt) {
 		return
 	}
-	// The target left the list between the decision and now.
+	// The target was removed from the list after the decision.
 	r.report(dispatcher.AttemptResult{
 		RequestID: attempt.RequestID,
 		Number:    attempt.Number,
