--- a/internal/clienthttp/helpers_test.go
+++ b/internal/clienthttp/helpers_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"dapplegate/internal/dispatcher"
-	"dapplegate/internal/seeded"
+	"dapplegate/internal/propertytest"
 )
 
 const (
@@ -34,7 +34,7 @@
 // servedX is the response of a target whose data is "x".
 var servedX = dispatcher.Response{Payload: []byte("x")}
 
-func TestMain(m *testing.M) { seeded.Main(m) }
+func TestMain(m *testing.M) { propertytest.Main(m) }
 
 // fakeDispatcher hands submitted and cancelled calls to the test.
 type fakeDispatcher struct {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -10,10 +10,10 @@
 
 	"pgregory.net/rapid"
 
-	"dapplegate/internal/seeded"
+	"dapplegate/internal/propertytest"
 )
 
-func TestMain(m *testing.M) { seeded.Main(m) }
+func TestMain(m *testing.M) { propertytest.Main(m) }
 
 // validConfig is a configuration as the platform writes it, with one field that is unknown.
 const validConfig = `{"name":"n3","listen":"127.0.0.1:8080","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
--- a/internal/endpoints/endpoints_test.go
+++ b/internal/endpoints/endpoints_test.go
@@ -9,11 +9,11 @@
 
 	"pgregory.net/rapid"
 
-	"dapplegate/internal/seeded"
+	"dapplegate/internal/propertytest"
 	"dapplegate/scheduler"
 )
 
-func TestMain(m *testing.M) { seeded.Main(m) }
+func TestMain(m *testing.M) { propertytest.Main(m) }
 
 const entryJSON = `{"id":"a","addr":"127.0.0.1:1","zone":"z","kind":"k","cell":3,"state":"SERVING","weight":1.0,"started_ms":7}`
 
--- a/internal/nvme/helpers_test.go
+++ b/internal/nvme/helpers_test.go
@@ -12,12 +12,12 @@
 	"time"
 
 	"dapplegate/internal/dispatcher"
-	"dapplegate/internal/seeded"
+	"dapplegate/internal/propertytest"
 	"dapplegate/internal/upstream"
 	"dapplegate/scheduler"
 )
 
-func TestMain(m *testing.M) { seeded.Main(m) }
+func TestMain(m *testing.M) { propertytest.Main(m) }
 
 const (
 	targetNQN    = "nqn.2026-12.example.test:target"    // subsystem of the stand-in targets
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -15,7 +15,7 @@
 
 	"dapplegate/internal/dispatcher"
 	"dapplegate/internal/httpmsg"
-	"dapplegate/internal/seeded"
+	"dapplegate/internal/propertytest"
 	"dapplegate/scheduler"
 )
 
@@ -29,7 +29,7 @@
 	testMaxConns          = 6
 )
 
-func TestMain(m *testing.M) { seeded.Main(m) }
+func TestMain(m *testing.M) { propertytest.Main(m) }
 
 // fakeTarget is a target that handles each request with a function of the test.
 type fakeTarget struct {
