--- a/internal/dispatcher/requestids_test.go
+++ b/internal/dispatcher/requestids_test.go
@@ -23,7 +23,7 @@
 //
 // If a client reuses a request id, a target takes the second request for a hedged request of the first. So a request is a
 // duplicate while one of its id is open, while the attempt of a cancelled one is in flight, and for a while after one that
-// may have been executed. The id of a request that no target has seen may be used again.
+// may have been executed. The id of a request that no target may have executed is free at once.
 func TestRequestIDIsUsedOnce(t *testing.T) {
 	h := newHarness(t)
 	wantDuplicate := func(when string) {
