--- a/internal/clienthttp/accept.go
+++ b/internal/clienthttp/accept.go
@@ -41,8 +41,8 @@
 type listener struct {
 	net.Listener
 	table *connTable
-	// backlogSince is since when connections may have waited in the backlog because accept failed; zero: none has.
-	backlogSince time.Time
+	// acceptQueuedSince is since when connections may have waited in the backlog because accept failed; zero: none has.
+	acceptQueuedSince time.Time
 }
 
 // Accept implements net.Listener. Its error is permanent, and ends the server.
@@ -57,8 +57,8 @@
 		if !isTransientAcceptError(err) {
 			return nil, err
 		}
-		if l.backlogSince.IsZero() { // logged once until the backlog is empty again
-			l.backlogSince = calledAt
+		if l.acceptQueuedSince.IsZero() { // logged once until the backlog is empty again
+			l.acceptQueuedSince = calledAt
 			l.table.log.Warn("accept failed", slog.String("reason", "ACCEPT_FAILED"), slog.Any("error", err))
 		}
 		time.Sleep(backoff + rand.N(backoff))
@@ -74,9 +74,9 @@
 func (l *listener) addConn(conn net.Conn, acceptDuration time.Duration) net.Conn {
 	c := l.table.add(conn)
 	if acceptDuration > acceptWaitThreshold {
-		l.backlogSince = time.Time{}
+		l.acceptQueuedSince = time.Time{}
 	}
-	if since := l.backlogSince; !since.IsZero() {
+	if since := l.acceptQueuedSince; !since.IsZero() {
 		c.queuedSince.Store(&since)
 	}
 	return c
--- a/internal/clienthttp/conn.go
+++ b/internal/clienthttp/conn.go
@@ -52,9 +52,9 @@
 	openRequestID atomic.Pointer[string]
 
 	// pipelined is closed once more than one request has arrived at a time; nil: not watched. Closed by the reader, by
-	// way of closePipelined; received from by the handler.
-	pipelined      chan struct{}
-	closePipelined sync.Once
+	// way of markCloseUndetected; received from by the handler.
+	closeUndetected     chan struct{}
+	closeUndetectedOnce sync.Once
 
 	// foundEmpty is whether net/http's last background read found nothing to read. Only the reader uses it.
 	foundEmpty bool
@@ -68,7 +68,7 @@
 
 // newClientConn wraps an accepted connection, from which nothing has been read.
 func newClientConn(conn net.Conn) *clientConn {
-	c := &clientConn{Conn: conn, idleSince: time.Now(), pipelined: make(chan struct{})}
+	c := &clientConn{Conn: conn, idleSince: time.Now(), closeUndetected: make(chan struct{})}
 	if raw, ok := conn.(syscall.Conn); ok {
 		c.rawConn, _ = raw.SyscallConn()
 	}
@@ -186,9 +186,9 @@
 		return 0, io.EOF
 	}
 	c.noteBytesRead(n)
-	if n == 1 && len(buffer) == backgroundReadSize && c.pipelined != nil {
+	if n == 1 && len(buffer) == backgroundReadSize && c.closeUndetected != nil {
 		// With this byte in hand net/http stops its background reads, and the handler has to detect a close by itself.
-		c.closePipelined.Do(func() { close(c.pipelined) })
+		c.closeUndetectedOnce.Do(func() { close(c.closeUndetected) })
 	}
 	return n, nil
 }
@@ -223,10 +223,10 @@
 
 // closeIfUnread shuts the connection down and marks it closed if it is in the expected state and nothing is unread on it;
 // a rejected connection is marked whatever is unread. The caller holds readMutex, and still has to call Conn.Close.
-func (c *clientConn) closeIfUnread(expected connState) (closed bool) {
-	markClosed := func() bool { return c.state.CompareAndSwap(expected, stateClosed) }
-	switch expected {
-	case stateRejected:
+func (c *clientConn) closeIfUnread(observed connState) (closed bool) {
+	markClosed := func() bool { return c.state.CompareAndSwap(observed, stateClosed) }
+	switch observed {
+	case stateMalformed:
 		return markClosed()
 	case stateReceiving:
 		return socket.ShutdownIfQuiet(c.Conn, evictionResponse, markClosed)
@@ -235,15 +235,15 @@
 	}
 }
 
-// peerClosed tells whether the client has closed the connection, also if bytes from before are still unread.
+// peerClosed reports whether the client has closed the connection, also if bytes from before are still unread.
 func (c *clientConn) peerClosed() bool {
 	return c.Conn != nil && socket.IsPeerClosed(c.Conn)
 }
 
-// isPipelined tells whether more than one request has arrived at a time.
-func (c *clientConn) isPipelined() bool {
+// isCloseUndetected reports whether more than one request has arrived at a time.
+func (c *clientConn) isCloseUndetected() bool {
 	select {
-	case <-c.pipelined:
+	case <-c.closeUndetected:
 		return true
 	default:
 		return false
@@ -288,10 +288,10 @@
 	}
 	state := c.state.Load()
 	if state == stateReceiving {
-		return reasonRequestTimeout
+		return reasonRequestReadTimeout
 	}
 	if state == stateIdle && !c.hasResponded.Load() {
-		return reasonIdleTimeout
+		return reasonNoFirstRequest
 	}
 	// net/http ends its own background reads by a deadline in the past, which ends no connection. A connection stays idle
 	// for net/http's whole idle timeout only during shutdown.
@@ -301,7 +301,7 @@
 // receivedAt is when the client's timeout starts to run: when the last byte of the request so far was read, which may be
 // well before a busy process runs its handler. For a request that may have waited unread, it is the earliest time at which
 // it may have arrived.
-func (c *clientConn) receivedAt() time.Time {
+func (c *clientConn) earliestArrival() time.Time {
 	if queuedSince := c.queuedSince.Load(); queuedSince != nil {
 		return *queuedSince
 	}
--- a/internal/clienthttp/conn_test.go
+++ b/internal/clienthttp/conn_test.go
@@ -168,8 +168,8 @@
 			if state := conn.state.Load(); state != c.wantState {
 				t.Errorf("the connection is %v, want %v", state, c.wantState)
 			}
-			if reason := conn.closeReason.Load(); c.wantState == stateClosed && (reason == nil || *reason != reasonIdleTimeout) {
-				t.Errorf("closed with reason %v, want %v", reason, reasonIdleTimeout)
+			if reason := conn.closeReason.Load(); c.wantState == stateClosed && (reason == nil || *reason != reasonNoFirstRequest) {
+				t.Errorf("closed with reason %v, want %v", reason, reasonNoFirstRequest)
 			}
 		})
 	}
--- a/internal/clienthttp/connstate.go
+++ b/internal/clienthttp/connstate.go
@@ -32,8 +32,8 @@
 	stateInFlight
 	// stateResponded: the request has its response, and net/http may hold bytes of the next one that it read ahead.
 	stateResponded
-	// stateRejected: the request was malformed and is answered so; what is left of it is discarded, and none follows.
-	stateRejected
+	// stateMalformed: the request was malformed and is answered so; what is left of it is discarded, and none follows.
+	stateMalformed
 	// stateClosed: closed by this side; nothing that is read from it counts any more.
 	stateClosed
 )
@@ -43,7 +43,7 @@
 	stateReceiving: "RECEIVING",
 	stateInFlight:  "IN_FLIGHT",
 	stateResponded: "RESPONDED",
-	stateRejected:  "REJECTED",
+	stateMalformed: "MALFORMED",
 	stateClosed:    "CLOSED",
 }
 
@@ -77,12 +77,12 @@
 	reasonNone closeReason = ""
 	// reasonConnectionLimit: evicted to make room for another connection, or accepted over the limit itself.
 	reasonConnectionLimit closeReason = "CONNECTION_LIMIT"
-	// reasonIdleTimeout: a new connection brought nothing within requestTimeout.
-	reasonIdleTimeout closeReason = "IDLE_TIMEOUT"
+	// reasonNoFirstRequest: a new connection brought nothing within requestReadTimeout.
+	reasonNoFirstRequest closeReason = "NO_FIRST_REQUEST"
 	// reasonKeepAliveTimeout: no further request came within keepAliveTimeout.
 	reasonKeepAliveTimeout closeReason = "KEEP_ALIVE_TIMEOUT"
-	// reasonRequestTimeout: a request did not arrive completely in time.
-	reasonRequestTimeout closeReason = "REQUEST_TIMEOUT"
+	// reasonRequestReadTimeout: a request did not arrive completely in time.
+	reasonRequestReadTimeout closeReason = "REQUEST_READ_TIMEOUT"
 	// reasonShutdown: the program ends.
 	reasonShutdown closeReason = "SHUTDOWN"
 	// reasonClosedByServer: closed after a response that announces it, or over bytes that are no request.
--- a/internal/clienthttp/conntable.go
+++ b/internal/clienthttp/conntable.go
@@ -43,8 +43,8 @@
 	if len(t.open) <= t.maxIdle {
 		return c
 	}
-	full := len(t.open) > t.maxOpen
-	if !t.makeRoomFor(c, full) && full {
+	overMaxOpen := len(t.open) > t.maxOpen
+	if !t.makeRoomFor(c, overMaxOpen) && overMaxOpen {
 		t.markOverLimit(c)
 	}
 	return c
@@ -62,15 +62,15 @@
 }
 
 // closeTimedOut closes the connections that have been idle for keepAlive, and those that received part of a request and
-// nothing more for partialRequest. net/http by itself would give the first bytes of a further request all the time of an
+// nothing more for requestPause. net/http by itself would give the first bytes of a further request all the time of an
 // idle connection. During shutdown no idle connection is closed here: clients cannot open others.
-func (t *connTable) closeTimedOut(keepAlive, partialRequest time.Duration) {
+func (t *connTable) closeTimedOut(keepAlive, requestPause time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	for c := range t.open {
 		switch state := c.state.Load(); {
-		case state == stateReceiving && time.Since(c.lastReadTime()) >= partialRequest:
-			t.evict(c, stateReceiving, reasonRequestTimeout)
+		case state == stateReceiving && time.Since(c.lastReadTime()) >= requestPause:
+			t.evict(c, stateReceiving, reasonRequestReadTimeout)
 		case state == stateIdle && c.hasResponded.Load() && time.Since(c.idleSince) >= keepAlive && !t.shuttingDown:
 			t.evict(c, stateIdle, reasonKeepAliveTimeout)
 		}
--- a/internal/clienthttp/conntable_test.go
+++ b/internal/clienthttp/conntable_test.go
@@ -52,7 +52,7 @@
 // within 3 s. net/http gave it the 4.8 s of an idle connection, which bounds its reading of the first four bytes.
 func TestStallInFirstBytes(t *testing.T) {
 	const endsWithin = 3 * time.Second
-	addr := startServerWithDelay(t, requestTimeout, func(*Server) {})
+	addr := startServerWithDelay(t, requestReadTimeout, func(*Server) {})
 	conn := dial(t, addr)
 	roundTrip(t, conn, validGet)
 	send(conn, "GE")
@@ -75,7 +75,7 @@
 	}{
 		"client closed":     {[]closeReason{reasonClientClosed, reasonWriteFailed}, false, stateIdle, "CLIENT_CLOSED", "IDLE"},
 		"after a response":  {nil, false, stateResponded, "CLOSED_BY_SERVER", "RESPONDED"},
-		"read after close":  {[]closeReason{reasonReadFailed}, false, stateRejected, "CLOSED_BY_SERVER", "REJECTED"},
+		"read after close":  {[]closeReason{reasonReadFailed}, false, stateMalformed, "CLOSED_BY_SERVER", "MALFORMED"},
 		"shutdown":          {[]closeReason{reasonNone}, true, stateInFlight, "SHUTDOWN", "IN_FLIGHT"},
 		"client at the end": {[]closeReason{reasonClientReset}, true, stateReceiving, "CLIENT_RESET", "RECEIVING"},
 	} {
--- a/internal/clienthttp/eviction.go
+++ b/internal/clienthttp/eviction.go
@@ -6,9 +6,9 @@
 	// silentTimeout is how long a new connection may bring nothing before it is evicted ahead of idle ones. Well-behaved
 	// clients send a request as soon as they are connected.
 	silentTimeout = 50 * time.Millisecond
-	// unusedTimeout is how long a connection must have been idle after a response to be evicted while the table is not full.
+	// minIdleBeforeEviction is how long a connection must have been idle after a response to be evicted while the table is not full.
 	// It is short, so that many connections with one request each do not keep other clients out.
-	unusedTimeout = 25 * time.Millisecond
+	minIdleBeforeEviction = 25 * time.Millisecond
 	// stalledTimeout is how long nothing more of a request must have arrived for its connection to be evicted. A complete
 	// request is claimed long before, unless the process is held up.
 	stalledTimeout = 200 * time.Millisecond
@@ -30,20 +30,20 @@
 	rankNew
 	// rankIdle: idle after a response.
 	rankIdle
-	// rankStalled: silent since it was opened, or slow with its first request.
-	rankStalled
-	// rankRejected: its request was rejected, and none follows.
-	rankRejected
+	// rankNoFirstRequest: silent since it was opened, or slow with its first request.
+	rankNoFirstRequest
+	// rankMalformed: its request was rejected, and none follows.
+	rankMalformed
 )
 
-// makeRoomFor evicts a connection other than the new one, and tells whether one was evicted. The table is locked.
-func (t *connTable) makeRoomFor(newConn *clientConn, full bool) bool {
+// makeRoomFor evicts a connection other than the new one, and reports whether one was evicted. The table is locked.
+func (t *connTable) makeRoomFor(newConn *clientConn, overMaxOpen bool) bool {
 	for range maxEvictionAttempts {
-		candidate, state := t.evictionCandidate(newConn, full)
+		candidate, observed := t.evictionCandidate(newConn, overMaxOpen)
 		if candidate == nil {
 			return false
 		}
-		if t.evict(candidate, state, reasonConnectionLimit) {
+		if t.evict(candidate, observed, reasonConnectionLimit) {
 			return true
 		}
 		candidate.idleSince = time.Now() // a request is arriving on it
@@ -53,63 +53,63 @@
 
 // evictionCandidate is the connection to evict, and the state in which it was seen: the one of the highest rank, and among
 // equals the one idle longest; nil: none may be evicted. The table is locked.
-func (t *connTable) evictionCandidate(except *clientConn, full bool) (candidate *clientConn, seen connState) {
+func (t *connTable) evictionCandidate(except *clientConn, overMaxOpen bool) (candidate *clientConn, observed connState) {
 	now := time.Now()
 	highest := rankKeep
 	for c := range t.open {
 		state := c.state.Load()
-		rank := rankForEviction(c, state, full, now)
+		rank := rankForEviction(c, state, overMaxOpen, now)
 		if c == except || rank == rankKeep {
 			continue
 		}
 		if rank > highest || rank == highest && c.idleSince.Before(candidate.idleSince) {
 			candidate = c
-			seen = state
+			observed = state
 			highest = rank
 		}
 	}
-	return candidate, seen
+	return candidate, observed
 }
 
-// rankForEviction ranks a connection that was seen in the state. The table is locked; full tells whether it has more
+// rankForEviction ranks a connection that was seen in the state. The table is locked; full reports whether it has more
 // connections than the limit.
-func rankForEviction(c *clientConn, state connState, full bool, now time.Time) evictionRank {
-	switch state {
-	case stateRejected:
-		return rankRejected
+func rankForEviction(c *clientConn, observed connState, overMaxOpen bool, now time.Time) evictionRank {
+	switch observed {
+	case stateMalformed:
+		return rankMalformed
 	case stateIdle:
-		return rankIdleForEviction(c, full, now)
+		return rankIdleForEviction(c, overMaxOpen, now)
 	case stateReceiving:
 		if !c.hasResponded.Load() && now.Sub(c.lastReadTime()) > stalledTimeout {
-			return rankStalled
+			return rankNoFirstRequest
 		}
 	}
 	return rankKeep
 }
 
-func rankIdleForEviction(c *clientConn, full bool, now time.Time) evictionRank {
+func rankIdleForEviction(c *clientConn, overMaxOpen bool, now time.Time) evictionRank {
 	idleFor := now.Sub(c.idleSince)
 	if c.hasResponded.Load() {
-		if full || idleFor > unusedTimeout {
+		if overMaxOpen || idleFor > minIdleBeforeEviction {
 			return rankIdle
 		}
 		return rankKeep
 	}
 	if idleFor > silentTimeout {
-		return rankStalled
+		return rankNoFirstRequest
 	}
-	if full {
+	if overMaxOpen {
 		return rankNew
 	}
 	return rankKeep
 }
 
 // evict closes a connection that is still in the state in which it was seen, which is idle, receiving or rejected, and
-// tells whether it did. A connection with unread bytes is not closed, unless it was rejected: a request is arriving on it.
+// reports whether it did. A connection with unread bytes is not closed, unless it was rejected: a request is arriving on it.
 // One with part of a request gets evictionResponse. The table is locked.
-func (t *connTable) evict(c *clientConn, seen connState, reason closeReason) bool {
+func (t *connTable) evict(c *clientConn, observed connState, reason closeReason) bool {
 	c.readMutex.Lock()
-	closed := c.closeIfUnread(seen)
+	closed := c.closeIfUnread(observed)
 	if closed {
 		c.noteCloseReason(reason)
 	}
--- a/internal/clienthttp/eviction_test.go
+++ b/internal/clienthttp/eviction_test.go
@@ -13,7 +13,7 @@
 )
 
 // TestUselessConnectionsAreEvicted uses up the limit with connections that send nothing, stop within a head or a body, or
-// have been rejected and never end their body. Well-behaved clients must be served all the same, and a connection with a request
+// are malformed and never end their body. Well-behaved clients must be served all the same, and a connection with a request
 // in flight must stay.
 func TestUselessConnectionsAreEvicted(t *testing.T) {
 	const maxConns = 8
@@ -22,7 +22,7 @@
 		"silent":      "",
 		"half a head": validPutHead,
 		"half a body": partialPut,
-		"rejected":    strings.Replace(partialPut, "std", "odd", 1),
+		"malformed":   strings.Replace(partialPut, "std", "odd", 1),
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, d, addr := startServer(t, maxConns)
@@ -63,7 +63,7 @@
 	go d.respondToNext(once)
 	for range once {
 		roundTripOnNewConn(t, addr, validPut)
-		time.Sleep(2 * unusedTimeout)
+		time.Sleep(2 * minIdleBeforeEviction)
 	}
 	s.conns.mutex.Lock()
 	if open := len(s.conns.open); open > maxIdle {
@@ -93,8 +93,8 @@
 			for c := range s.conns.open {
 				c.idleSince = c.idleSince.Add(-time.Minute) // as if it had been silent for long
 			}
-			if c, state := s.conns.evictionCandidate(nil, true); c != nil {
-				s.conns.evict(c, state, reasonConnectionLimit)
+			if c, observed := s.conns.evictionCandidate(nil, true); c != nil {
+				s.conns.evict(c, observed, reasonConnectionLimit)
 			}
 		},
 		"at the end": func(s *Server) { s.conns.closeIdle(true) },
--- a/internal/clienthttp/handler.go
+++ b/internal/clienthttp/handler.go
@@ -21,32 +21,32 @@
 	peerCheckInterval = 25 * time.Millisecond
 	// writeTimeout is how long a client may take to read its response.
 	writeTimeout = 5 * time.Second
-	// bodyDrainTimeout and maxDrainedBytes bound what is read and discarded of a rejected request's body, so that the client
+	// bodyDiscardTimeout and maxDiscardedBytes bound what is read and discarded of a rejected request's body, so that the client
 	// can read the response before a reset.
-	bodyDrainTimeout = 3 * time.Second
-	maxDrainedBytes  = 64 << 20
-	// drainBufferSize is in bytes.
-	drainBufferSize = 16 << 10
+	bodyDiscardTimeout = 3 * time.Second
+	maxDiscardedBytes  = 64 << 20
+	// discardBufferSize is in bytes.
+	discardBufferSize = 16 << 10
 )
 
 // ServeHTTP implements http.Handler: it reads a request, hands it to the dispatcher and writes the response.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	conn := connFromContext(r.Context())
-	receivedAt := conn.receivedAt()
-	if r.URL.Path == readinessPath || s.options.HealthOnly || conn.overLimit {
+	receivedAt := conn.earliestArrival()
+	if r.URL.Path == readinessPath || s.options.ReadinessOnly || conn.overLimit {
 		conn.claimRequest()
 		s.respondLocally(w, r)
 		return
 	}
-	call, message, requestError := s.readRequest(r)
-	if requestError != nil {
-		rejectMalformed(w, r, conn, requestError)
+	call, message, malformed := s.readRequest(r)
+	if malformed != nil {
+		respondMalformed(w, r, conn, malformed)
 		return
 	}
 	conn.openRequestID.Store(&call.ClientRequestID)
 	conn.claimRequest()
 	if len(message.Body) > 0 {
-		receivedAt = conn.receivedAt()
+		receivedAt = conn.earliestArrival()
 	}
 	liftReadDeadline(w)
 	call.ReceivedAt = receivedAt
@@ -60,7 +60,7 @@
 	switch {
 	case r.URL.Path == readinessPath:
 		s.respondReadiness(w)
-	case s.options.HealthOnly:
+	case s.options.ReadinessOnly:
 		http.NotFound(w, r)
 	default: // the connection is over the limit
 		w.Header().Set("Connection", "close")
@@ -80,7 +80,7 @@
 }
 
 // readRequest reads the head and the body of a request.
-func (s *Server) readRequest(r *http.Request) (*dispatcher.Call, *httpmsg.Request, *RequestError) {
+func (s *Server) readRequest(r *http.Request) (*dispatcher.Call, *httpmsg.Request, *requestError) {
 	call, message, err := s.parseHead(r)
 	if err != nil {
 		return nil, nil, err
@@ -107,7 +107,7 @@
 	// The buffer keeps the dispatcher's goroutine from waiting for this one.
 	responses := make(chan dispatcher.Response, 1)
 	call.Respond = func(response dispatcher.Response) { responses <- response }
-	if conn.isPipelined() && conn.peerClosed() {
+	if conn.isCloseUndetected() && conn.peerClosed() {
 		// The client closed while this request waited unread behind another.
 		panic(http.ErrAbortHandler)
 	}
@@ -132,17 +132,17 @@
 func awaitResponse(
 	ctx context.Context, conn *clientConn, responses <-chan dispatcher.Response,
 ) (response dispatcher.Response, ok bool) {
-	pipelined := conn.pipelined
+	closeUndetected := conn.closeUndetected
 	var peerCheck <-chan time.Time
 	for {
 		select {
 		case response := <-responses:
 			return response, true
-		case <-pipelined:
+		case <-closeUndetected:
 			ticker := time.NewTicker(peerCheckInterval)
 			defer ticker.Stop()
 			peerCheck = ticker.C
-			pipelined = nil
+			closeUndetected = nil
 		case <-peerCheck:
 			if conn.peerClosed() {
 				return dispatcher.Response{}, false
@@ -153,31 +153,31 @@
 	}
 }
 
-// rejectMalformed responds to a request that cannot be accepted, before the rest of its body, and then reads and discards
+// respondMalformed responds to a request that cannot be accepted, before the rest of its body, and then reads and discards
 // that for a while. None of these responses is a 429 or 503: a retry would have the same result.
-func rejectMalformed(w http.ResponseWriter, r *http.Request, conn *clientConn, requestError *RequestError) {
+func respondMalformed(w http.ResponseWriter, r *http.Request, conn *clientConn, malformed *requestError) {
 	conn.claimRequest()
 	controller := http.NewResponseController(w)
 	// Without full duplex net/http would first wait for the body, which may never come.
 	_ = controller.EnableFullDuplex()
 	w.Header().Set("Connection", "close")
-	http.Error(w, requestError.Message, requestError.Status)
+	http.Error(w, malformed.Message, malformed.Status)
 	flushed := controller.Flush() == nil
-	conn.state.CompareAndSwap(stateInFlight, stateRejected)
-	if !flushed || requestError.Status == http.StatusRequestTimeout {
+	conn.state.CompareAndSwap(stateInFlight, stateMalformed)
+	if !flushed || malformed.Status == http.StatusRequestTimeout {
 		return
 	}
-	if controller.SetReadDeadline(time.Now().Add(bodyDrainTimeout)) == nil {
-		drainBody(r.Body)
+	if controller.SetReadDeadline(time.Now().Add(bodyDiscardTimeout)) == nil {
+		discardBody(r.Body)
 	}
 }
 
-// drainBody reads and discards a body, up to the read deadline and maxDrainedBytes.
+// discardBody reads and discards a body, up to the read deadline and maxDiscardedBytes.
 //
 // It guards against a reset over unread bytes, which would take the response from a client that is still sending.
-func drainBody(body io.Reader) {
+func discardBody(body io.Reader) {
 	discard := struct{ io.Writer }{io.Discard} // hides io.Discard's ReadFrom, which would not use the buffer
-	_, _ = io.CopyBuffer(discard, io.LimitReader(body, maxDrainedBytes), make([]byte, drainBufferSize))
+	_, _ = io.CopyBuffer(discard, io.LimitReader(body, maxDiscardedBytes), make([]byte, discardBufferSize))
 }
 
 // writeResponse writes the final response of a request. A failed write shows in the connection's close reason.
--- a/internal/clienthttp/handler_test.go
+++ b/internal/clienthttp/handler_test.go
@@ -237,7 +237,7 @@
 		}
 	})
 	call := <-d.calls
-	time.Sleep(requestTimeout + 200*time.Millisecond)
+	time.Sleep(requestReadTimeout + 200*time.Millisecond)
 	call.Respond(servedX)
 	clients.Wait()
 	if accepted, cancelled := len(d.calls), len(d.cancelled); accepted+cancelled > 0 {
--- a/internal/clienthttp/helpers_test.go
+++ b/internal/clienthttp/helpers_test.go
@@ -38,9 +38,9 @@
 
 // fakeDispatcher hands submitted and cancelled calls to the test.
 type fakeDispatcher struct {
-	calls     chan *dispatcher.Call
-	cancelled chan *dispatcher.Call
-	full      bool // rejects every call
+	calls      chan *dispatcher.Call
+	cancelled  chan *dispatcher.Call
+	atCapacity bool // rejects every call
 }
 
 func newFakeDispatcher() *fakeDispatcher {
@@ -48,7 +48,7 @@
 }
 
 func (d *fakeDispatcher) Submit(call *dispatcher.Call) bool {
-	if d.full {
+	if d.atCapacity {
 		return false
 	}
 	d.calls <- call
@@ -227,10 +227,10 @@
 }
 
 // evictLocked calls evict with the table locked, as the table itself does.
-func evictLocked(table *connTable, c *clientConn, seen connState) bool {
+func evictLocked(table *connTable, c *clientConn, observed connState) bool {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
-	return table.evict(c, seen, reasonConnectionLimit)
+	return table.evict(c, observed, reasonConnectionLimit)
 }
 
 // awaitIdle waits until so many connections are idle. net/http reports that only after the response has been written, so a
--- a/internal/clienthttp/parse.go
+++ b/internal/clienthttp/parse.go
@@ -35,24 +35,24 @@
 	volumeIDLength  = 16
 )
 
-// RequestError is a request that cannot be accepted as it is. No request with one reaches the dispatcher.
-type RequestError struct {
+// requestError is a request that cannot be accepted as it is. No request with one reaches the dispatcher.
+type requestError struct {
 	Status  int    // HTTP status of the response
 	Message string // body of the response; names the header or the part that is at fault
 }
 
 // Error implements error.
-func (e *RequestError) Error() string {
+func (e *requestError) Error() string {
 	return e.Message
 }
 
-// requestErrorf formats a RequestError's message.
-func requestErrorf(status int, format string, args ...any) *RequestError {
-	return &RequestError{Status: status, Message: fmt.Sprintf(format, args...)}
+// requestErrorf formats a requestError's message.
+func requestErrorf(status int, format string, args ...any) *requestError {
+	return &requestError{Status: status, Message: fmt.Sprintf(format, args...)}
 }
 
 // parseHead turns the head of a request into a call for the dispatcher and the message to forward, still without its body.
-func (s *Server) parseHead(r *http.Request) (*dispatcher.Call, *httpmsg.Request, *RequestError) {
+func (s *Server) parseHead(r *http.Request) (*dispatcher.Call, *httpmsg.Request, *requestError) {
 	if err := checkFraming(r); err != nil {
 		return nil, nil, err
 	}
@@ -62,7 +62,7 @@
 	if r.Method != http.MethodGet && r.Method != http.MethodPut {
 		return nil, nil, requestErrorf(http.StatusMethodNotAllowed, "method %s: GET and PUT are served", r.Method)
 	}
-	class, extent, err := parseRequestTarget(r.RequestURI)
+	class, extent, err := parseRequestURI(r.RequestURI)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -94,7 +94,7 @@
 // It guards against request smuggling: net/http drops a Content-Length beside a Transfer-Encoding, and ignores the
 // transfer coding of an HTTP/1.0 request, so that a proxy before or after this server may see another request in the
 // body. The guard holds since no request with a transfer coding is accepted at all.
-func checkFraming(r *http.Request) *RequestError {
+func checkFraming(r *http.Request) *requestError {
 	switch {
 	case len(r.TransferEncoding) > 0:
 		return requestErrorf(http.StatusLengthRequired, "Transfer-Encoding: a body needs a Content-Length instead")
@@ -109,7 +109,7 @@
 }
 
 // checkSingleHeaders rejects a request that lacks one of the required headers or repeats it.
-func checkSingleHeaders(header http.Header) *RequestError {
+func checkSingleHeaders(header http.Header) *requestError {
 	for _, name := range []string{headerRequestID, headerClientTimeout, headerPlan, headerIOInfo} {
 		if count := len(header.Values(name)); count != 1 {
 			return requestErrorf(http.StatusBadRequest, "%s: wanted once, is there %d times", name, count)
@@ -118,8 +118,8 @@
 	return nil
 }
 
-// parseRequestTarget reads /class/…/key, with any query, into the class and the key of the extent.
-func parseRequestTarget(uri string) (class, extent string, requestError *RequestError) {
+// parseRequestURI reads /class/…/key, with any query, into the class and the key of the extent.
+func parseRequestURI(uri string) (class, extent string, malformed *requestError) {
 	if !strings.HasPrefix(uri, "/") {
 		return "", "", requestErrorf(http.StatusBadRequest, "the request's target must be a path")
 	}
@@ -140,7 +140,7 @@
 
 // parseClientTimeout accepts a timeout of zero: a late retry may have no whole millisecond left. It is well formed, so it
 // is left to the dispatcher to reject, and its connection stays open.
-func parseClientTimeout(value string) (time.Duration, *RequestError) {
+func parseClientTimeout(value string) (time.Duration, *requestError) {
 	millis, err := strconv.ParseUint(value, 10, 31)
 	if err != nil || millis > maxClientTimeoutMillis {
 		return 0, requestErrorf(http.StatusBadRequest, "%s: wanted whole milliseconds, 0 to %d",
@@ -150,7 +150,7 @@
 }
 
 // checkConfigured rejects a request of a class or a plan that the configuration does not have.
-func (s *Server) checkConfigured(request scheduler.Request) *RequestError {
+func (s *Server) checkConfigured(request scheduler.Request) *requestError {
 	if !s.options.Classes[request.Class] {
 		return requestErrorf(http.StatusNotFound, "class %q is not served here", request.Class)
 	}
@@ -160,7 +160,7 @@
 	return nil
 }
 
-// ioInfoField is one field of the IO-Info header. Its parse function sets a member of the request, and tells whether the
+// ioInfoField is one field of the IO-Info header. Its parse function sets a member of the request, and reports whether the
 // value is usable.
 type ioInfoField struct {
 	name  string
@@ -177,7 +177,7 @@
 
 // parseIOInfo reads an IO-Info header such as "volume=00000003b4d60021,units=2,shard=5,hosts=3". Unknown fields are
 // skipped.
-func parseIOInfo(header string) (scheduler.Request, *RequestError) {
+func parseIOInfo(header string) (scheduler.Request, *requestError) {
 	var request scheduler.Request
 	var seen [len(ioInfoFields)]bool
 	for part := range strings.SplitSeq(header, ",") {
@@ -226,7 +226,7 @@
 	return err == nil && initiators >= 0 && initiators <= maxInitiators
 }
 
-// isHex tells whether text is a hexadecimal number of so many digits, at most 16.
+// isHex reports whether text is a hexadecimal number of so many digits, at most 16.
 func isHex(text string, digits int) bool {
 	if len(text) != digits {
 		return false
@@ -236,7 +236,7 @@
 }
 
 // readBody reads the request's body, whose length is declared and within the limit. The server's read timeout bounds it.
-func readBody(r *http.Request) ([]byte, *RequestError) {
+func readBody(r *http.Request) ([]byte, *requestError) {
 	if r.ContentLength == 0 {
 		return nil, nil
 	}
--- a/internal/clienthttp/parse_test.go
+++ b/internal/clienthttp/parse_test.go
@@ -75,7 +75,7 @@
 // TestFullDispatcherRejects has the dispatcher accept nothing more: the request is rejected, and a retry is harmless.
 func TestFullDispatcherRejects(t *testing.T) {
 	_, d, addr := startServer(t, maxTestConns)
-	d.full = true
+	d.atCapacity = true
 	if response, _, _ := roundTripOnNewConn(t, addr, validPut); response.StatusCode != http.StatusServiceUnavailable {
 		t.Errorf("status %d, want 503", response.StatusCode)
 	}
--- a/internal/clienthttp/server.go
+++ b/internal/clienthttp/server.go
@@ -19,29 +19,29 @@
 const (
 	// maxHeaderBytes is the size of the largest request head.
 	maxHeaderBytes = 16 << 10
-	// requestTimeout is how long a request, head and body, may take to arrive, from its first byte or, for the first one,
+	// requestReadTimeout is how long a request, head and body, may take to arrive, from its first byte or, for the first one,
 	// from the connection's start. A client that is slower, or sends nothing, has to see an end within 3 s.
-	requestTimeout = 2 * time.Second
-	// partialRequestTimeout is how long a client may pause within a request. It is longer than requestTimeout, which
+	requestReadTimeout = 2 * time.Second
+	// requestPauseTimeout is how long a client may pause within a request. It is longer than requestReadTimeout, which
 	// ends most such requests with a response that says what is missing.
-	partialRequestTimeout = requestTimeout + 400*time.Millisecond
+	requestPauseTimeout = requestReadTimeout + 400*time.Millisecond
 	// keepAliveTimeout is how long a connection is kept idle after a response, except during shutdown. Clients count
 	// idle connections among the few that they may open.
 	keepAliveTimeout = 2 * time.Second
-	// timeoutCheckInterval is how often connections are checked for partialRequestTimeout and keepAliveTimeout.
+	// timeoutCheckInterval is how often connections are checked for requestPauseTimeout and keepAliveTimeout.
 	timeoutCheckInterval = keepAliveTimeout / 8
 )
 
 // Options configure a Server.
 type Options struct {
-	Classes      map[string]bool // classes of requests that are served
-	Plans        map[string]bool // plans that are known
-	MaxConns     int             // client connections at a time
-	MaxIdleConns int             // of these, how many may be without a request in flight
-	MaxDeadline  time.Duration   // the longest timeout of any client
-	Ready        func() bool     // whether requests can be forwarded; nil: always
-	HealthOnly   bool            // serve the readiness check alone: requests arrive over another protocol
-	Logger       *slog.Logger
+	Classes       map[string]bool // classes of requests that are served
+	Plans         map[string]bool // plans that are known
+	MaxConns      int             // client connections at a time
+	MaxIdleConns  int             // of these, how many may be without a request in flight
+	MaxDeadline   time.Duration   // the longest timeout of any client
+	Ready         func() bool     // whether requests can be forwarded; nil: always
+	ReadinessOnly bool            // serve the readiness check alone: requests arrive over another protocol
+	Logger        *slog.Logger
 }
 
 // Dispatcher owns each request from Submit until its response.
@@ -79,7 +79,7 @@
 	netHTTPIdleTimeout := keepAliveTimeout + keepAliveTimeout/2 + s.shutdown.ServeConnsFor
 	s.http = http.Server{
 		Handler:        s,
-		ReadTimeout:    requestTimeout,
+		ReadTimeout:    requestReadTimeout,
 		IdleTimeout:    netHTTPIdleTimeout,
 		MaxHeaderBytes: maxHeaderBytes,
 		ConnState:      s.conns.onConnState,
@@ -112,7 +112,7 @@
 		case <-ended:
 			return
 		case <-ticker.C:
-			s.conns.closeTimedOut(keepAliveTimeout, partialRequestTimeout)
+			s.conns.closeTimedOut(keepAliveTimeout, requestPauseTimeout)
 		}
 	}
 }
--- a/internal/clienthttp/drain.go
+++ b/internal/clienthttp/shutdown.go
@@ -31,7 +31,7 @@
 // goroutine has run, or while accept fails. The guard holds since the accepting goroutine runs on until the listener closes.
 func (s *Server) stopAccepting(startedAt time.Time) {
 	if listener := s.listener.Load(); listener != nil {
-		_ = socket.DrainListener(*listener, startedAt.Add(s.shutdown.AnswerBy))
+		_ = socket.CloseListenerWhenEmpty(*listener, startedAt.Add(s.shutdown.AnswerBy))
 	}
 }
 
@@ -71,7 +71,7 @@
 	for c := range t.open {
 		state := c.state.Load()
 		stalled := state == stateReceiving && time.Since(c.lastReadTime()) > stalledTimeout
-		if state == stateIdle || state == stateRejected || includeStalled && stalled {
+		if state == stateIdle || state == stateMalformed || includeStalled && stalled {
 			t.evict(c, state, reasonShutdown)
 		}
 	}
--- a/internal/clienthttp/drain_test.go
+++ b/internal/clienthttp/shutdown_test.go
@@ -93,7 +93,7 @@
 	fresh := dial(t, addr)
 	ended := startShutdown(s)
 	closingAt := s.shutdownAt.Load().Add(s.shutdown.ServeConnsFor)
-	dispatcher.WaitUntil(context.Background(), closingAt.Add(-requestTimeout/4))
+	dispatcher.WaitUntil(context.Background(), closingAt.Add(-requestReadTimeout/4))
 	half := len(validPut) / 2
 	for _, conn := range []net.Conn{used, fresh} {
 		send(conn, validPut[:half])
--- a/internal/faulttest/regression_test.go
+++ b/internal/faulttest/regression_test.go
@@ -219,7 +219,7 @@
 // TestRequestAtTheReadTimeoutIsAnswered guards against a close over a request that is there but unread.
 //
 // Symptom: a connection was closed over a request, with no response: the connection is reset, and the log has it as
-// IDLE_TIMEOUT.
+// NO_FIRST_REQUEST.
 // Sequence: a client opens a connection and sends its first request just before the 2 s that it has for that are over, while
 // the initiator is paused. The initiator continues after the 2 s.
 // Cause: the timeout closed the connection by the clock alone, without a check for unread bytes.
--- a/internal/nvme/server.go
+++ b/internal/nvme/server.go
@@ -188,7 +188,7 @@
 	listener := s.listener
 	s.mu.Unlock()
 	if listener != nil {
-		_ = socket.DrainListener(listener, latest) // it is closed either way
+		_ = socket.CloseListenerWhenEmpty(listener, latest) // it is closed either way
 	}
 }
 
--- a/internal/socket/socket_test.go
+++ b/internal/socket/socket_test.go
@@ -102,27 +102,27 @@
 }
 
 // TestShutdownKeepsUnreadBytes wants a connection left alone on which a byte has arrived: a request would be lost with it.
-// The claim is not even asked.
+// confirm is not called.
 func TestShutdownKeepsUnreadBytes(t *testing.T) {
 	client, accepted := connPair(t)
 	write(t, client, "G")
 	await(t, "the byte arrives", func() bool { return !IsQuiet(accepted) })
-	claimed := false
-	claim := func() bool {
-		claimed = true
+	confirmed := false
+	confirm := func() bool {
+		confirmed = true
 		return true
 	}
-	if ShutdownIfQuiet(accepted, "bye", claim) || claimed {
-		t.Errorf("shut down over an unread byte, or claimed: %v", claimed)
+	if ShutdownIfQuiet(accepted, "bye", confirm) || confirmed {
+		t.Errorf("shut down over an unread byte, or confirm was called: %v", confirmed)
 	}
 	wantOpen(t, client, accepted)
 }
 
-// TestShutdownNeedsClaim wants a connection left alone if the claim says no.
-func TestShutdownNeedsClaim(t *testing.T) {
+// TestShutdownNeedsConfirmation wants a connection left alone if confirm returns false.
+func TestShutdownNeedsConfirmation(t *testing.T) {
 	client, accepted := connPair(t)
 	if ShutdownIfQuiet(accepted, "bye", func() bool { return false }) {
-		t.Error("shut down against the claim")
+		t.Error("shut down though confirm returned false")
 	}
 	wantOpen(t, client, accepted)
 }
@@ -157,16 +157,16 @@
 	}
 }
 
-// TestDrainListenerEmptiesBacklog has clients wait in the backlog while the accepting goroutine is held up. The kernel
+// TestCloseListenerEmptiesBacklog has clients wait in the backlog while the accepting goroutine is held up. The kernel
 // resets what is left there when the listener closes: all must be accepted before.
-func TestDrainListenerEmptiesBacklog(t *testing.T) {
+func TestCloseListenerEmptiesBacklog(t *testing.T) {
 	const clients = 4
 	l := listen(t)
 	for range clients {
 		dial(t, l)
 	}
 	drained := make(chan error, 1)
-	go func() { drained <- DrainListener(l, time.Now().Add(waitLimit)) }()
+	go func() { drained <- CloseListenerWhenEmpty(l, time.Now().Add(waitLimit)) }()
 	for i := range clients {
 		time.Sleep(20 * time.Millisecond) // as if held up
 		conn, err := l.Accept()
@@ -183,13 +183,13 @@
 	}
 }
 
-// TestDrainListenerEndsAtDeadline has nobody accept: the listener is closed all the same, and the client is reset.
-func TestDrainListenerEndsAtDeadline(t *testing.T) {
+// TestCloseListenerEndsAtDeadline has nobody accept: the listener is closed all the same, and the client is reset.
+func TestCloseListenerEndsAtDeadline(t *testing.T) {
 	const wait = 50 * time.Millisecond
 	l := listen(t)
 	client := dial(t, l)
 	begunAt := time.Now()
-	if err := DrainListener(l, begunAt.Add(wait)); err != nil {
+	if err := CloseListenerWhenEmpty(l, begunAt.Add(wait)); err != nil {
 		t.Error(err)
 	}
 	if took := time.Since(begunAt); took < wait {
