--- a/internal/clienthttp/accept.go
+++ b/internal/clienthttp/accept.go
@@ -15,12 +15,14 @@
 	// Connections that the kernel has accepted wait meanwhile.
 	minAcceptBackoff = time.Millisecond
 	maxAcceptBackoff = 20 * time.Millisecond
-	// acceptWaitThreshold is longer than accept takes if a connection waits in the backlog.
+	// acceptWaitThreshold is how long accept must have taken for the accept queue to count as empty when it was called. If
+	// the process is held up for that long during accept, the queue counts as empty too, and requests that waited in it
+	// count as received when they are read.
 	acceptWaitThreshold = time.Millisecond
 )
 
 // transientAcceptErrors are the errors of accept, as accept(2) documents them, that pass by themselves: errors of the
-// connection that would have come next or of the network, and lack of resources. All others are permanent errors of the
+// connection that would have been accepted or of the network, and lack of resources. All others are permanent errors of the
 // listener itself.
 var transientAcceptErrors = []syscall.Errno{
 	syscall.ECONNABORTED, syscall.ECONNRESET, syscall.EINTR, syscall.EAGAIN, syscall.ETIMEDOUT, syscall.EPERM,
@@ -36,12 +38,12 @@
 
 // listener adds accepted connections to the table, and retries a failed accept with backoff. One goroutine calls Accept.
 //
-// The retries guard against the loss of all requests in flight: net/http ends the server on each error of accept that the
-// net package does not call temporary, with the process's last line "accept4: no buffer space available".
+// Prevents the end of the process, and with it of all requests in flight, on a transient error of accept, because net/http,
+// which ends the server on each error that the net package does not call temporary, gets to see permanent errors alone.
 type listener struct {
 	net.Listener
 	table *connTable
-	// acceptQueuedSince is since when connections may have waited in the backlog because accept failed; zero: none has.
+	// acceptQueuedSince is since when connections may have waited in the accept queue because accept failed; zero: none has.
 	acceptQueuedSince time.Time
 }
 
@@ -57,7 +59,7 @@
 		if !isTransientAcceptError(err) {
 			return nil, err
 		}
-		if l.acceptQueuedSince.IsZero() { // logged once until the backlog is empty again
+		if l.acceptQueuedSince.IsZero() { // logged once until the accept queue is empty again
 			l.acceptQueuedSince = calledAt
 			l.table.log.Warn("accept failed", slog.String("reason", "ACCEPT_FAILED"), slog.Any("error", err))
 		}
@@ -66,11 +68,11 @@
 	}
 }
 
-// addConn adds a connection for which accept took so long.
+// addConn adds a connection for which accept took acceptDuration.
 //
-// While accept failed, connections waited in the backlog, with requests on them whose clients' timeouts were running. Their
-// requests count as received when accept began to fail, or a request would be answered after its client had given up. The
-// backlog is known to be empty once accept has had to wait.
+// While accept failed, connections waited in the accept queue, with requests on them whose clients' timeouts were running.
+// Their requests count as received when accept began to fail, or a request would get its response after its client had
+// given up. The accept queue is known to be empty once accept has had to wait.
 func (l *listener) addConn(conn net.Conn, acceptDuration time.Duration) net.Conn {
 	c := l.table.add(conn)
 	if acceptDuration > acceptWaitThreshold {
--- a/internal/clienthttp/conn.go
+++ b/internal/clienthttp/conn.go
@@ -16,43 +16,53 @@
 )
 
 // backgroundReadSize is the size, in bytes, of the reads by which net/http detects that the client closes while a request
-// is in flight. No other read of net/http is as small.
+// is in flight.
 const backgroundReadSize = 1
 
-// clientConn is a client's connection. It records when bytes arrived and why the connection ended, and its reads and its
-// end exclude each other, so that no request is lost between them.
+// isBackgroundRead reports whether net/http reads in the background into the buffer. The size alone tells: other reads are
+// as small only where the head is longer than net/http's read buffer or just at its limit, and have one byte of space left.
+// Such a read is taken for a background read; the handler then checks by itself for a close, and the request may count as
+// received earlier than it was.
+func isBackgroundRead(buffer []byte) bool {
+	return len(buffer) == backgroundReadSize
+}
+
+// clientConn is a client's connection. It records when bytes were read and why the connection ended. Its reads and its close
+// exclude each other, so that no request that has just been read is closed over.
 //
-// Reads come from one goroutine at a time: the one that serves the connection, or net/http's background read while a
+// One goroutine reads at a time: the one that serves the connection, or net/http's background read while a
 // request is in flight. "Reader" below is either; "state hook" is connTable.onConnState.
 type clientConn struct {
 	net.Conn
 	// rawConn is nil where the connection offers none, in which case reads go through Conn.
 	rawConn syscall.RawConn
 
-	// readMutex is held while available bytes are read, and while it is decided whether to close the connection. It comes
+	// readMutex is held while available bytes are read, and while it is decided whether to close the connection. It is locked
 	// after connTable.mutex, and is never held during Conn.Close, which waits for a read that has begun.
 	readMutex sync.Mutex
 
 	// state is written by the reader, the handler, the state hook and the table, by the transitions of connState.
 	state atomicConnState
-	// lastReadAt is when a read last brought bytes; nil: none did. Written by the reader, read by the handler and the table.
+	// lastReadAt is when bytes were last read; nil: none were. Written by the reader, read by the handler and the table.
 	lastReadAt atomic.Pointer[time.Time]
 	// queuedSince is the earliest time at which the next request may have arrived, if it may have waited unread behind a
-	// request in flight or in the listener's backlog; nil: it did not wait. Written by the accepting goroutine before the
-	// first read, then by the reader; read by the handler.
+	// request in flight or in the accept queue; nil: it did not wait. Written by the accepting goroutine before the first
+	// read, then by the reader; read by the handler.
 	queuedSince atomic.Pointer[time.Time]
-	// requestCount is the number of requests whose head has arrived. Written by the state hook, read for the log.
+	// requestCount is how often net/http has reported the connection active: for each head that was read, and for most heads
+	// that ended incomplete or were malformed. Written by the state hook, read for the log.
 	requestCount atomic.Int64
 	// hasResponded is whether a request has been answered. Written by the state hook, read by the reader and the table.
 	hasResponded atomic.Bool
-	// closeReason is the first reason that anyone noted; nil: none yet. Read for the log.
+	// closeReason is the first reason that was noted; nil: none yet. Written by any goroutine, read for the log.
 	closeReason atomic.Pointer[closeReason]
 	// openRequestID is the client's id of the request in flight; nil: none is. Set by the handler, cleared by the state
 	// hook, read for the log.
 	openRequestID atomic.Pointer[string]
 
-	// pipelined is closed once more than one request has arrived at a time; nil: not watched. Closed by the reader, by
-	// way of markCloseUndetected; received from by the handler.
+	// closeUndetected is closed once net/http no longer detects that the client closes, since its background read got the
+	// first byte of a further request; nil: the connection is not watched. Closed by the reader, by way of
+	// closeUndetectedOnce; received from by the handler.
 	closeUndetected     chan struct{}
 	closeUndetectedOnce sync.Once
 
@@ -77,8 +87,9 @@
 
 // Read implements net.Conn.
 func (c *clientConn) Read(buffer []byte) (int, error) {
-	// net/http reads on after a response only once it has used up what it had read ahead. Until then a complete request may
-	// wait in its buffer, and would be lost if the connection counted as idle and were closed.
+	// The connection counts as idle only from the first read after a response, and not from the response on: until net/http
+	// reads again, a complete request may wait in its buffer, and a close would leave it without a response. A background
+	// read begins before that request is claimed, however: see connState.
 	c.state.CompareAndSwap(stateResponded, stateIdle)
 	n, err := c.read(buffer)
 	if err != nil {
@@ -106,14 +117,13 @@
 		waited = waited || nothingAvailable
 		return !nothingAvailable
 	})
-	isBackgroundRead := len(buffer) == backgroundReadSize
 	switch {
-	case errors.Is(waitError, os.ErrDeadlineExceeded) && len(buffer) > backgroundReadSize:
+	case errors.Is(waitError, os.ErrDeadlineExceeded) && !isBackgroundRead(buffer):
 		n, err = c.readAtDeadline(buffer, waitError)
 	case waitError != nil:
 		n, err = 0, waitError
 	}
-	if isBackgroundRead {
+	if isBackgroundRead(buffer) {
 		c.noteBackgroundRead(lastReadBefore, waited, n == 1)
 	} else if c.foundEmpty || waited {
 		c.queuedSince.Store(nil) // what is read now arrived after the request before it
@@ -125,9 +135,8 @@
 // readAtDeadline reads what has arrived by the time at which a read is to end, or closes an idle connection on which
 // nothing has.
 //
-// It guards against closing a connection over a request that arrived in time: the process may have been held up past the
-// deadline, and the client would see its connection end without a response. The guard holds since the check for bytes and
-// the close are one step.
+// Prevents a close over a request that arrived in time while the process was held up past the deadline, in which case the
+// client would see its connection end without a response, because the check for bytes and the close are one step.
 func (c *clientConn) readAtDeadline(buffer []byte, deadlineError error) (n int, err error) {
 	if c.state.Load() == stateIdle {
 		reason := c.readFailureReason(deadlineError)
@@ -150,7 +159,7 @@
 }
 
 // noteBackgroundRead records what a background read found: whether it had to wait, and whether it got the first byte of a
-// further request. A byte that was there at once may have arrived along with the request in flight.
+// further request. If it did not have to wait, that byte may have arrived with the request in flight, at inFlightSince.
 func (c *clientConn) noteBackgroundRead(inFlightSince *time.Time, waited, gotByte bool) {
 	c.foundEmpty = waited && !gotByte
 	if !gotByte || c.queuedSince.Load() != nil {
@@ -165,8 +174,8 @@
 
 // readAvailable reads without waiting, and returns syscall.EAGAIN if there is nothing to read.
 //
-// It guards against closing a connection as idle over a request that has just been read from its socket: the request would
-// have no response. The guard holds since the read and the change of state are one step under readMutex.
+// Prevents a close as idle over a request that has just been read from the socket, which would get no response, because the
+// read and the change of state are one step under readMutex.
 func (c *clientConn) readAvailable(fd int, buffer []byte) (int, error) {
 	c.readMutex.Lock()
 	defer c.readMutex.Unlock()
@@ -186,14 +195,14 @@
 		return 0, io.EOF
 	}
 	c.noteBytesRead(n)
-	if n == 1 && len(buffer) == backgroundReadSize && c.closeUndetected != nil {
-		// With this byte in hand net/http stops its background reads, and the handler has to detect a close by itself.
+	if n == 1 && isBackgroundRead(buffer) && c.closeUndetected != nil {
+		// With this byte net/http stops its background reads, and the handler has to detect a close by itself.
 		c.closeUndetectedOnce.Do(func() { close(c.closeUndetected) })
 	}
 	return n, nil
 }
 
-// noteBytesRead records that a read brought n bytes, which may be none.
+// noteBytesRead records that n bytes have been read, which may be none.
 func (c *clientConn) noteBytesRead(n int) {
 	if n <= 0 {
 		return
@@ -212,8 +221,8 @@
 	return n, err
 }
 
-// CloseWrite lets net/http close the write side alone. Otherwise the reset that follows bytes which were never read could
-// take the response from the client.
+// CloseWrite lets net/http close the write side alone after a response. A close over unread bytes sends a reset, after which
+// the client may not be able to read the response.
 func (c *clientConn) CloseWrite() error {
 	if conn, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return conn.CloseWrite()
@@ -221,8 +230,11 @@
 	return nil
 }
 
-// closeIfUnread shuts the connection down and marks it closed if it is in the expected state and nothing is unread on it;
-// a rejected connection is marked whatever is unread. The caller holds readMutex, and still has to call Conn.Close.
+// closeIfUnread shuts the connection down and marks it closed if it is still in its observed state and nothing is unread on
+// it. The caller holds readMutex, and still has to call Conn.Close.
+//
+// A malformed connection is marked closed whatever is unread: what is unread is the rest of the malformed request, or
+// follows one whose response announces the close, and gets no response in either case.
 func (c *clientConn) closeIfUnread(observed connState) (closed bool) {
 	markClosed := func() bool { return c.state.CompareAndSwap(observed, stateClosed) }
 	switch observed {
@@ -235,12 +247,12 @@
 	}
 }
 
-// peerClosed reports whether the client has closed the connection, also if bytes from before are still unread.
+// peerClosed reports whether the client has closed the connection or its write side, also if bytes from before are unread.
 func (c *clientConn) peerClosed() bool {
 	return c.Conn != nil && socket.IsPeerClosed(c.Conn)
 }
 
-// isCloseUndetected reports whether more than one request has arrived at a time.
+// isCloseUndetected reports whether net/http no longer detects that the client closes.
 func (c *clientConn) isCloseUndetected() bool {
 	select {
 	case <-c.closeUndetected:
@@ -254,14 +266,14 @@
 // the meantime.
 func (c *clientConn) claimRequest() {
 	claimed := c.state.CompareAndSwap(stateReceiving, stateInFlight) ||
-		c.state.CompareAndSwap(stateResponded, stateInFlight) || // all of it was read ahead, with the request before it
-		c.state.CompareAndSwap(stateIdle, stateInFlight) // its last bytes were read ahead
+		c.state.CompareAndSwap(stateResponded, stateInFlight) || // it was read ahead, with the request before it
+		c.state.CompareAndSwap(stateIdle, stateInFlight) // the same, and the background read has begun
 	if !claimed {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// loggedRequestID is the client's id of the request in flight; empty: none is.
+// loggedRequestID returns the client's id of the request in flight; empty: none is.
 func (c *clientConn) loggedRequestID() string {
 	if id := c.openRequestID.Load(); id != nil {
 		return *id
@@ -276,7 +288,7 @@
 	}
 }
 
-// readFailureReason is the reason that an error of Read gives for the connection's end.
+// readFailureReason returns the reason that an error of Read gives for the connection's end.
 func (c *clientConn) readFailureReason(err error) closeReason {
 	switch {
 	case errors.Is(err, io.EOF):
@@ -298,9 +310,9 @@
 	return reasonNone
 }
 
-// receivedAt is when the client's timeout starts to run: when the last byte of the request so far was read, which may be
-// well before a busy process runs its handler. For a request that may have waited unread, it is the earliest time at which
-// it may have arrived.
+// earliestArrival returns when the client's timeout starts to run: when the last byte of the request so far was read, which
+// may be well before a busy process runs its handler. For a request that may have waited unread, it is the earliest time at
+// which it may have arrived.
 func (c *clientConn) earliestArrival() time.Time {
 	if queuedSince := c.queuedSince.Load(); queuedSince != nil {
 		return *queuedSince
@@ -308,7 +320,7 @@
 	return c.lastReadTime()
 }
 
-// lastReadTime is when a read last brought bytes, and the present time if none did.
+// lastReadTime returns when bytes were last read, and the present time if none were.
 func (c *clientConn) lastReadTime() time.Time {
 	if lastReadAt := c.lastReadAt.Load(); lastReadAt != nil {
 		return *lastReadAt
@@ -323,8 +335,7 @@
 	return context.WithValue(ctx, connContextKey{}, conn)
 }
 
-// connFromContext is the connection that a request came on. A request that came on none, as from net/http/httptest, gets
-// a zero one.
+// connFromContext returns the connection of a request. A request without one, as from net/http/httptest, gets a zero one.
 func connFromContext(ctx context.Context) *clientConn {
 	if conn, ok := ctx.Value(connContextKey{}).(*clientConn); ok {
 		return conn
--- a/internal/clienthttp/connstate.go
+++ b/internal/clienthttp/connstate.go
@@ -3,28 +3,33 @@
 import "sync/atomic"
 
 // connState is what a client connection is doing. These are all its transitions; each is a compare-and-swap, so that a
-// connection is never closed to make room once a request on it has been claimed:
+// connection is never closed to make room once the handler has claimed a request on it:
 //
 //	from       to         made by     when
 //	idle       receiving  reader      bytes of a request have been read
 //	receiving  inFlight   handler     it claims the request
-//	idle       inFlight   handler     it claims a request whose last bytes net/http had read ahead
-//	responded  inFlight   handler     it claims a request that net/http had read ahead completely
+//	responded  inFlight   handler     it claims a request that net/http had read ahead, and no read has begun since
+//	idle       inFlight   handler     the same, after net/http's background read has begun: see below
 //	inFlight   responded  state hook  net/http has written the response
 //	receiving  responded  state hook  net/http has responded by itself, without the handler
-//	responded  idle       reader      net/http has used up what it had read ahead, and reads on
-//	inFlight   rejected   handler     the request is malformed; what is left of it is read and discarded
+//	responded  idle       reader      a read begins after a response
+//	inFlight   malformed  handler     the request is malformed; what is left of it is read and discarded
 //	idle       closed     table       eviction, keep-alive timeout or shutdown, if nothing is unread
-//	receiving  closed     table       the same, of a request that has stalled, if nothing is unread
-//	rejected   closed     table       the same, whatever is unread
+//	receiving  closed     table       the same, or a pause within a request, if nothing is unread
+//	malformed  closed     table       eviction or shutdown, whatever is unread
 //	idle       closed     reader      the deadline of a read is over, and nothing is unread
 //
 // The reader is the goroutine that reads from the connection, the state hook is connTable.onConnState. The one exception to
 // the compare-and-swaps is a new connection far over the limit: it is stored as closed before anything is read from it.
+//
+// Known fault, see docs/open.md: net/http starts its background read before the handler claims a request. If it had read
+// that request ahead, the background read turns responded into idle. Until the handler claims the request, the connection
+// may then be closed as idle, and the request gets no response. The same holds for part of a request that was read ahead,
+// while net/http waits for the rest.
 type connState int32
 
 const (
-	// stateIdle: net/http waits for a request, and no byte of one has been read.
+	// stateIdle: net/http waits for a request, and no byte of one has been read, but for what was read ahead: see connState.
 	stateIdle connState = iota
 	// stateReceiving: part of a request has been read, or all of it and the handler has not claimed it yet.
 	stateReceiving
@@ -32,7 +37,7 @@
 	stateInFlight
 	// stateResponded: the request has its response, and net/http may hold bytes of the next one that it read ahead.
 	stateResponded
-	// stateMalformed: the request was malformed and is answered so; what is left of it is discarded, and none follows.
+	// stateMalformed: the request was malformed and has its response; what is left of it is discarded, and none follows.
 	stateMalformed
 	// stateClosed: closed by this side; nothing that is read from it counts any more.
 	stateClosed
@@ -73,27 +78,32 @@
 type closeReason string
 
 const (
-	// reasonNone is no reason of its own: the connection's end follows from the response before it or from shutdown.
+	// reasonNone: none is noted, and CLOSED_BY_SERVER or SHUTDOWN is logged.
 	reasonNone closeReason = ""
 	// reasonConnectionLimit: evicted to make room for another connection, or accepted over the limit itself.
 	reasonConnectionLimit closeReason = "CONNECTION_LIMIT"
-	// reasonNoFirstRequest: a new connection brought nothing within requestReadTimeout.
+	// reasonNoFirstRequest: nothing arrived on a new connection within requestReadTimeout.
 	reasonNoFirstRequest closeReason = "NO_FIRST_REQUEST"
-	// reasonKeepAliveTimeout: no further request came within keepAliveTimeout.
+	// reasonKeepAliveTimeout: no further request arrived within keepAliveTimeout.
 	reasonKeepAliveTimeout closeReason = "KEEP_ALIVE_TIMEOUT"
-	// reasonRequestReadTimeout: a request did not arrive completely in time.
+	// reasonRequestReadTimeout: a request did not arrive completely within requestReadTimeout, or paused for
+	// requestPauseTimeout.
 	reasonRequestReadTimeout closeReason = "REQUEST_READ_TIMEOUT"
-	// reasonShutdown: the program ends.
+	// reasonShutdown: closed for the graceful shutdown.
 	reasonShutdown closeReason = "SHUTDOWN"
-	// reasonClosedByServer: closed after a response that announces it, or over bytes that are no request.
+	// reasonClosedByServer: closed after a response that announces it or over bytes that are no request, or no other reason
+	// is logged.
 	reasonClosedByServer closeReason = "CLOSED_BY_SERVER"
-	// reasonClientClosed: the client closed the connection.
+	// reasonClientClosed: a read found that the client has closed the connection or its write side, also while a request was
+	// in flight.
 	reasonClientClosed closeReason = "CLIENT_CLOSED"
-	// reasonClientAborted: the client closed the connection while a request was in flight.
+	// reasonClientAborted: the client closed the connection while a request was in flight, and no read has found that: the
+	// handler's own check did, after net/http had stopped its background reads.
 	reasonClientAborted closeReason = "CLIENT_ABORTED"
 	// reasonClientReset: the client reset the connection.
 	reasonClientReset closeReason = "CLIENT_RESET"
-	// reasonReadFailed and reasonWriteFailed: any other error of the socket.
-	reasonReadFailed  closeReason = "CLIENT_READ_FAILED"
+	// reasonReadFailed: any other error of a read. It is noted but never logged: see loggedCloseReason.
+	reasonReadFailed closeReason = "CLIENT_READ_FAILED"
+	// reasonWriteFailed: a write failed or took longer than writeTimeout.
 	reasonWriteFailed closeReason = "CLIENT_WRITE_FAILED"
 )
--- a/internal/clienthttp/conntable.go
+++ b/internal/clienthttp/conntable.go
@@ -14,20 +14,23 @@
 // connTable holds the clients' connections and limits their number.
 //
 // A new connection over the limit is accepted all the same: the kernel has completed its handshake, and a request that is
-// already on it would be lost. One without a request is evicted for it. Where there is none, the new connection's request
-// is rejected at once, and the connection closed.
+// already on it would get no response. A connection without a request is evicted for it. Where there is none, the new
+// connection's request is rejected at once, and the connection closed.
 //
-// Beyond maxIdle connections, only those with a request in flight may stay. Clients count their open connections, idle
-// ones included, against a limit of their own: if idle ones used that up, well-behaved clients could not even connect,
-// and maxOpen would never be reached.
+// Idle connections are evicted well below maxOpen. Clients count their open connections, idle ones included, against a
+// limit of their own: if idle ones used that up, well-behaved clients could not even connect, and maxOpen would never be
+// reached.
 type connTable struct {
+	// maxOpen is the number of open connections above which a new one is over the limit, unless another is evicted for it.
 	maxOpen int
+	// maxIdle is the number of open connections, in flight or not, above which each new one evicts one that has been idle
+	// long enough.
 	maxIdle int
 	log     *slog.Logger
 
 	mutex        sync.Mutex // guards what follows, and idleSince of each connection
 	open         map[*clientConn]bool
-	shuttingDown bool
+	shuttingDown bool // connections are closed because of a graceful shutdown
 }
 
 func newConnTable(maxOpen, maxIdle int, log *slog.Logger) *connTable {
@@ -50,8 +53,8 @@
 	return c
 }
 
-// markOverLimit has the connection's request rejected, and closes the connection at once if too many wait for that. The
-// table is locked, and nothing has been read from the connection yet.
+// markOverLimit has the connection's request rejected, and closes the connection at once, whatever is unread on it, if too
+// many wait for that. The table is locked, and nothing has been read from the connection yet.
 func (t *connTable) markOverLimit(c *clientConn) {
 	c.overLimit = true
 	c.noteCloseReason(reasonConnectionLimit)
@@ -62,8 +65,8 @@
 }
 
 // closeTimedOut closes the connections that have been idle for keepAlive, and those that received part of a request and
-// nothing more for requestPause. net/http by itself would give the first bytes of a further request all the time of an
-// idle connection. During shutdown no idle connection is closed here: clients cannot open others.
+// nothing more for requestPause. net/http by itself would give the first four bytes of a further request as long as its
+// timeout for idle connections. During shutdown no idle connection is closed here: clients cannot open others.
 func (t *connTable) closeTimedOut(keepAlive, requestPause time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -120,8 +123,8 @@
 		slog.String("state", c.state.Load().String()))
 }
 
-// loggedCloseReason is the reason noted for the connection, or else this side's. A failed read does not count: it follows
-// from this side's close.
+// loggedCloseReason returns the first reason noted for the connection, or else CLOSED_BY_SERVER or SHUTDOWN. A failed read
+// is taken to follow from this side's close, and not logged as the reason; a reason after it was not noted.
 func loggedCloseReason(c *clientConn, shuttingDown bool) closeReason {
 	if noted := c.closeReason.Load(); noted != nil && *noted != reasonReadFailed {
 		return *noted
--- a/internal/clienthttp/eviction.go
+++ b/internal/clienthttp/eviction.go
@@ -3,21 +3,21 @@
 import "time"
 
 const (
-	// silentTimeout is how long a new connection may bring nothing before it is evicted ahead of idle ones. Well-behaved
+	// silentTimeout is how long nothing may arrive on a new connection before it is evicted ahead of idle ones. Well-behaved
 	// clients send a request as soon as they are connected.
 	silentTimeout = 50 * time.Millisecond
-	// minIdleBeforeEviction is how long a connection must have been idle after a response to be evicted while the table is not full.
-	// It is short, so that many connections with one request each do not keep other clients out.
+	// minIdleBeforeEviction is how long a connection must have been idle after a response to be evicted while the table has
+	// at most maxOpen. It is short, so that many connections with one request each do not keep other clients out.
 	minIdleBeforeEviction = 25 * time.Millisecond
-	// stalledTimeout is how long nothing more of a request must have arrived for its connection to be evicted. A complete
-	// request is claimed long before, unless the process is held up.
+	// stalledTimeout is how long nothing more must have arrived of a request that has begun to arrive, for the request to
+	// count as stalled. A complete request is claimed long before, unless the process is held up.
 	stalledTimeout = 200 * time.Millisecond
 	// maxEvictionAttempts is how many connections are tried to make room for a new one, which waits meanwhile.
 	maxEvictionAttempts = 8
 )
 
-// evictionResponse is sent to a client whose connection is closed over part of a request. All of that request may have
-// arrived by then: this is its response, and nothing of it was forwarded.
+// evictionResponse is sent to a client whose connection is closed after part of a request has been read. All of that request
+// may have been read by then: this is its response, and nothing of it was forwarded.
 const evictionResponse = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 
 // evictionRank orders connections by how dispensable they are; the highest is evicted first.
@@ -26,17 +26,18 @@
 const (
 	// rankKeep: not to be evicted, since a request is in flight or may have arrived.
 	rankKeep evictionRank = iota
-	// rankNew: new, and nothing has been read yet; evicted only if the table is full.
+	// rankNew: new, and nothing has been read yet; evicted only if the table has more than maxOpen.
 	rankNew
 	// rankIdle: idle after a response.
 	rankIdle
-	// rankNoFirstRequest: silent since it was opened, or slow with its first request.
+	// rankNoFirstRequest: new, and silent for silentTimeout, or its first request has stalled.
 	rankNoFirstRequest
-	// rankMalformed: its request was rejected, and none follows.
+	// rankMalformed: its request was malformed and has its response, and none follows.
 	rankMalformed
 )
 
-// makeRoomFor evicts a connection other than the new one, and reports whether one was evicted. The table is locked.
+// makeRoomFor evicts a connection other than the new one, and reports whether one was evicted. overMaxOpen is whether the
+// table has more than maxOpen connections. The table is locked.
 func (t *connTable) makeRoomFor(newConn *clientConn, overMaxOpen bool) bool {
 	for range maxEvictionAttempts {
 		candidate, observed := t.evictionCandidate(newConn, overMaxOpen)
@@ -51,8 +52,8 @@
 	return false
 }
 
-// evictionCandidate is the connection to evict, and the state in which it was seen: the one of the highest rank, and among
-// equals the one idle longest; nil: none may be evicted. The table is locked.
+// evictionCandidate returns the connection to evict and its observed state: the one of the highest rank, and among equals
+// the one idle longest; nil: none may be evicted. The table is locked.
 func (t *connTable) evictionCandidate(except *clientConn, overMaxOpen bool) (candidate *clientConn, observed connState) {
 	now := time.Now()
 	highest := rankKeep
@@ -71,8 +72,7 @@
 	return candidate, observed
 }
 
-// rankForEviction ranks a connection that was seen in the state. The table is locked; full reports whether it has more
-// connections than the limit.
+// rankForEviction ranks a connection by its observed state. The table is locked.
 func rankForEviction(c *clientConn, observed connState, overMaxOpen bool, now time.Time) evictionRank {
 	switch observed {
 	case stateMalformed:
@@ -104,17 +104,17 @@
 	return rankKeep
 }
 
-// evict closes a connection that is still in the state in which it was seen, which is idle, receiving or rejected, and
-// reports whether it did. A connection with unread bytes is not closed, unless it was rejected: a request is arriving on it.
-// One with part of a request gets evictionResponse. The table is locked.
+// evict closes a connection that is still in its observed state, which is idle, receiving or malformed, and reports whether
+// it did. A connection with unread bytes is not closed, unless it is malformed: a request is arriving on it. One with part of
+// a request gets evictionResponse. The table is locked.
 func (t *connTable) evict(c *clientConn, observed connState, reason closeReason) bool {
 	c.readMutex.Lock()
 	closed := c.closeIfUnread(observed)
 	if closed {
 		c.noteCloseReason(reason)
 	}
-	// Close waits for a read that has begun, and that read waits for this mutex: held during Close, both would wait for
-	// ever, and with them the table.
+	// Close waits for a read that has begun, and that read waits for this mutex. If it were held during Close, both would
+	// wait forever, and the table with them.
 	c.readMutex.Unlock()
 	if !closed {
 		return false
--- a/internal/clienthttp/handler.go
+++ b/internal/clienthttp/handler.go
@@ -16,13 +16,13 @@
 const (
 	// readinessPath is where the platform asks whether clients may be sent here.
 	readinessPath = "/-/ready"
-	// peerCheckInterval is how often a client that sent more than one request at a time is checked for a close: nothing may
-	// be forwarded for it 0.1 s after it has closed.
+	// peerCheckInterval is how often a connection on which net/http no longer detects a close is checked for one: nothing
+	// may be forwarded for a client 0.1 s after it has closed.
 	peerCheckInterval = 25 * time.Millisecond
 	// writeTimeout is how long a client may take to read its response.
 	writeTimeout = 5 * time.Second
-	// bodyDiscardTimeout and maxDiscardedBytes bound what is read and discarded of a rejected request's body, so that the client
-	// can read the response before a reset.
+	// bodyDiscardTimeout and maxDiscardedBytes bound what is read and discarded of a malformed request's body, so that the
+	// client can read the response before a reset.
 	bodyDiscardTimeout = 3 * time.Second
 	maxDiscardedBytes  = 64 << 20
 	// discardBufferSize is in bytes.
@@ -32,6 +32,8 @@
 // ServeHTTP implements http.Handler: it reads a request, hands it to the dispatcher and writes the response.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	conn := connFromContext(r.Context())
+	// Without a body the request is complete. A byte of a further request, which net/http may read at any time from now on,
+	// would move the time of the last read.
 	receivedAt := conn.earliestArrival()
 	if r.URL.Path == readinessPath || s.options.ReadinessOnly || conn.overLimit {
 		conn.claimRequest()
@@ -45,7 +47,7 @@
 	}
 	conn.openRequestID.Store(&call.ClientRequestID)
 	conn.claimRequest()
-	if len(message.Body) > 0 {
+	if len(message.Body) > 0 { // the last byte is one of the body
 		receivedAt = conn.earliestArrival()
 	}
 	liftReadDeadline(w)
@@ -55,7 +57,8 @@
 	s.dispatch(w, r, conn, call)
 }
 
-// respondLocally responds to a request that does not go to the dispatcher.
+// respondLocally responds to a request that does not go to the dispatcher. A readiness check is answered on a connection
+// over the limit as on any other, and does not close it.
 func (s *Server) respondLocally(w http.ResponseWriter, r *http.Request) {
 	switch {
 	case r.URL.Path == readinessPath:
@@ -108,7 +111,7 @@
 	responses := make(chan dispatcher.Response, 1)
 	call.Respond = func(response dispatcher.Response) { responses <- response }
 	if conn.isCloseUndetected() && conn.peerClosed() {
-		// The client closed while this request waited unread behind another.
+		// The client closed while this request waited behind another.
 		panic(http.ErrAbortHandler)
 	}
 	if !s.dispatcher.Submit(call) {
@@ -127,8 +130,8 @@
 
 // awaitResponse waits for the response, or until the client closes the connection: ok is false then.
 //
-// It guards against forwarding requests of a client that has closed: once a pipelined request has arrived, net/http stops its
-// background reads and never cancels the context. From then on the connection itself is checked.
+// Prevents requests from being forwarded for a client that has closed, because the connection itself is checked from the
+// time on at which net/http stops its background reads: it does not cancel the context any more then.
 func awaitResponse(
 	ctx context.Context, conn *clientConn, responses <-chan dispatcher.Response,
 ) (response dispatcher.Response, ok bool) {
@@ -153,12 +156,12 @@
 	}
 }
 
-// respondMalformed responds to a request that cannot be accepted, before the rest of its body, and then reads and discards
-// that for a while. None of these responses is a 429 or 503: a retry would have the same result.
+// respondMalformed responds to a request that cannot be accepted, before the rest of its body has arrived, and then reads
+// and discards that for a while. None of these responses is a 429 or 503: a retry would have the same result.
 func respondMalformed(w http.ResponseWriter, r *http.Request, conn *clientConn, malformed *requestError) {
 	conn.claimRequest()
 	controller := http.NewResponseController(w)
-	// Without full duplex net/http would first wait for the body, which may never come.
+	// Without full duplex net/http would first wait for the body, which may never arrive.
 	_ = controller.EnableFullDuplex()
 	w.Header().Set("Connection", "close")
 	http.Error(w, malformed.Message, malformed.Status)
@@ -174,7 +177,8 @@
 
 // discardBody reads and discards a body, up to the read deadline and maxDiscardedBytes.
 //
-// It guards against a reset over unread bytes, which would take the response from a client that is still sending.
+// Prevents a reset, after which a client that is still sending may not be able to read its response, because no unread byte
+// is left when the connection closes.
 func discardBody(body io.Reader) {
 	discard := struct{ io.Writer }{io.Discard} // hides io.Discard's ReadFrom, which would not use the buffer
 	_, _ = io.CopyBuffer(discard, io.LimitReader(body, maxDiscardedBytes), make([]byte, discardBufferSize))
--- a/internal/clienthttp/parse.go
+++ b/internal/clienthttp/parse.go
@@ -35,7 +35,7 @@
 	volumeIDLength  = 16
 )
 
-// requestError is a request that cannot be accepted as it is. No request with one reaches the dispatcher.
+// requestError says why a request is malformed. No request with one reaches the dispatcher.
 type requestError struct {
 	Status  int    // HTTP status of the response
 	Message string // body of the response; names the header or the part that is at fault
@@ -46,7 +46,7 @@
 	return e.Message
 }
 
-// requestErrorf formats a requestError's message.
+// requestErrorf returns a requestError with a formatted message.
 func requestErrorf(status int, format string, args ...any) *requestError {
 	return &requestError{Status: status, Message: fmt.Sprintf(format, args...)}
 }
@@ -89,11 +89,11 @@
 	return call, &httpmsg.Request{Method: r.Method, URI: r.RequestURI, ID: requestID}, nil
 }
 
-// checkFraming rejects a request whose body does not have a declared length within the limit.
+// checkFraming returns an error for a request whose body does not have a declared length within the limit.
 //
-// It guards against request smuggling: net/http drops a Content-Length beside a Transfer-Encoding, and ignores the
-// transfer coding of an HTTP/1.0 request, so that a proxy before or after this server may see another request in the
-// body. The guard holds since no request with a transfer coding is accepted at all.
+// Prevents request smuggling, because no request with a transfer coding and no HTTP/1.0 request is accepted: net/http drops a
+// Content-Length beside a Transfer-Encoding, and ignores the transfer coding of an HTTP/1.0 request, so that a proxy before
+// or after this server might see another request in the body.
 func checkFraming(r *http.Request) *requestError {
 	switch {
 	case len(r.TransferEncoding) > 0:
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// checkSingleHeaders rejects a request that lacks one of the required headers or repeats it.
+// checkSingleHeaders returns an error for a request that lacks one of the required headers or repeats it.
 func checkSingleHeaders(header http.Header) *requestError {
 	for _, name := range []string{headerRequestID, headerClientTimeout, headerPlan, headerIOInfo} {
 		if count := len(header.Values(name)); count != 1 {
@@ -118,7 +118,7 @@
 	return nil
 }
 
-// parseRequestURI reads /class/…/key, with any query, into the class and the key of the extent.
+// parseRequestURI parses /class/…/key, with any query, into the class and the key of the extent.
 func parseRequestURI(uri string) (class, extent string, malformed *requestError) {
 	if !strings.HasPrefix(uri, "/") {
 		return "", "", requestErrorf(http.StatusBadRequest, "the request's target must be a path")
@@ -149,7 +149,7 @@
 	return time.Duration(millis) * time.Millisecond, nil
 }
 
-// checkConfigured rejects a request of a class or a plan that the configuration does not have.
+// checkConfigured returns an error for a request of a class or a plan that the configuration does not have.
 func (s *Server) checkConfigured(request scheduler.Request) *requestError {
 	if !s.options.Classes[request.Class] {
 		return requestErrorf(http.StatusNotFound, "class %q is not served here", request.Class)
@@ -175,7 +175,7 @@
 	{"hosts", parseInitiators},
 }
 
-// parseIOInfo reads an IO-Info header such as "volume=00000003b4d60021,units=2,shard=5,hosts=3". Unknown fields are
+// parseIOInfo parses an IO-Info header such as "volume=00000003b4d60021,units=2,shard=5,hosts=3". Unknown fields are
 // skipped.
 func parseIOInfo(header string) (scheduler.Request, *requestError) {
 	var request scheduler.Request
@@ -205,7 +205,7 @@
 	return isHex(value, volumeIDLength)
 }
 
-// parseUnits rejects NaN as well, which compares false with everything.
+// parseUnits does not accept NaN either, which compares false with everything.
 func parseUnits(request *scheduler.Request, value string) bool {
 	units, err := strconv.ParseFloat(value, 64)
 	request.Units = units
@@ -219,7 +219,7 @@
 	return err == nil && shard >= -1 && shard <= maxShard
 }
 
-// parseInitiators reads how many initiators the volume's requests come through.
+// parseInitiators accepts 0; the number is how many initiators the volume's requests come through.
 func parseInitiators(request *scheduler.Request, value string) bool {
 	initiators, err := strconv.Atoi(value)
 	request.Initiators = initiators
--- a/internal/clienthttp/server.go
+++ b/internal/clienthttp/server.go
@@ -1,8 +1,17 @@
 // Package clienthttp serves clients over HTTP/1.1: it accepts connections, parses requests, hands them to the dispatcher
 // and writes its responses. It takes no scheduling decision.
 //
-// A request is never lost between its arrival and its response: a connection is closed only after a check, in one step with
-// the close, that nothing is unread on it. See connState for the states of a connection, and connTable for their limits.
+// A connection is closed only after a check, in one step with the close, that nothing is unread on it, so that no request is
+// closed over without a response. The exceptions:
+//
+//   - a connection that is far over the limit is closed at once (connTable.markOverLimit);
+//   - a malformed request has its response, and ends its connection whatever follows it (stateMalformed);
+//   - an incomplete request that is too slow ends its connection (see the timeouts in server.go);
+//   - a connection counts as idle while net/http holds a request, or part of one, that it read ahead: see connState;
+//   - bytes may arrive between the two system calls of the check and the close: the client gets a reset;
+//   - the deadline of a shutdown: see Server.Shutdown and stopAccepting.
+//
+// See connState for the states of a connection, and connTable for the limits of their number.
 package clienthttp
 
 import (
@@ -16,17 +25,36 @@
 	"dapplegate/internal/dispatcher"
 )
 
+// maxHeaderBytes is the size of the largest request head.
+const maxHeaderBytes = 16 << 10
+
+// These are the timeouts of a client connection. A client whose request is too slow has to see an error or a close within
+// 3 s; the longest wait until then is requestPauseTimeout + timeoutCheckInterval = 2.65 s.
+//
+//	waits for                    limit                ended by    client sees    logged reason
+//	first byte of the first      requestReadTimeout   clientConn  close          NO_FIRST_REQUEST
+//	  request
+//	rest of a head               requestReadTimeout   net/http    close          REQUEST_READ_TIMEOUT
+//	rest of a body               requestReadTimeout   handler     408 and close  REQUEST_READ_TIMEOUT
+//	first four bytes of a        requestPauseTimeout  connTable   503 and close  REQUEST_READ_TIMEOUT
+//	  further request
+//	first byte of a further      keepAliveTimeout     connTable   close          KEEP_ALIVE_TIMEOUT
+//	  request
+//	rest of a malformed request  bodyDiscardTimeout   handler     close after    CLOSED_BY_SERVER
+//	                                                              its response
+//	client to read a response    writeTimeout         net/http    close          CLIENT_WRITE_FAILED
+//
+// The limits of connTable are checked every timeoutCheckInterval, until the listener is closed. Several pauses within the
+// first four bytes of a further request are together bounded by net/http's idle timeout alone, see New. A request in flight
+// has no limit here: the dispatcher responds within the client's timeout.
 const (
-	// maxHeaderBytes is the size of the largest request head.
-	maxHeaderBytes = 16 << 10
-	// requestReadTimeout is how long a request, head and body, may take to arrive, from its first byte or, for the first one,
-	// from the connection's start. A client that is slower, or sends nothing, has to see an end within 3 s.
+	// requestReadTimeout is how long a request, head and body, may take to arrive: the first one from the connection's start,
+	// a further one from its first four bytes, for which net/http waits before it starts this limit.
 	requestReadTimeout = 2 * time.Second
-	// requestPauseTimeout is how long a client may pause within a request. It is longer than requestReadTimeout, which
-	// ends most such requests with a response that says what is missing.
+	// requestPauseTimeout is how long a client may pause within a request. It is longer than requestReadTimeout, so that it
+	// ends only what that does not cover.
 	requestPauseTimeout = requestReadTimeout + 400*time.Millisecond
-	// keepAliveTimeout is how long a connection is kept idle after a response, except during shutdown. Clients count
-	// idle connections among the few that they may open.
+	// keepAliveTimeout is how long a connection is kept idle after a response, except during shutdown.
 	keepAliveTimeout = 2 * time.Second
 	// timeoutCheckInterval is how often connections are checked for requestPauseTimeout and keepAliveTimeout.
 	timeoutCheckInterval = keepAliveTimeout / 8
@@ -37,8 +65,8 @@
 	Classes       map[string]bool // classes of requests that are served
 	Plans         map[string]bool // plans that are known
 	MaxConns      int             // client connections at a time
-	MaxIdleConns  int             // of these, how many may be without a request in flight
-	MaxDeadline   time.Duration   // the longest timeout of any client
+	MaxIdleConns  int             // connections above which each new one evicts one that has been idle long enough
+	MaxDeadline   time.Duration   // the longest deadline of any class
 	Ready         func() bool     // whether requests can be forwarded; nil: always
 	ReadinessOnly bool            // serve the readiness check alone: requests arrive over another protocol
 	Logger        *slog.Logger
@@ -48,7 +76,7 @@
 type Dispatcher interface {
 	// Submit hands a request over. False rejects it for lack of capacity, and Call.Respond is not called.
 	Submit(*dispatcher.Call) bool
-	// Cancel tells that the client of a submitted request has closed its connection.
+	// Cancel reports that the client of a submitted request has closed its connection.
 	Cancel(*dispatcher.Call)
 }
 
@@ -74,8 +102,8 @@
 		conns:      newConnTable(options.MaxConns, options.MaxIdleConns, options.Logger),
 		shutdown:   dispatcher.NewShutdownSchedule(options.MaxDeadline),
 	}
-	// The table closes idle connections, after a check that nothing is unread. net/http's own timeout, which checks nothing,
-	// is longer than the table's and than the time for which a shutdown keeps connections.
+	// The table closes idle connections. net/http's own timeout is longer than the table's and than the time for which a
+	// shutdown keeps connections, so that it takes effect only if the table has not closed the connection.
 	netHTTPIdleTimeout := keepAliveTimeout + keepAliveTimeout/2 + s.shutdown.ServeConnsFor
 	s.http = http.Server{
 		Handler:        s,
@@ -103,7 +131,9 @@
 	return err
 }
 
-// closeTimedOutConns closes connections whose time is over, until the channel is closed.
+// closeTimedOutConns applies the timeouts of connTable until the channel is closed, which is when the listener is: in a
+// shutdown after the accept grace. From ServeConnsFor on connTable.closeIdle closes idle connections, and from AnswerBy on
+// also those whose request has stalled.
 func (s *Server) closeTimedOutConns(ended <-chan struct{}) {
 	ticker := time.NewTicker(timeoutCheckInterval)
 	defer ticker.Stop()
--- a/internal/clienthttp/shutdown.go
+++ b/internal/clienthttp/shutdown.go
@@ -9,7 +9,7 @@
 	"dapplegate/internal/socket"
 )
 
-// shutdownPollInterval is how often a graceful shutdown looks for connections without a request.
+// shutdownPollInterval is how often a graceful shutdown checks for connections without a request.
 const shutdownPollInterval = 10 * time.Millisecond
 
 // Shutdown ends the server gracefully. It reports not ready at once, accepts connections for dispatcher.AcceptGrace, serves
@@ -25,10 +25,11 @@
 	return s.closeConns(ctx, startedAt)
 }
 
-// stopAccepting closes the listener once its backlog is empty.
+// stopAccepting closes the listener once its accept queue is empty, at the latest at AnswerBy. Connections that are still in
+// the queue then are reset.
 //
-// It guards against losing clients whose connections the kernel has accepted: the grace may be over before the accepting
-// goroutine has run, or while accept fails. The guard holds since the accepting goroutine runs on until the listener closes.
+// Prevents the reset of connections that the kernel has accepted and this process has not, as when the grace ends before the
+// accepting goroutine has run or while accept fails, because that goroutine goes on accepting until the listener closes.
 func (s *Server) stopAccepting(startedAt time.Time) {
 	if listener := s.listener.Load(); listener != nil {
 		_ = socket.CloseListenerWhenEmpty(*listener, startedAt.Add(s.shutdown.AnswerBy))
@@ -38,7 +39,7 @@
 // closeConns closes each connection once it has no request, until none is left.
 //
 // It does not use http.Server.Shutdown, which closes what net/http takes for idle: such a connection may have received part
-// of a request, which would be lost.
+// of a request, which would get no response.
 func (s *Server) closeConns(ctx context.Context, startedAt time.Time) error {
 	s.closeAfterResponse.Store(true)
 	ticker := time.NewTicker(shutdownPollInterval)
@@ -56,7 +57,7 @@
 	}
 }
 
-// beginShutdown marks that connections end from now on because the program does.
+// beginShutdown marks that connections are closed because of the graceful shutdown from now on.
 func (t *connTable) beginShutdown() {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -69,10 +70,10 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	for c := range t.open {
-		state := c.state.Load()
-		stalled := state == stateReceiving && time.Since(c.lastReadTime()) > stalledTimeout
-		if state == stateIdle || state == stateMalformed || includeStalled && stalled {
-			t.evict(c, state, reasonShutdown)
+		observed := c.state.Load()
+		stalled := observed == stateReceiving && time.Since(c.lastReadTime()) > stalledTimeout
+		if observed == stateIdle || observed == stateMalformed || includeStalled && stalled {
+			t.evict(c, observed, reasonShutdown)
 		}
 	}
 	return len(t.open)
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -1,5 +1,5 @@
 // Package socket asks the kernel for the state of a connection or a listener without reading anything from it, and closes
-// either without losing what has arrived meanwhile.
+// either after a check that nothing has arrived that would get no response.
 //
 // A Conn or Listener that has no system socket, such as a net.Pipe in a test, is taken as open with nothing unread.
 package socket
@@ -13,7 +13,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// acceptQueuePollInterval is how often CloseListenerWhenEmpty looks at the backlog.
+// acceptQueuePollInterval is how often CloseListenerWhenEmpty checks the accept queue.
 const acceptQueuePollInterval = time.Millisecond
 
 // peekFlags make a receive look at the first byte without taking it and without waiting.
@@ -21,8 +21,9 @@
 
 // IsQuiet reports whether a connection is open and nothing is unread on it. It never waits.
 //
-// It guards against using a pooled connection that the other side has closed, or on which a late response would be taken
-// for that of the next request. It holds for the time of the call: whatever arrives later is for the caller to detect.
+// Prevents the use of a pooled connection that the other side has closed, or on which a late response would be taken for that
+// of the next request, because both show as a read that would not wait. It is so at the time of the call: whatever arrives
+// later is for the caller to detect.
 func IsQuiet(conn net.Conn) bool {
 	syscallConn, ok := conn.(syscall.Conn)
 	if !ok {
@@ -42,14 +43,14 @@
 	return err == nil && quiet
 }
 
-// ShutdownIfQuiet shuts a connection down in both directions if it is open, nothing is unread on it, and confirm then agrees.
-// It reports whether it did; the caller still has to close the connection. A finalMessage that is not empty is sent first, as
-// far as the send buffer has space at once.
+// ShutdownIfQuiet shuts a connection down in both directions if it is open, nothing is unread on it, and confirm then returns
+// true. It reports whether it did; the caller still has to close the connection. A finalMessage that is not empty is sent
+// first, as far as the send buffer has space at once.
 //
-// It guards against closing a connection over a request that arrives between the check and the close: the client would see
-// its connection end without a response. A busy process may take long to run this goroutine again. The guard holds since the
-// raw system calls follow one another without a call into the Go scheduler, and since the kernel answers whatever arrives
-// after the shutdown with a reset, from which the client knows that it was not read.
+// Prevents a close over a request that arrives between the check and the close of a busy process, which may take long to run
+// this goroutine again, because the raw system calls follow one another without a call into the Go scheduler. A small window
+// remains between the two system calls: bytes that arrive in it are answered by a reset, as are those that arrive after the
+// shutdown.
 func ShutdownIfQuiet(conn net.Conn, finalMessage string, confirm func() bool) bool {
 	syscallConn, ok := conn.(syscall.Conn)
 	if !ok {
@@ -79,10 +80,11 @@
 }
 
 // IsPeerClosed reports whether the other side has closed or reset a connection, also if bytes from before are still unread. A
-// connection that this side has closed counts as well.
+// close of its write side alone (half-close) counts as well: the two look the same from here. So does a connection that this
+// side has closed.
 //
-// It guards against working for a client that has left: a read would show that only after all unread bytes, such as those of
-// pipelined requests. The guard holds since the kernel reports the close apart from the data.
+// Prevents work for a client that has closed, which a read would show only after all unread bytes, such as those of pipelined
+// requests, because the kernel reports the close apart from the data.
 func IsPeerClosed(conn net.Conn) bool {
 	syscallConn, ok := conn.(syscall.Conn)
 	if !ok {
@@ -96,8 +98,8 @@
 	return err != nil || closed
 }
 
-// pollNow reports whether a socket has one of the poll events, an error or a hang-up. It never waits. Its error is that the
-// socket is closed on this side.
+// pollNow reports whether a socket has one of the poll events, an error or a hang-up. It never waits. It returns an error if
+// the socket is closed on this side.
 func pollNow(rawConn syscall.RawConn, events int16) (happened bool, err error) {
 	err = rawConn.Control(func(fd uintptr) {
 		count, err := unix.Poll([]unix.PollFd{{Fd: int32(fd), Events: events}}, 0)
@@ -106,12 +108,12 @@
 	return happened, err
 }
 
-// CloseListenerWhenEmpty closes a listener once its backlog is empty, or at the deadline. Another goroutine must be accepting. It
-// returns the error of Close.
+// CloseListenerWhenEmpty closes a listener once its accept queue is empty, or at the deadline. Another goroutine must be
+// accepting. It returns the error of Close.
 //
-// It guards against losing clients at shutdown: the kernel resets each connection that is still in the backlog when the
-// listener closes, and the client sees its connection end without a response. The guard holds until the deadline, and for
-// connections that arrive before the last look at the backlog.
+// Prevents the kernel from resetting connections at shutdown that are in the accept queue when the listener closes, whose
+// clients would see them end without a response, because the listener closes only after a check that the queue is empty. A
+// connection that arrives after that check, or is still in the queue at the deadline, is reset.
 func CloseListenerWhenEmpty(listener net.Listener, deadline time.Time) error {
 	syscallConn, ok := listener.(syscall.Conn)
 	if !ok {
