--- a/internal/clienthttp/accept_test.go
+++ b/internal/clienthttp/accept_test.go
@@ -34,9 +34,9 @@
 
 // TestTransientAcceptErrors has accept fail in each way that accept(2) documents as transient.
 //
-// All requests in flight were lost when accept failed for a moment, such as for lack of buffers: net/http ends a server on
-// each error of accept that the net package does not call temporary, and the program ended with it. The last line of the
-// process was "accept4: no buffer space available".
+// Rule: an error of accept that passes by itself does not end the server. Failure: net/http ends a server on each error of
+// accept that the net package does not call temporary, such as a lack of buffers, and all requests in flight end with the
+// process, whose last line is "accept4: no buffer space available".
 func TestTransientAcceptErrors(t *testing.T) {
 	l := listen(t)
 	failing := &failingListener{Listener: l, errnos: []syscall.Errno{
@@ -58,7 +58,7 @@
 	}
 }
 
-// TestPermanentAcceptError has accept fail in a way that no retry mends: the server ends with that error.
+// TestPermanentAcceptError has accept fail with an error that does not pass: the server ends with it.
 func TestPermanentAcceptError(t *testing.T) {
 	s := newTestServer(newFakeDispatcher(), maxTestConns)
 	failing := &failingListener{Listener: listen(t), errnos: []syscall.Errno{syscall.EINVAL}}
@@ -67,13 +67,13 @@
 	}
 }
 
-// TestRequestInBacklogCountsAsReceived has accept fail for 0.3 s for lack of file descriptors, while a client connects and
-// sends a request, which is read 0.3 s later.
+// TestRequestInAcceptQueueCountsAsReceived has accept fail for 0.3 s for lack of file descriptors, while a client connects
+// and sends a request, which is read 0.3 s later.
 //
-// Such a request got its response after its client's timeout, and its target was told more time than the client had left:
-// the timeout was counted from when the request was read, as if nothing could have waited before the connection was
-// accepted. The log had "accept failed", and then the request with an age of 10 µs that had been sent 0.3 s before.
-func TestRequestInBacklogCountsAsReceived(t *testing.T) {
+// Rule: a request that may have waited in the accept queue counts as received when accept began to fail. Failure: if its
+// timeout runs from when it is read, its response comes after its client's timeout, and its target is told more time than
+// the client has left. The log has "accept failed", and then the request with an age of 10 µs.
+func TestRequestInAcceptQueueCountsAsReceived(t *testing.T) {
 	const failsFor = 300 * time.Millisecond
 	l := listen(t)
 	addr := l.Addr().String()
@@ -89,7 +89,7 @@
 	}
 	call.Respond(servedX)
 
-	// Once the backlog is empty, a request counts as received when it is read.
+	// Once the accept queue is empty, a request counts as received when it is read.
 	time.Sleep(failsFor)
 	fresh := dial(t, addr)
 	sentAt = time.Now()
--- a/internal/clienthttp/conn.go
+++ b/internal/clienthttp/conn.go
@@ -19,10 +19,9 @@
 // is in flight.
 const backgroundReadSize = 1
 
-// isBackgroundRead reports whether net/http reads in the background into the buffer. The size alone tells: other reads are
-// as small only where the head is longer than net/http's read buffer or just at its limit, and have one byte of space left.
-// Such a read is taken for a background read; the handler then checks by itself for a close, and the request may count as
-// received earlier than it was.
+// isBackgroundRead reports whether the buffer is that of a background read, by its size alone. Another read is as small only
+// if net/http's read buffer, or its limit on the head, has one byte left. Such a read is taken for a background read: the
+// handler then checks by itself for a close, and the request may count as received earlier than it was.
 func isBackgroundRead(buffer []byte) bool {
 	return len(buffer) == backgroundReadSize
 }
@@ -30,8 +29,8 @@
 // clientConn is a client's connection. It records when bytes were read and why the connection ended. Its reads and its close
 // exclude each other, so that no request that has just been read is closed over.
 //
-// One goroutine reads at a time: the one that serves the connection, or net/http's background read while a
-// request is in flight. "Reader" below is either; "state hook" is connTable.onConnState.
+// One goroutine reads at a time: the one that serves the connection, or net/http's background read while a request is in
+// flight. "Reader" below is either; "state hook" is connTable.onConnState.
 type clientConn struct {
 	net.Conn
 	// rawConn is nil where the connection offers none, in which case reads go through Conn.
@@ -233,8 +232,8 @@
 // closeIfUnread shuts the connection down and marks it closed if it is still in its observed state and nothing is unread on
 // it. The caller holds readMutex, and still has to call Conn.Close.
 //
-// A malformed connection is marked closed whatever is unread: what is unread is the rest of the malformed request, or
-// follows one whose response announces the close, and gets no response in either case.
+// In stateMalformed the connection is marked closed whatever is unread: that is the rest of the malformed request, or follows
+// it after a response that announces the close, and gets no response in either case.
 func (c *clientConn) closeIfUnread(observed connState) (closed bool) {
 	markClosed := func() bool { return c.state.CompareAndSwap(observed, stateClosed) }
 	switch observed {
--- a/internal/clienthttp/conn_test.go
+++ b/internal/clienthttp/conn_test.go
@@ -15,9 +15,9 @@
 // TestPipelinedRequestCountsAsReceivedWhenSent has a client send several requests at once, or further ones while the first
 // is in flight at a target that hangs. The second is read only when the first has its response.
 //
-// Such a request got its response long after its client's timeout, or none, and its target was told more time than the
-// client had left: the timeout was counted from when its last byte was read, though it may have waited unread since the
-// request before it arrived. The log had an age of 10 µs for a request that had been sent seconds before.
+// Rule: a request that may have waited behind another counts as received when it may have arrived at the earliest. Failure:
+// if its timeout runs from when its last byte is read, its response comes long after its client's timeout, or never, and its
+// target is told more time than the client has left. The log has an age of 10 µs for a request sent seconds before.
 func TestPipelinedRequestCountsAsReceivedWhenSent(t *testing.T) {
 	const inFlightFor = 300 * time.Millisecond
 	for name, gap := range map[string]time.Duration{
@@ -60,8 +60,10 @@
 }
 
 // TestEvictionAfterRead evicts an idle connection in the moment in which a request has been read on it, and nothing that
-// follows the read has run. If the connection still counted as idle then, the request would be lost with it: it must not be
-// closed. A connection that was closed gives no more bytes.
+// follows the read has run.
+//
+// Rule: the connection no longer counts as idle then, and is not closed; a connection that has been closed gives no more
+// bytes. Failure: the connection is closed over the request, which gets no response.
 func TestEvictionAfterRead(t *testing.T) {
 	client, accepted := connPair(t)
 	table := newConnTable(8, 8, slog.New(slog.DiscardHandler))
@@ -100,7 +102,7 @@
 }
 
 // TestEvictionDuringRead evicts an idle connection while a read on it has begun. Close waits for that read, so a read that
-// waited for the eviction would deadlock, and the table with all its connections with it.
+// waited for the eviction would be a deadlock, in which the table is locked and no connection can be accepted.
 func TestEvictionDuringRead(t *testing.T) {
 	_, accepted := connPair(t)
 	table := newConnTable(8, 8, slog.New(slog.DiscardHandler))
@@ -141,8 +143,8 @@
 // TestRequestAtReadDeadlineIsRead has a client's first request arrive just before the time for it is over, while the process
 // is held up until after that time.
 //
-// Such a request had its connection closed without a response: the deadline ended the connection, without a look at what
-// had arrived by then. A connection on which nothing has arrived is closed.
+// Rule: the connection is closed only if nothing has arrived. Failure: a deadline that ends the connection by the clock alone
+// closes it over the request, which gets no response.
 func TestRequestAtReadDeadlineIsRead(t *testing.T) {
 	for name, c := range map[string]struct {
 		sent      string
--- a/internal/clienthttp/conntable_test.go
+++ b/internal/clienthttp/conntable_test.go
@@ -48,8 +48,10 @@
 	inFlight.Respond(servedX)
 }
 
-// TestStallInFirstBytes has a client send the first bytes of a further request and nothing more: its connection must end
-// within 3 s. net/http gave it the 4.8 s of an idle connection, which bounds its reading of the first four bytes.
+// TestStallInFirstBytes has a client send the first bytes of a further request and nothing more.
+//
+// Rule: its connection ends within 3 s. Failure: net/http gives the first four bytes of a further request as long as its
+// timeout for idle connections, which is 4.8 s here.
 func TestStallInFirstBytes(t *testing.T) {
 	const endsWithin = 3 * time.Second
 	addr := startServerWithDelay(t, requestReadTimeout, func(*Server) {})
@@ -63,8 +65,9 @@
 	}
 }
 
-// TestConnectionEndedLog checks the line that tells why a connection ended, by which operators and incident pages find lost
-// requests: its fields, and the reason that was noted first. A read that fails after this side's close is no reason.
+// TestConnectionEndedLog checks the log line that says why a connection ended, by which operators find requests that got no
+// response: its fields, and the reason that was noted first. A read that fails is not logged as the reason, since it is taken
+// to follow from this side's close.
 func TestConnectionEndedLog(t *testing.T) {
 	for name, c := range map[string]struct {
 		noted        []closeReason
--- a/internal/clienthttp/eviction.go
+++ b/internal/clienthttp/eviction.go
@@ -105,8 +105,8 @@
 }
 
 // evict closes a connection that is still in its observed state, which is idle, receiving or malformed, and reports whether
-// it did. A connection with unread bytes is not closed, unless it is malformed: a request is arriving on it. One with part of
-// a request gets evictionResponse. The table is locked.
+// it did. A connection with unread bytes is not closed, since a request is arriving on it, unless it is malformed: see
+// closeIfUnread. One with part of a request gets evictionResponse. The table is locked.
 func (t *connTable) evict(c *clientConn, observed connState, reason closeReason) bool {
 	c.readMutex.Lock()
 	closed := c.closeIfUnread(observed)
--- a/internal/clienthttp/eviction_test.go
+++ b/internal/clienthttp/eviction_test.go
@@ -49,9 +49,8 @@
 	}
 }
 
-// TestIdleConnectionsAreEvictedEarly has clients send one request each and keep their connections. Clients that count these
-// among their own few could not connect any more, and the limit would never be met, so idle connections are evicted well
-// below it. Those with a request in flight may use all of it.
+// TestIdleConnectionsAreEvictedEarly has clients send one request each and keep their connections: idle ones are evicted
+// above maxIdle, for the reason given at connTable, and those with a request in flight may use all of maxOpen.
 func TestIdleConnectionsAreEvictedEarly(t *testing.T) {
 	const maxConns = 8
 	const maxIdle = 3
@@ -83,21 +82,33 @@
 // TestCompleteRequestIsNotEvicted closes connections, to make room or at the end of a shutdown, in the moment in which a
 // request has been read completely and its handler has not claimed it.
 //
-// Such a request had its connection closed without a response: the table knew only that some of a request had been read,
-// and took the client for a slow one, however lately its bytes had arrived.
+// Rule: a connection is not closed over a request before nothing more has arrived for stalledTimeout. Failure: the table
+// knows only that some of a request has been read, takes the client for a slow one, and closes the connection without the
+// response that the request would have got.
 func TestCompleteRequestIsNotEvicted(t *testing.T) {
+	// The connection was idle for long before the request, whose last bytes were read some time ago.
+	age := func(s *Server) {
+		s.conns.mutex.Lock()
+		defer s.conns.mutex.Unlock()
+		for c := range s.conns.open {
+			c.idleSince = c.idleSince.Add(-time.Minute)
+			readAt := c.lastReadTime().Add(-stalledTimeout / 2)
+			c.lastReadAt.Store(&readAt)
+		}
+	}
 	for name, closeConns := range map[string]func(*Server){
 		"to make room": func(s *Server) {
+			age(s)
 			s.conns.mutex.Lock()
 			defer s.conns.mutex.Unlock()
-			for c := range s.conns.open {
-				c.idleSince = c.idleSince.Add(-time.Minute) // as if it had been silent for long
-			}
 			if c, observed := s.conns.evictionCandidate(nil, true); c != nil {
 				s.conns.evict(c, observed, reasonConnectionLimit)
 			}
 		},
-		"at the end": func(s *Server) { s.conns.closeIdle(true) },
+		"at the end": func(s *Server) {
+			age(s)
+			s.conns.closeIdle(true)
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			wantServed(t, startServerWithDelay(t, time.Minute, closeConns), validGet, 1)
@@ -106,20 +117,30 @@
 }
 
 // TestRequestReadAheadIsNotEvicted has a client's second request arrive along with its first, so that net/http reads both
-// in one step. The connection is closed, to make room, as idle or for a shutdown, after the first response and before the
-// handler of the second request claims it.
+// in one step. Idle connections are closed at three moments: when the first request has its response, when net/http has
+// parsed the second, and when the handler of the second begins.
 //
-// Such a request had its connection closed without a response: the connection counted as idle from the first response on,
-// though net/http had not used up what it had read ahead.
+// Rule: a connection with a request that was read ahead does not count as idle until net/http reads again. Failure: the
+// connection counts as idle from the first response on, and is closed without a response to the second request.
+//
+// At the third moment net/http has started its background read, which begins a little later than the handler here. Once it
+// has begun, the connection counts as idle until the handler claims the request: see connState for that fault.
 func TestRequestReadAheadIsNotEvicted(t *testing.T) {
-	isSecond := false
-	addr := startServerWithDelay(t, time.Minute, func(s *Server) {
-		if isSecond {
+	hasResponded := false
+	closeIdleAfterFirst := func(s *Server) {
+		if hasResponded {
 			s.conns.closeIdle(false)
 		}
-		isSecond = true
-	})
-	wantServed(t, addr, validGet+validGet, 2)
+	}
+	s := newServerWithDelay(time.Minute, closeIdleAfterFirst)
+	s.http.ConnState = func(conn net.Conn, state http.ConnState) {
+		s.conns.onConnState(conn, state)
+		hasResponded = hasResponded || state == http.StateIdle
+		closeIdleAfterFirst(s)
+	}
+	l := listen(t)
+	serve(t, s, l)
+	wantServed(t, l.Addr().String(), validGet+validGet, 2)
 }
 
 // TestEvictionResponseDoesNotBlock evicts a connection with part of a request whose client reads nothing, so that the
@@ -172,15 +193,13 @@
 	return c.TCPConn.Close()
 }
 
-// TestEvictionChecksAndEndsInOneStep evicts an idle connection while the process is held up before Close: the client must
-// be told that the connection is over before that.
+// TestEvictionShutsDownBeforeClose evicts an idle connection while the process is held up before Close.
 //
-// In a burst of new connections a request had its connection closed without a response, 0.107 s after it was sent. An idle
-// connection was checked for unread bytes, and the process was then busy with the burst for 0.18 s before it closed the
-// connection: the request arrived in between. The check was a system call, after which other goroutines ran, and the end
-// came at the Close, steps later. The log had a gap of 0.18 s, then "connection ended" with reason=CONNECTION_LIMIT
-// state=CLOSED for connections that had been used before, one of them the client's; no line had the request.
-func TestEvictionChecksAndEndsInOneStep(t *testing.T) {
+// Rule: the client sees the end of the connection before Close, since the check for unread bytes and the shutdown are one
+// step. Failure: in a burst of new connections the process is busy between the check and Close, a request arrives in between,
+// and its connection is closed without a response. The log has a gap, then "connection ended" with reason=CONNECTION_LIMIT
+// state=CLOSED for the connection; no line has the request.
+func TestEvictionShutsDownBeforeClose(t *testing.T) {
 	client, accepted := connPair(t)
 	resume := make(chan bool)
 	table := newConnTable(8, 8, slog.New(slog.DiscardHandler))
--- a/internal/clienthttp/handler.go
+++ b/internal/clienthttp/handler.go
@@ -47,7 +47,7 @@
 	}
 	conn.openRequestID.Store(&call.ClientRequestID)
 	conn.claimRequest()
-	if len(message.Body) > 0 { // the last byte is one of the body
+	if len(message.Body) > 0 { // the request is complete only now
 		receivedAt = conn.earliestArrival()
 	}
 	liftReadDeadline(w)
--- a/internal/clienthttp/handler_test.go
+++ b/internal/clienthttp/handler_test.go
@@ -87,8 +87,10 @@
 	}
 }
 
-// TestAbandonedRequestIsNeverServed has the client close while its request is in flight. If the handler returned without a
-// response, net/http would write an empty 200, and serve something that no target gave: it must abort the connection.
+// TestAbandonedRequestIsNeverServed has the client close while its request is in flight.
+//
+// Rule: the handler aborts the connection. Failure: if it returns without a response, net/http writes an empty 200, which no
+// target gave.
 func TestAbandonedRequestIsNeverServed(t *testing.T) {
 	d := newFakeDispatcher()
 	s := newTestServer(d, maxTestConns)
@@ -138,9 +140,10 @@
 // manyRequests is more pipelined requests than net/http reads ahead.
 const manyRequests = 40
 
-// TestClientCloseBehindPipelinedRequests has a client send more requests at once than net/http reads ahead, and close. The
-// end of the connection is then behind unread requests, where net/http does not detect it: the request in flight must be
-// cancelled, and none of the others accepted.
+// TestClientCloseBehindPipelinedRequests has a client send more requests at once than net/http reads ahead, and close.
+//
+// Rule: the request in flight is cancelled, and none of the others is accepted. Failure: the close is behind unread requests,
+// where net/http does not detect it, and requests are forwarded for a client that has closed.
 func TestClientCloseBehindPipelinedRequests(t *testing.T) {
 	_, d, addr := startServer(t, maxTestConns)
 	conn := dial(t, addr)
@@ -180,7 +183,7 @@
 }
 
 // TestClientCloseBetweenPipelinedRequests has a client send many requests at once, and close just as the first gets its
-// response. Those that net/http had read ahead must not be accepted any more.
+// response. Those that net/http has read ahead must not be accepted any more.
 func TestClientCloseBetweenPipelinedRequests(t *testing.T) {
 	_, d, addr := startServer(t, maxTestConns)
 	conn := dial(t, addr)
@@ -197,8 +200,11 @@
 	}
 }
 
-// TestSlowClients has clients send nothing, too little or too slowly, one of them after a first request. Each would keep a
-// connection for ever: each must get an error or a close within 3 s. A request in flight for longer is none of them.
+// TestSlowClients has clients send nothing or too little, one of them after a first request.
+//
+// Rule: each gets an error or a close within 3 s, and a request in flight for longer is not affected. The client of a
+// malformed request has its error at once; that its connection ends only after bodyDiscardTimeout does not matter to it, and
+// only testTimeout bounds that here. Failure: each keeps a connection forever.
 func TestSlowClients(t *testing.T) {
 	const endsWithin = 3 * time.Second
 	_, d, addr := startServer(t, maxTestConns)
@@ -246,16 +252,19 @@
 }
 
 // TestReadTimeoutDoesNotCancel lets the time for a request to arrive run out between its last byte and its handler.
-// net/http must lift that deadline before its background read, or it would take the timeout for the client's close and the
-// request would get no response.
+//
+// Rule: net/http lifts that deadline before its background read. Failure: net/http takes the timeout for a close by the
+// client, and the request gets no response.
 func TestReadTimeoutDoesNotCancel(t *testing.T) {
 	const readTimeout = 50 * time.Millisecond
 	addr := startServerWithDelay(t, readTimeout, func(*Server) { time.Sleep(2 * readTimeout) })
 	wantServed(t, addr, validGet, 1)
 }
 
-// TestHugeBody sends a body far beyond the limit. A reset over what was not read would take the response from the client,
-// which is still sending: the server must read it all, and must not keep it.
+// TestHugeBody sends a body far beyond the limit.
+//
+// Rule: the server reads all of it, and does not keep it. Failure: a reset over what was not read makes the client, which is
+// still sending, miss its response, or the body fills the memory.
 func TestHugeBody(t *testing.T) {
 	const size = 60 << 20
 	const maxAllocated = 8 << 20
--- a/internal/clienthttp/helpers_test.go
+++ b/internal/clienthttp/helpers_test.go
@@ -111,10 +111,17 @@
 	return s, d, l.Addr().String()
 }
 
-// startServerWithDelay serves all requests with "x". Before each reaches its handler, which is when net/http has read its
-// head, delay runs, as if the process had been held up there.
+// startServerWithDelay starts a server of newServerWithDelay.
 func startServerWithDelay(t *testing.T, readTimeout time.Duration, delay func(*Server)) (addr string) {
 	t.Helper()
+	l := listen(t)
+	serve(t, newServerWithDelay(readTimeout, delay), l)
+	return l.Addr().String()
+}
+
+// newServerWithDelay returns a server that serves all requests with "x". Before each reaches its handler, which is when
+// net/http has read its head, delay runs, as if the process had been held up there.
+func newServerWithDelay(readTimeout time.Duration, delay func(*Server)) *Server {
 	const responseTime = 20 * time.Millisecond
 	d := newFakeDispatcher()
 	s := newTestServer(d, maxTestConns)
@@ -128,9 +135,7 @@
 			time.AfterFunc(responseTime, func() { call.Respond(servedX) })
 		}
 	}()
-	l := listen(t)
-	serve(t, s, l)
-	return l.Addr().String()
+	return s
 }
 
 // dial returns a connection to the address, closed at the end of the test.
--- a/internal/clienthttp/parse_test.go
+++ b/internal/clienthttp/parse_test.go
@@ -81,7 +81,9 @@
 	}
 }
 
-// TestTruncatedIOInfo truncates a valid IO-Info header and feeds garbage: whatever is accepted has all four fields in range.
+// TestTruncatedIOInfo truncates a valid IO-Info header: without all of its four fields it is not accepted, while one that
+// is truncated within the last number may be. Of random headers, whatever is accepted has a volume of 16 digits, and units
+// and a shard that are not below their range.
 func TestTruncatedIOInfo(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		valid := fmt.Sprintf("volume=%016x,units=%d,shard=%d,hosts=%d", rapid.Uint64().Draw(t, "volume"),
--- a/internal/clienthttp/server.go
+++ b/internal/clienthttp/server.go
@@ -5,7 +5,8 @@
 // closed over without a response. The exceptions:
 //
 //   - a connection that is far over the limit is closed at once (connTable.markOverLimit);
-//   - a malformed request has its response, and ends its connection whatever follows it (stateMalformed);
+//   - a response that announces the close, as that to a malformed request does, or that could not be written ends the
+//     connection whatever follows its request;
 //   - an incomplete request that is too slow ends its connection (see the timeouts in server.go);
 //   - a connection counts as idle while net/http holds a request, or part of one, that it read ahead: see connState;
 //   - bytes may arrive between the two system calls of the check and the close: the client gets a reset;
--- a/internal/clienthttp/shutdown_test.go
+++ b/internal/clienthttp/shutdown_test.go
@@ -82,8 +82,10 @@
 }
 
 // TestShutdownReadsPartialRequests shuts down with half a request read on a connection that was used before, and half on a
-// new one. Both requests would be lost if their connections were closed: both must be read completely, and get a response
-// that closes their connection.
+// new one.
+//
+// Rule: both are read completely, and get a response that closes their connection. Failure: their connections are closed,
+// and the requests get no response.
 func TestShutdownReadsPartialRequests(t *testing.T) {
 	s, d, addr := startServer(t, maxTestConns)
 	go d.respondToAll()
--- a/internal/socket/socket_test.go
+++ b/internal/socket/socket_test.go
@@ -101,8 +101,8 @@
 	}
 }
 
-// TestShutdownKeepsUnreadBytes wants a connection left alone on which a byte has arrived: a request would be lost with it.
-// confirm is not called.
+// TestShutdownKeepsUnreadBytes wants a connection left open on which a byte has arrived: it may be a request, which would get
+// no response. confirm is not called.
 func TestShutdownKeepsUnreadBytes(t *testing.T) {
 	client, accepted := connPair(t)
 	write(t, client, "G")
@@ -118,7 +118,7 @@
 	wantOpen(t, client, accepted)
 }
 
-// TestShutdownNeedsConfirmation wants a connection left alone if confirm returns false.
+// TestShutdownNeedsConfirmation wants a connection left open if confirm returns false.
 func TestShutdownNeedsConfirmation(t *testing.T) {
 	client, accepted := connPair(t)
 	if ShutdownIfQuiet(accepted, "bye", func() bool { return false }) {
@@ -157,9 +157,10 @@
 	}
 }
 
-// TestCloseListenerEmptiesBacklog has clients wait in the backlog while the accepting goroutine is held up. The kernel
-// resets what is left there when the listener closes: all must be accepted before.
-func TestCloseListenerEmptiesBacklog(t *testing.T) {
+// TestCloseListenerWhenEmpty has clients wait in the accept queue while the accepting goroutine is held up.
+//
+// Rule: all are accepted before the listener closes. Failure: the kernel resets what is left in the queue then.
+func TestCloseListenerWhenEmpty(t *testing.T) {
 	const clients = 4
 	l := listen(t)
 	for range clients {
@@ -183,8 +184,8 @@
 	}
 }
 
-// TestCloseListenerEndsAtDeadline has nobody accept: the listener is closed all the same, and the client is reset.
-func TestCloseListenerEndsAtDeadline(t *testing.T) {
+// TestCloseListenerAtDeadline has nobody accept: the listener is closed all the same, and the client is reset.
+func TestCloseListenerAtDeadline(t *testing.T) {
 	const wait = 50 * time.Millisecond
 	l := listen(t)
 	client := dial(t, l)
@@ -193,7 +194,7 @@
 		t.Error(err)
 	}
 	if took := time.Since(begunAt); took < wait {
-		t.Errorf("closed after %v over a connection in the backlog", took)
+		t.Errorf("closed after %v over a connection in the accept queue", took)
 	}
 	if _, err := client.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("the client read %v, want %v", err, syscall.ECONNRESET)
