--- a/internal/clienthttp/handler.go
+++ b/internal/clienthttp/handler.go
@@ -19,7 +19,7 @@
 	// peerCheckInterval is how often a connection on which net/http no longer detects a close is checked for one: nothing
 	// may be forwarded for a client 0.1 s after it has closed.
 	peerCheckInterval = 25 * time.Millisecond
-	// writeTimeout is how long a client may take to read its response.
+	// writeTimeout is how long a client may take to read a target's data.
 	writeTimeout = 5 * time.Second
 	// bodyDiscardTimeout and maxDiscardedBytes bound what is read and discarded of a malformed request's body, so that the
 	// client can read the response before a reset.
--- a/internal/clienthttp/server.go
+++ b/internal/clienthttp/server.go
@@ -43,7 +43,7 @@
 //	  request
 //	rest of a malformed request  bodyDiscardTimeout   handler     close after    CLOSED_BY_SERVER
 //	                                                              its response
-//	client to read a response    writeTimeout         net/http    close          CLIENT_WRITE_FAILED
+//	client to read the data      writeTimeout         net/http    close          CLIENT_WRITE_FAILED
 //
 // The limits of connTable are checked every timeoutCheckInterval, until the listener is closed. Several pauses within the
 // first four bytes of a further request are together bounded by net/http's idle timeout alone, see New. A request in flight
