--- a/internal/clienthttp/handler.go
+++ b/internal/clienthttp/handler.go
@@ -16,37 +16,39 @@
 const (
 	// readinessPath is where the platform asks whether clients may be sent here.
 	readinessPath = "/-/ready"
-	// peerCheckInterval is how often a client that sent more than one request at a time is checked for a close: nothing may
-	// be forwarded for it 0.1 s after it has closed.
+	// peerCheckInterval is how often a connection on which net/http no longer detects a close is checked for one: nothing
+	// may be forwarded for a client 0.1 s after it has closed.
 	peerCheckInterval = 25 * time.Millisecond
-	// writeTimeout is how long a client may take to read its response.
+	// writeTimeout is how long a client may take to read a target's data.
 	writeTimeout = 5 * time.Second
-	// bodyDrainTimeout and maxDrainedBytes bound what is read and discarded of a rejected request's body, so that the client
-	// can read the response before a reset.
-	bodyDrainTimeout = 3 * time.Second
-	maxDrainedBytes  = 64 << 20
-	// drainBufferSize is in bytes.
-	drainBufferSize = 16 << 10
+	// bodyDiscardTimeout and maxDiscardedBytes bound what is read and discarded of a malformed request's body, so that the
+	// client can read the response before a reset.
+	bodyDiscardTimeout = 3 * time.Second
+	maxDiscardedBytes  = 64 << 20
+	// discardBufferSize is in bytes.
+	discardBufferSize = 16 << 10
 )
 
 // ServeHTTP implements http.Handler: it reads a request, hands it to the dispatcher and writes the response.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	conn := connFromContext(r.Context())
-	receivedAt := conn.receivedAt()
-	if r.URL.Path == readinessPath || s.options.HealthOnly || conn.overLimit {
+	// Without a body the request is complete. A byte of a further request, which net/http may read at any time from now on,
+	// would move the time of the last read.
+	receivedAt := conn.earliestArrival()
+	if r.URL.Path == readinessPath || s.options.ReadinessOnly || conn.overLimit {
 		conn.claimRequest()
 		s.respondLocally(w, r)
 		return
 	}
-	call, message, requestError := s.readRequest(r)
-	if requestError != nil {
-		rejectMalformed(w, r, conn, requestError)
+	call, message, malformed := s.readRequest(r)
+	if malformed != nil {
+		respondMalformed(w, r, conn, malformed)
 		return
 	}
 	conn.openRequestID.Store(&call.ClientRequestID)
 	conn.claimRequest()
-	if len(message.Body) > 0 {
-		receivedAt = conn.receivedAt()
+	if len(message.Body) > 0 { // the request is complete only now
+		receivedAt = conn.earliestArrival()
 	}
 	liftReadDeadline(w)
 	call.ReceivedAt = receivedAt
@@ -55,12 +57,13 @@
 	s.dispatch(w, r, conn, call)
 }
 
-// respondLocally responds to a request that does not go to the dispatcher.
+// respondLocally responds to a request that does not go to the dispatcher. A readiness check is answered on a connection
+// over the limit as on any other, and does not close it.
 func (s *Server) respondLocally(w http.ResponseWriter, r *http.Request) {
 	switch {
 	case r.URL.Path == readinessPath:
 		s.respondReadiness(w)
-	case s.options.HealthOnly:
+	case s.options.ReadinessOnly:
 		http.NotFound(w, r)
 	default: // the connection is over the limit
 		w.Header().Set("Connection", "close")
@@ -80,7 +83,7 @@
 }
 
 // readRequest reads the head and the body of a request.
-func (s *Server) readRequest(r *http.Request) (*dispatcher.Call, *httpmsg.Request, *RequestError) {
+func (s *Server) readRequest(r *http.Request) (*dispatcher.Call, *httpmsg.Request, *requestError) {
 	call, message, err := s.parseHead(r)
 	if err != nil {
 		return nil, nil, err
@@ -107,8 +110,8 @@
 	// The buffer keeps the dispatcher's goroutine from waiting for this one.
 	responses := make(chan dispatcher.Response, 1)
 	call.Respond = func(response dispatcher.Response) { responses <- response }
-	if conn.isPipelined() && conn.peerClosed() {
-		// The client closed while this request waited unread behind another.
+	if conn.isCloseUndetected() && conn.peerClosed() {
+		// The client closed while this request waited behind another.
 		panic(http.ErrAbortHandler)
 	}
 	if !s.dispatcher.Submit(call) {
@@ -127,22 +130,22 @@
 
 // awaitResponse waits for the response, or until the client closes the connection: ok is false then.
 //
-// It guards against forwarding requests of a client that has closed: once a pipelined request has arrived, net/http stops its
-// background reads and never cancels the context. From then on the connection itself is checked.
+// Prevents requests from being forwarded for a client that has closed, because the connection itself is checked from the
+// time on at which net/http stops its background reads: it does not cancel the context any more then.
 func awaitResponse(
 	ctx context.Context, conn *clientConn, responses <-chan dispatcher.Response,
 ) (response dispatcher.Response, ok bool) {
-	pipelined := conn.pipelined
+	closeUndetected := conn.closeUndetected
 	var peerCheck <-chan time.Time
 	for {
 		select {
 		case response := <-responses:
 			return response, true
-		case <-pipelined:
+		case <-closeUndetected:
 			ticker := time.NewTicker(peerCheckInterval)
 			defer ticker.Stop()
 			peerCheck = ticker.C
-			pipelined = nil
+			closeUndetected = nil
 		case <-peerCheck:
 			if conn.peerClosed() {
 				return dispatcher.Response{}, false
@@ -153,31 +156,32 @@
 	}
 }
 
-// rejectMalformed responds to a request that cannot be accepted, before the rest of its body, and then reads and discards
-// that for a while. None of these responses is a 429 or 503: a retry would have the same result.
-func rejectMalformed(w http.ResponseWriter, r *http.Request, conn *clientConn, requestError *RequestError) {
+// respondMalformed responds to a request that cannot be accepted, before the rest of its body has arrived, and then reads
+// and discards that for a while. None of these responses is a 429 or 503: a retry would have the same result.
+func respondMalformed(w http.ResponseWriter, r *http.Request, conn *clientConn, malformed *requestError) {
 	conn.claimRequest()
 	controller := http.NewResponseController(w)
-	// Without full duplex net/http would first wait for the body, which may never come.
+	// Without full duplex net/http would first wait for the body, which may never arrive.
 	_ = controller.EnableFullDuplex()
 	w.Header().Set("Connection", "close")
-	http.Error(w, requestError.Message, requestError.Status)
+	http.Error(w, malformed.Message, malformed.Status)
 	flushed := controller.Flush() == nil
-	conn.state.CompareAndSwap(stateInFlight, stateRejected)
-	if !flushed || requestError.Status == http.StatusRequestTimeout {
+	conn.state.CompareAndSwap(stateInFlight, stateMalformed)
+	if !flushed || malformed.Status == http.StatusRequestTimeout {
 		return
 	}
-	if controller.SetReadDeadline(time.Now().Add(bodyDrainTimeout)) == nil {
-		drainBody(r.Body)
+	if controller.SetReadDeadline(time.Now().Add(bodyDiscardTimeout)) == nil {
+		discardBody(r.Body)
 	}
 }
 
-// drainBody reads and discards a body, up to the read deadline and maxDrainedBytes.
+// discardBody reads and discards a body, up to the read deadline and maxDiscardedBytes.
 //
-// It guards against a reset over unread bytes, which would take the response from a client that is still sending.
-func drainBody(body io.Reader) {
+// Prevents a reset, after which a client that is still sending may not be able to read its response, because no unread byte
+// is left when the connection closes.
+func discardBody(body io.Reader) {
 	discard := struct{ io.Writer }{io.Discard} // hides io.Discard's ReadFrom, which would not use the buffer
-	_, _ = io.CopyBuffer(discard, io.LimitReader(body, maxDrainedBytes), make([]byte, drainBufferSize))
+	_, _ = io.CopyBuffer(discard, io.LimitReader(body, maxDiscardedBytes), make([]byte, discardBufferSize))
 }
 
 // writeResponse writes the final response of a request. A failed write shows in the connection's close reason.
--- a/internal/clienthttp/helpers_test.go
+++ b/internal/clienthttp/helpers_test.go
@@ -38,9 +38,9 @@
 
 // fakeDispatcher hands submitted and cancelled calls to the test.
 type fakeDispatcher struct {
-	calls     chan *dispatcher.Call
-	cancelled chan *dispatcher.Call
-	full      bool // rejects every call
+	calls      chan *dispatcher.Call
+	cancelled  chan *dispatcher.Call
+	atCapacity bool // rejects every call
 }
 
 func newFakeDispatcher() *fakeDispatcher {
@@ -48,7 +48,7 @@
 }
 
 func (d *fakeDispatcher) Submit(call *dispatcher.Call) bool {
-	if d.full {
+	if d.atCapacity {
 		return false
 	}
 	d.calls <- call
@@ -111,10 +111,17 @@
 	return s, d, l.Addr().String()
 }
 
-// startServerWithDelay serves all requests with "x". Before each reaches its handler, which is when net/http has read its
-// head, delay runs, as if the process had been held up there.
+// startServerWithDelay starts a server of newServerWithDelay.
 func startServerWithDelay(t *testing.T, readTimeout time.Duration, delay func(*Server)) (addr string) {
 	t.Helper()
+	l := listen(t)
+	serve(t, newServerWithDelay(readTimeout, delay), l)
+	return l.Addr().String()
+}
+
+// newServerWithDelay returns a server that serves all requests with "x". Before each reaches its handler, which is when
+// net/http has read its head, delay runs, as if the process had been held up there.
+func newServerWithDelay(readTimeout time.Duration, delay func(*Server)) *Server {
 	const responseTime = 20 * time.Millisecond
 	d := newFakeDispatcher()
 	s := newTestServer(d, maxTestConns)
@@ -128,9 +135,7 @@
 			time.AfterFunc(responseTime, func() { call.Respond(servedX) })
 		}
 	}()
-	l := listen(t)
-	serve(t, s, l)
-	return l.Addr().String()
+	return s
 }
 
 // dial returns a connection to the address, closed at the end of the test.
@@ -227,10 +232,10 @@
 }
 
 // evictLocked calls evict with the table locked, as the table itself does.
-func evictLocked(table *connTable, c *clientConn, seen connState) bool {
+func evictLocked(table *connTable, c *clientConn, observed connState) bool {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
-	return table.evict(c, seen, reasonConnectionLimit)
+	return table.evict(c, observed, reasonConnectionLimit)
 }
 
 // awaitIdle waits until so many connections are idle. net/http reports that only after the response has been written, so a
--- a/internal/clienthttp/parse_test.go
+++ b/internal/clienthttp/parse_test.go
@@ -75,13 +75,15 @@
 // TestFullDispatcherRejects has the dispatcher accept nothing more: the request is rejected, and a retry is harmless.
 func TestFullDispatcherRejects(t *testing.T) {
 	_, d, addr := startServer(t, maxTestConns)
-	d.full = true
+	d.atCapacity = true
 	if response, _, _ := roundTripOnNewConn(t, addr, validPut); response.StatusCode != http.StatusServiceUnavailable {
 		t.Errorf("status %d, want 503", response.StatusCode)
 	}
 }
 
-// TestTruncatedIOInfo truncates a valid IO-Info header and feeds garbage: whatever is accepted has all four fields in range.
+// TestTruncatedIOInfo truncates a valid IO-Info header: without all of its four fields it is not accepted, while one that
+// is truncated within the last number may be. Of random headers, whatever is accepted has a volume of 16 digits, and units
+// and a shard that are not below their range.
 func TestTruncatedIOInfo(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		valid := fmt.Sprintf("volume=%016x,units=%d,shard=%d,hosts=%d", rapid.Uint64().Draw(t, "volume"),
--- a/internal/clienthttp/drain_test.go
+++ b/internal/clienthttp/shutdown_test.go
@@ -82,8 +82,10 @@
 }
 
 // TestShutdownReadsPartialRequests shuts down with half a request read on a connection that was used before, and half on a
-// new one. Both requests would be lost if their connections were closed: both must be read completely, and get a response
-// that closes their connection.
+// new one.
+//
+// Rule: both are read completely, and get a response that closes their connection. Failure: their connections are closed,
+// and the requests get no response.
 func TestShutdownReadsPartialRequests(t *testing.T) {
 	s, d, addr := startServer(t, maxTestConns)
 	go d.respondToAll()
@@ -93,7 +95,7 @@
 	fresh := dial(t, addr)
 	ended := startShutdown(s)
 	closingAt := s.shutdownAt.Load().Add(s.shutdown.ServeConnsFor)
-	dispatcher.WaitUntil(context.Background(), closingAt.Add(-requestTimeout/4))
+	dispatcher.WaitUntil(context.Background(), closingAt.Add(-requestReadTimeout/4))
 	half := len(validPut) / 2
 	for _, conn := range []net.Conn{used, fresh} {
 		send(conn, validPut[:half])
