--- a/internal/clienthttp/eviction_test.go
+++ b/internal/clienthttp/eviction_test.go
@@ -116,32 +116,43 @@
 }
 
 // TestRequestReadAheadIsNotEvicted has a client's second request arrive along with its first, so that net/http reads both
-// in one step. Idle connections are closed at three moments: when the first request has its response, when net/http has
-// parsed the second, and when the handler of the second begins.
+// in one step. Idle connections are closed when the first request has its response, and when net/http has parsed the second.
 //
 // Rule: a connection with a request that was read ahead does not count as idle until net/http reads again. Failure: the
 // connection counts as idle from the first response on, and is closed without a response to the second request.
-//
-// At the third moment net/http has started its background read, which begins a little later than the handler here. Once it
-// has begun, the connection counts as idle until the handler claims the request: see connState for that fault.
 func TestRequestReadAheadIsNotEvicted(t *testing.T) {
+	s := newServerWithDelay(time.Minute, func(*Server) {})
 	hasResponded := false
-	closeIdleAfterFirst := func(s *Server) {
-		if hasResponded {
-			s.conns.closeIdle(false)
-		}
-	}
-	s := newServerWithDelay(time.Minute, closeIdleAfterFirst)
 	s.http.ConnState = func(conn net.Conn, state http.ConnState) {
 		s.conns.onConnState(conn, state)
 		hasResponded = hasResponded || state == http.StateIdle
-		closeIdleAfterFirst(s)
+		if hasResponded {
+			s.conns.closeIdle(false)
+		}
 	}
 	l := listen(t)
 	serve(t, s, l)
 	wantServed(t, l.Addr().String(), validGet+validGet, 2)
 }
 
+// TestRequestReadAheadIsNotEvictedBeforeClaim has a client's second request arrive along with its first, and closes idle
+// connections once the handler of the second has begun and before it claims the request.
+//
+// Rule: as above. Failure: net/http starts a background read before it calls the handler, and that read makes the connection
+// idle. It is closed, and the second request has no response. The test waits for that read to begin.
+func TestRequestReadAheadIsNotEvictedBeforeClaim(t *testing.T) {
+	const backgroundReadBegins = 10 * time.Millisecond // at the latest, after the call of the handler
+	isSecond := false
+	addr := startServerWithDelay(t, time.Minute, func(s *Server) {
+		if isSecond {
+			time.Sleep(backgroundReadBegins)
+			s.conns.closeIdle(false)
+		}
+		isSecond = true
+	})
+	wantServed(t, addr, validGet+validGet, 2)
+}
+
 // TestEvictionResponseDoesNotBlock evicts a connection with part of a request whose client reads nothing, so that the
 // response over that request finds the send buffer full. The table is locked meanwhile and must not wait for space.
 func TestEvictionResponseDoesNotBlock(t *testing.T) {
