--- a/cmd/initiator/follow.go
+++ b/cmd/initiator/follow.go
@@ -59,7 +59,7 @@
 func (f *follower) update(ctx context.Context, entry configstore.Entry) {
 	successor, err := startVersion(ctx, entry, f.operatorFile, f.log)
 	if err != nil {
-		f.log.Error(eventConfigRejected, slog.String("reason", reasonBadConfig),
+		f.log.Error(eventConfigRejected, slog.String("reason", reasonConfigNotServed),
 			slog.Uint64("version", entry.Version), slog.Any("error", err))
 		return
 	}
--- a/cmd/initiator/initiator.go
+++ b/cmd/initiator/initiator.go
@@ -148,14 +148,14 @@
 	cfg := in.config
 	servers := map[string]server{
 		cfg.Listen: clienthttp.New(in.dispatcher, clienthttp.Options{
-			Classes:       cfg.ClassNames(),
-			Plans:         cfg.PlanNames(),
-			MaxConns:      cfg.MaxClientConns(),
-			MaxIdleConns:  cfg.MaxIdleClientConns(),
-			MaxDeadline:   cfg.MaxDeadline(),
-			Ready:         in.hasEndpoints.Load,
-			ReadinessOnly: operator.NVMe != nil,
-			Logger:        in.log,
+			Classes:        cfg.ClassNames(),
+			Plans:          cfg.PlanNames(),
+			MaxConns:       cfg.MaxClientConns(),
+			EvictIdleAbove: cfg.EvictIdleAbove(),
+			MaxDeadline:    cfg.MaxDeadline(),
+			Ready:          in.hasEndpoints.Load,
+			ReadinessOnly:  operator.NVMe != nil,
+			Logger:         in.log,
 		}),
 	}
 	if operator.NVMe != nil {
--- a/cmd/initiator/reload.go
+++ b/cmd/initiator/reload.go
@@ -25,7 +25,7 @@
 		for range hangups {
 			cfg, err := reloadConfig(hangups, getenv)
 			if err != nil {
-				log.Error(eventConfigRejected, slog.String("reason", reasonBadConfig), slog.Any("error", err))
+				log.Error(eventConfigRejected, slog.String("reason", reasonConfigNotServed), slog.Any("error", err))
 				continue
 			}
 			log.Info(eventConfigAccepted, slog.String("discovery", cfg.Discovery))
--- a/cmd/initiator/serve.go
+++ b/cmd/initiator/serve.go
@@ -14,9 +14,9 @@
 
 // Log lines about configurations, from the file and from the store alike.
 const (
-	eventConfigAccepted = "configuration accepted"
-	eventConfigRejected = "configuration rejected"
-	reasonBadConfig     = "BAD_CONFIG"
+	eventConfigAccepted   = "configuration accepted"
+	eventConfigRejected   = "configuration rejected"
+	reasonConfigNotServed = "CONFIG_NOT_SERVED" // the file, the operator's file or an address of it cannot be used
 )
 
 // serveFlags are the flags of the serve command.
--- a/internal/clienthttp/conn.go
+++ b/internal/clienthttp/conn.go
@@ -140,7 +140,7 @@
 	if c.state.Load() == stateIdle {
 		reason := c.readFailureReason(deadlineError)
 		c.readMutex.Lock()
-		closed := c.closeIfUnread(stateIdle)
+		closed := c.closeIfNothingUnread(stateIdle)
 		c.readMutex.Unlock()
 		if closed {
 			c.noteCloseReason(reason)
@@ -229,18 +229,18 @@
 	return nil
 }
 
-// closeIfUnread shuts the connection down and marks it closed if it is still in its observed state and nothing is unread on
+// closeIfNothingUnread shuts the connection down and marks it closed if it is still in its observed state and nothing is unread on
 // it. The caller holds readMutex, and still has to call Conn.Close.
 //
 // In stateMalformed the connection is marked closed whatever is unread: that is the rest of the malformed request, or follows
 // it after a response that announces the close, and gets no response in either case.
-func (c *clientConn) closeIfUnread(observed connState) (closed bool) {
+func (c *clientConn) closeIfNothingUnread(observed connState) (closed bool) {
 	markClosed := func() bool { return c.state.CompareAndSwap(observed, stateClosed) }
 	switch observed {
 	case stateMalformed:
 		return markClosed()
 	case stateReceiving:
-		return socket.ShutdownIfQuiet(c.Conn, evictionResponse, markClosed)
+		return socket.ShutdownIfQuiet(c.Conn, partialRequestResponse, markClosed)
 	default:
 		return socket.ShutdownIfQuiet(c.Conn, "", markClosed)
 	}
--- a/internal/clienthttp/conntable.go
+++ b/internal/clienthttp/conntable.go
@@ -23,18 +23,18 @@
 type connTable struct {
 	// maxOpen is the number of open connections above which a new one is over the limit, unless another is evicted for it.
 	maxOpen int
-	// maxIdle is the number of open connections, in flight or not, above which each new one evicts one that has been idle
+	// evictIdleAbove is the number of open connections, in flight or not, above which each new one evicts one that has been idle
 	// long enough.
-	maxIdle int
-	log     *slog.Logger
+	evictIdleAbove int
+	log            *slog.Logger
 
 	mutex        sync.Mutex // guards what follows, and idleSince of each connection
 	open         map[*clientConn]bool
 	shuttingDown bool // connections are closed because of a graceful shutdown
 }
 
-func newConnTable(maxOpen, maxIdle int, log *slog.Logger) *connTable {
-	return &connTable{maxOpen: maxOpen, maxIdle: min(maxIdle, maxOpen), log: log, open: map[*clientConn]bool{}}
+func newConnTable(maxOpen, evictIdleAbove int, log *slog.Logger) *connTable {
+	return &connTable{maxOpen: maxOpen, evictIdleAbove: min(evictIdleAbove, maxOpen), log: log, open: map[*clientConn]bool{}}
 }
 
 // add takes an accepted connection into the table, and evicts another for it if there are too many.
@@ -43,7 +43,7 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.open[c] = true
-	if len(t.open) <= t.maxIdle {
+	if len(t.open) <= t.evictIdleAbove {
 		return c
 	}
 	overMaxOpen := len(t.open) > t.maxOpen
@@ -73,9 +73,9 @@
 	for c := range t.open {
 		switch state := c.state.Load(); {
 		case state == stateReceiving && time.Since(c.lastReadTime()) >= requestPause:
-			t.evict(c, stateReceiving, reasonRequestReadTimeout)
+			t.closeIfStill(c, stateReceiving, reasonRequestReadTimeout)
 		case state == stateIdle && c.hasResponded.Load() && time.Since(c.idleSince) >= keepAlive && !t.shuttingDown:
-			t.evict(c, stateIdle, reasonKeepAliveTimeout)
+			t.closeIfStill(c, stateIdle, reasonKeepAliveTimeout)
 		}
 	}
 }
--- a/internal/clienthttp/eviction.go
+++ b/internal/clienthttp/eviction.go
@@ -16,9 +16,9 @@
 	maxEvictionAttempts = 8
 )
 
-// evictionResponse is sent to a client whose connection is closed after part of a request has been read. All of that request
+// partialRequestResponse is sent to a client whose connection is closed after part of a request has been read. All of that request
 // may have been read by then: this is its response, and nothing of it was forwarded.
-const evictionResponse = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
+const partialRequestResponse = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 
 // evictionRank orders connections by how dispensable they are; the highest is evicted first.
 type evictionRank int
@@ -44,7 +44,7 @@
 		if candidate == nil {
 			return false
 		}
-		if t.evict(candidate, observed, reasonConnectionLimit) {
+		if t.closeIfStill(candidate, observed, reasonConnectionLimit) {
 			return true
 		}
 		candidate.idleSince = time.Now() // a request is arriving on it
@@ -104,12 +104,13 @@
 	return rankKeep
 }
 
-// evict closes a connection that is still in its observed state, which is idle, receiving or malformed, and reports whether
-// it did. A connection with unread bytes is not closed, since a request is arriving on it, unless it is malformed: see
-// closeIfUnread. One with part of a request gets evictionResponse. The table is locked.
-func (t *connTable) evict(c *clientConn, observed connState, reason closeReason) bool {
+// closeIfStill closes a connection - to make room, for a timeout or at shutdown - if it is still in its observed state, which
+// is idle, receiving or malformed, and reports whether it did. A connection with unread bytes is not closed, since a request
+// is arriving on it, unless it is malformed: see closeIfNothingUnread. One with part of a request gets
+// partialRequestResponse. The table is locked.
+func (t *connTable) closeIfStill(c *clientConn, observed connState, reason closeReason) bool {
 	c.readMutex.Lock()
-	closed := c.closeIfUnread(observed)
+	closed := c.closeIfNothingUnread(observed)
 	if closed {
 		c.noteCloseReason(reason)
 	}
--- a/internal/clienthttp/eviction_test.go
+++ b/internal/clienthttp/eviction_test.go
@@ -50,14 +50,14 @@
 }
 
 // TestIdleConnectionsAreEvictedEarly has clients send one request each and keep their connections: idle ones are evicted
-// above maxIdle, for the reason given at connTable, and those with a request in flight may use all of maxOpen.
+// above evictIdleAbove, for the reason given at connTable, and those with a request in flight may use all of maxOpen.
 func TestIdleConnectionsAreEvictedEarly(t *testing.T) {
 	const maxConns = 8
-	const maxIdle = 3
-	const once = 2 * maxIdle
+	const evictIdleAbove = 3
+	const once = 2 * evictIdleAbove
 	s, d, addr := startServer(t, maxConns)
 	s.conns.mutex.Lock()
-	s.conns.maxIdle = maxIdle
+	s.conns.evictIdleAbove = evictIdleAbove
 	s.conns.mutex.Unlock()
 	go d.respondToNext(once)
 	for range once {
@@ -65,8 +65,8 @@
 		time.Sleep(2 * minIdleBeforeEviction)
 	}
 	s.conns.mutex.Lock()
-	if open := len(s.conns.open); open > maxIdle {
-		t.Errorf("%d idle connections are kept, want %d", open, maxIdle)
+	if open := len(s.conns.open); open > evictIdleAbove {
+		t.Errorf("%d idle connections are kept, want %d", open, evictIdleAbove)
 	}
 	s.conns.mutex.Unlock()
 	for i := range maxConns {
@@ -101,7 +101,7 @@
 			s.conns.mutex.Lock()
 			defer s.conns.mutex.Unlock()
 			if c, observed := s.conns.evictionCandidate(nil, true); c != nil {
-				s.conns.evict(c, observed, reasonConnectionLimit)
+				s.conns.closeIfStill(c, observed, reasonConnectionLimit)
 			}
 		},
 		"at the end": func(s *Server) {
--- a/internal/clienthttp/helpers_test.go
+++ b/internal/clienthttp/helpers_test.go
@@ -74,12 +74,12 @@
 // newTestServer returns a server that does not serve yet.
 func newTestServer(d Dispatcher, maxConns int) *Server {
 	return New(d, Options{
-		Classes:      map[string]bool{"get": true, "put": true},
-		Plans:        map[string]bool{"std": true},
-		MaxConns:     maxConns,
-		MaxIdleConns: maxConns,
-		MaxDeadline:  5 * time.Second,
-		Logger:       slog.New(slog.DiscardHandler),
+		Classes:        map[string]bool{"get": true, "put": true},
+		Plans:          map[string]bool{"std": true},
+		MaxConns:       maxConns,
+		EvictIdleAbove: maxConns,
+		MaxDeadline:    5 * time.Second,
+		Logger:         slog.New(slog.DiscardHandler),
 	})
 }
 
@@ -235,7 +235,7 @@
 func evictLocked(table *connTable, c *clientConn, observed connState) bool {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
-	return table.evict(c, observed, reasonConnectionLimit)
+	return table.closeIfStill(c, observed, reasonConnectionLimit)
 }
 
 // awaitIdle waits until so many connections are idle. net/http reports that only after the response has been written, so a
--- a/internal/clienthttp/server.go
+++ b/internal/clienthttp/server.go
@@ -63,14 +63,14 @@
 
 // Options configure a Server.
 type Options struct {
-	Classes       map[string]bool // classes of requests that are served
-	Plans         map[string]bool // plans that are known
-	MaxConns      int             // client connections at a time
-	MaxIdleConns  int             // connections above which each new one evicts one that has been idle long enough
-	MaxDeadline   time.Duration   // the longest deadline of any class
-	Ready         func() bool     // whether requests can be forwarded; nil: always
-	ReadinessOnly bool            // serve the readiness check alone: requests arrive over another protocol
-	Logger        *slog.Logger
+	Classes        map[string]bool // classes of requests that are served
+	Plans          map[string]bool // plans that are known
+	MaxConns       int             // client connections at a time
+	EvictIdleAbove int             // connections above which each new one evicts one that has been idle long enough
+	MaxDeadline    time.Duration   // the longest deadline of any class
+	Ready          func() bool     // whether requests can be forwarded; nil: always
+	ReadinessOnly  bool            // serve the readiness check alone: requests arrive over another protocol
+	Logger         *slog.Logger
 }
 
 // Dispatcher owns each request from Submit until its response.
@@ -100,7 +100,7 @@
 	s := &Server{
 		options:    options,
 		dispatcher: d,
-		conns:      newConnTable(options.MaxConns, options.MaxIdleConns, options.Logger),
+		conns:      newConnTable(options.MaxConns, options.EvictIdleAbove, options.Logger),
 		shutdown:   dispatcher.NewShutdownSchedule(options.MaxDeadline),
 	}
 	// The table closes idle connections. net/http's own timeout is longer than the table's and than the time for which a
--- a/internal/clienthttp/shutdown.go
+++ b/internal/clienthttp/shutdown.go
@@ -73,7 +73,7 @@
 		observed := c.state.Load()
 		stalled := observed == stateReceiving && time.Since(c.lastReadTime()) > stalledTimeout
 		if observed == stateIdle || observed == stateMalformed || includeStalled && stalled {
-			t.evict(c, observed, reasonShutdown)
+			t.closeIfStill(c, observed, reasonShutdown)
 		}
 	}
 	return len(t.open)
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -24,8 +24,8 @@
 const (
 	bytesPerMiB = 1 << 20
 
-	// reservedDescriptors are for discovery, the listeners, logs and the runtime, and for connections above MaxClientConns,
-	// which are accepted only to be closed.
+	// reservedDescriptors are for discovery, the listeners, logs and the runtime, and for the connections above MaxClientConns
+	// that clienthttp accepts to reject one request each (its maxOverLimit, 24).
 	reservedDescriptors = 56
 
 	// clientConnBytes is the approximate memory of a client connection: buffers, goroutine stack and one request.
@@ -72,9 +72,9 @@
 	return max(min(byDescriptors, byMemory), minClientConns)
 }
 
-// MaxIdleClientConns is the number of client connections without a request in flight: a sixth of the descriptors, so that
-// idle clients leave room for busy ones.
-func (c *Config) MaxIdleClientConns() int { return c.Limits.Sockets / 6 }
+// EvictIdleAbove is the number of open client connections, with a request or without, above which each new one evicts one that
+// has been idle long enough: a sixth of the descriptors, so that idle clients leave room for busy ones.
+func (c *Config) EvictIdleAbove() int { return c.Limits.Sockets / 6 }
 
 // MaxTargetConns is the number of connections to all targets together: four tenths of the descriptors.
 func (c *Config) MaxTargetConns() int { return c.Limits.Sockets * 4 / 10 }
--- a/internal/config/limits_test.go
+++ b/internal/config/limits_test.go
@@ -16,11 +16,11 @@
 		{"few descriptors", Limits{Cores: 1, MemoryMiB: 192, Sockets: 64}, 8, 10, 25, 25, 48 << 20},
 	} {
 		cfg := &Config{Limits: c.limits}
-		if cfg.MaxClientConns() != c.clients || cfg.MaxIdleClientConns() != c.idleClients ||
+		if cfg.MaxClientConns() != c.clients || cfg.EvictIdleAbove() != c.idleClients ||
 			cfg.MaxTargetConns() != c.targets || cfg.MaxConnsPerTarget() != c.perOneTarget ||
 			cfg.MaxBufferedBytes() != c.buffered {
 			t.Errorf("%s: %d clients, %d idle, %d targets, %d for one target, %d bytes", c.name, cfg.MaxClientConns(),
-				cfg.MaxIdleClientConns(), cfg.MaxTargetConns(), cfg.MaxConnsPerTarget(), cfg.MaxBufferedBytes())
+				cfg.EvictIdleAbove(), cfg.MaxTargetConns(), cfg.MaxConnsPerTarget(), cfg.MaxBufferedBytes())
 		}
 	}
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -1,5 +1,5 @@
-// Package config reads the process's configuration (environment, JSON, the operator's file) once, at the start, into
-// typed values, and rejects what cannot be served with an error that names the field.
+// Package config reads a configuration (environment, JSON, the operator's file) into typed values, at the start, at SIGHUP and
+// for each version of the configuration store, and rejects what cannot be served with an error that names the field.
 package config
 
 import (
--- a/internal/discovery/poll.go
+++ b/internal/discovery/poll.go
@@ -39,12 +39,12 @@
 	wait  time.Duration // how long discovery may wait for a change
 }
 
-// isWatch reports whether the request asks for changes, not for the complete list.
-func (p pollRequest) isWatch() bool { return p.after >= 0 }
+// asksForChanges reports whether the request asks for changes, not for the complete list.
+func (p pollRequest) asksForChanges() bool { return p.after >= 0 }
 
 // path is the request's URI.
 func (p pollRequest) path() string {
-	if !p.isWatch() {
+	if !p.asksForChanges() {
 		return "/api/targets"
 	}
 	return fmt.Sprintf("/api/targets?after=%d&wait_ms=%d", p.after, p.wait.Milliseconds())
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -96,6 +96,7 @@
 	address := w.address
 	for ctx.Err() == nil {
 		address = w.watchUntilMoved(ctx, address)
+		// The first poll at a new address is not spread.
 		w.version = noVersion
 		w.alreadySpread = false
 		w.client.CloseIdleConnections()
@@ -148,7 +149,7 @@
 // the most. After a failure it asks for no wait, so that another silence is noticed soon.
 func (w *Watcher) nextPoll() pollRequest {
 	request := pollRequest{after: w.version}
-	if request.isWatch() && w.failures == 0 {
+	if request.asksForChanges() && w.failures == 0 {
 		request.wait = watchWait
 	}
 	return request
@@ -163,7 +164,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if !list.Complete && (!request.isWatch() || *list.Version < request.after) {
+	if !list.Complete && (!request.asksForChanges() || *list.Version < request.after) {
 		return nil, fmt.Errorf("%w: a change to version %d where %d is held", errUnusableList, *list.Version, request.after)
 	}
 	return list, nil
@@ -194,9 +195,9 @@
 	}
 }
 
-// retryDelay returns the pause after a poll that failed when it had lasted for a time. After the first failure it is a random
-// part of the spread, since the whole fleet may fail at once; after later ones it is all of the spread, which keeps the
-// initiators apart. A watch that stayed silent for all of its wait leaves no time for that and needs none, since watches begin
+// retryDelay returns the pause after a poll that failed when it had lasted for a time. After the first failure since a success or
+// a move it is a random part of the spread, since the whole fleet may fail at once; after later ones, and after a failed first
+// poll of the process, it is all of the spread, which keeps the initiators apart. A watch that stayed silent for all of its wait leaves no time for that and needs none, since watches begin
 // apart.
 func (w *Watcher) retryDelay(request pollRequest, lasted time.Duration) time.Duration {
 	if w.alreadySpread {
--- a/internal/dispatcher/actions.go
+++ b/internal/dispatcher/actions.go
@@ -61,7 +61,7 @@
 		attempt.StartBy = now.Add(action.StartWithin)
 	}
 	d.logCall(eventAttemptDispatched, state.call, slog.Int(fieldAttempt, attempt.Number),
-		slog.String(fieldTarget, attempt.Target), slog.Duration(fieldTimeout, action.Timeout))
+		slog.String(fieldTarget, attempt.Target), slog.Duration(fieldAttemptTimeout, action.Timeout))
 	d.upstream.Send(attempt)
 }
 
--- a/internal/dispatcher/calllog.go
+++ b/internal/dispatcher/calllog.go
@@ -5,7 +5,8 @@
 	"log/slog"
 )
 
-// Log events of a request, in this order.
+// Log events of a request, in this order, with upstream's "attempt begins" between the second and the third. After
+// reasonClientClosed with an attempt in flight, "attempt ended" still follows. A duplicate has "request ended" alone.
 const (
 	eventRequestAccepted   = "request accepted"
 	eventAttemptDispatched = "attempt dispatched"
@@ -15,17 +16,18 @@
 
 // Fields of these log lines. Durations are from the last byte of the request (age) or from the attempt's start (latency).
 const (
-	fieldRequest     = "request" // the client's id for it
-	fieldClass       = "class"
-	fieldAge         = "age"
-	fieldTimeout     = "timeout"
-	fieldReason      = "reason"
-	fieldTarget      = "target"
-	fieldAttempt     = "attempt"  // its number, from 0
-	fieldAttempts    = "attempts" // how many were sent
-	fieldInFlight    = "in_flight"
-	fieldLatency     = "latency"
-	fieldLastAttempt = "last_attempt" // its status; absent if there was no attempt
+	fieldRequest        = "request" // the client's id for it
+	fieldClass          = "class"
+	fieldAge            = "age"
+	fieldClientTimeout  = "client_timeout"
+	fieldAttemptTimeout = "attempt_timeout"
+	fieldReason         = "reason"
+	fieldTarget         = "target"
+	fieldAttempt        = "attempt"  // its number, from 0
+	fieldAttempts       = "attempts" // how many were sent
+	fieldInFlight       = "in_flight"
+	fieldLatency        = "latency"
+	fieldLastAttempt    = "last_attempt" // its status; absent if there was no attempt
 )
 
 // reasonClientClosed ends a request without a response. Other requests end with their response's Status as the reason, and
--- a/internal/dispatcher/messages.go
+++ b/internal/dispatcher/messages.go
@@ -67,7 +67,7 @@
 	age := now.Sub(call.ReceivedAt)
 	call.Timeout = call.ClientTimeout - age - d.options.ResponseWriteMargin
 	d.logCall(eventRequestAccepted, call, slog.String(fieldClass, call.Class),
-		slog.Duration(fieldTimeout, call.ClientTimeout), slog.Duration(fieldAge, age))
+		slog.Duration(fieldClientTimeout, call.ClientTimeout), slog.Duration(fieldAge, age))
 	d.events = append(d.events, call.Request)
 }
 
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -73,13 +73,13 @@
 		t.log.closed(uses, result.CloseReason, a.ClientRequestID)
 	}
 	if result.Status == scheduler.ConnectFailed && a.isCancelled() {
-		result.Status = scheduler.NotSent // the client closed its connection; that says nothing about the target
+		result.Status = scheduler.NotSent // by the client's close or a shutdown; neither says anything about the target
 	}
 	result.RequestID = a.RequestID
 	result.Number = a.Number
 	result.Target = t.id
 	// The pool gets the connection first, so that an attempt which the scheduler starts on this result finds it there.
-	t.mailbox.Put(attemptEnded{attempt: a, conn: conn})
+	t.mailbox.Put(attemptReleased{attempt: a, conn: conn})
 	t.report(result.AttemptResult)
 }
 
@@ -171,7 +171,7 @@
 		slog.String("request", a.ClientRequestID),
 		slog.Int("attempt", a.Number),
 		slog.String("target", t.id),
-		slog.Int("attempts", c.uses),
+		slog.Int("conn_attempts", c.uses),
 		slog.Duration("idle", c.idleTime()))
 	result := c.RoundTrip(a.Attempt, func() bool { return t.mayStart(a, c) })
 	if !a.isCancelled() {
--- a/internal/upstream/closereason.go
+++ b/internal/upstream/closereason.go
@@ -17,17 +17,18 @@
 // Reasons that an attempt or the pool closes a connection for. Failed reads and writes have further ones: see
 // ReadFailed and WriteFailed.
 const (
+	// ReasonConnectFailed: no connection came up for the attempt in time, so none has ended; its dial may go on in the
+	// background. A full pool and a background dial that fails are not logged.
 	ReasonConnectFailed    CloseReason = "CONNECT_FAILED"
 	ReasonNotSent          CloseReason = "NOT_SENT"
 	ReasonCancelled        CloseReason = "CANCELLED"
-	ReasonResponseStalled  CloseReason = "READ_STALLED"
+	ReasonReadStalled      CloseReason = "READ_STALLED"
 	ReasonResponseTooLarge CloseReason = "RESPONSE_TOO_LARGE"
 	ReasonConnectionClose  CloseReason = "CONNECTION_CLOSE" // the target announced it, or sent more than its response
 	ReasonClosed           CloseReason = "CLOSED"           // closed on this side while the attempt ended
 	ReasonClosedWhileIdle  CloseReason = "CLOSED_WHILE_IDLE"
 	ReasonPoolIdleTimeout  CloseReason = "POOL_IDLE_TIMEOUT"
-	ReasonTargetDraining   CloseReason = "TARGET_DRAINING"
-	ReasonTargetRemoved    CloseReason = "TARGET_REMOVED"
+	ReasonTargetNotServing CloseReason = "TARGET_NOT_SERVING" // draining or removed
 	ReasonAddressChanged   CloseReason = "ADDRESS_CHANGED"
 )
 
--- a/internal/upstream/connlog.go
+++ b/internal/upstream/connlog.go
@@ -15,6 +15,6 @@
 		slog.String("side", "target"),
 		slog.String("target", l.targetID),
 		slog.String("reason", string(reason)),
-		slog.Int("attempts", uses),
+		slog.Int("conn_attempts", uses),
 		slog.String("request", clientRequestID))
 }
--- a/internal/upstream/connpool.go
+++ b/internal/upstream/connpool.go
@@ -118,7 +118,7 @@
 func (p *connPool) prune(serving bool, address string) {
 	now := time.Now()
 	isTooOld := func(c *pooledConn) bool { return now.Sub(c.returnedAt) >= p.options.IdleTimeout }
-	p.closeIdle(ReasonTargetDraining, func(*pooledConn) bool { return !serving })
+	p.closeIdle(ReasonTargetNotServing, func(*pooledConn) bool { return !serving })
 	p.closeIdle(ReasonAddressChanged, func(c *pooledConn) bool { return c.address != address })
 	p.closeIdle(ReasonPoolIdleTimeout, isTooOld)
 }
--- a/internal/upstream/httpresponse.go
+++ b/internal/upstream/httpresponse.go
@@ -180,7 +180,7 @@
 	timedOut := errors.Is(err, os.ErrDeadlineExceeded)
 	switch {
 	case timedOut && r.stream.started && time.Now().Before(r.stream.deadline):
-		return NoResponse(scheduler.ConnectionReset, ReasonResponseStalled)
+		return NoResponse(scheduler.ConnectionReset, ReasonReadStalled)
 	case timedOut:
 		return NoResponse(scheduler.DeadlineExceeded, ReadFailed(err))
 	case errors.Is(err, errBodyTooLarge), r.limit.N <= 0:
--- a/internal/upstream/messages.go
+++ b/internal/upstream/messages.go
@@ -11,8 +11,8 @@
 // cancelAttempt asks for the attempt of a request to be ended early, if it is in flight.
 type cancelAttempt struct{ requestID string }
 
-// attemptEnded returns the resources of an attempt to its actor.
-type attemptEnded struct {
+// attemptReleased returns the resources of an attempt to its actor.
+type attemptReleased struct {
 	attempt *inFlightAttempt
 	conn    *pooledConn // to be used again; nil if it was closed, or is not up yet
 }
@@ -30,7 +30,7 @@
 
 func (startAttempt) isMessage()        {}
 func (cancelAttempt) isMessage()       {}
-func (attemptEnded) isMessage()        {}
+func (attemptReleased) isMessage()     {}
 func (backgroundDialEnded) isMessage() {}
 func (endpointChanged) isMessage()     {}
 func (retire) isMessage()              {}
--- a/internal/upstream/target.go
+++ b/internal/upstream/target.go
@@ -100,7 +100,7 @@
 			spare = messages
 		}
 	}
-	t.pool.closeAll(ReasonTargetRemoved)
+	t.pool.closeAll(ReasonTargetNotServing)
 }
 
 func (t *target) hasEnded() bool {
@@ -115,7 +115,7 @@
 		if attempt := t.inFlight[m.requestID]; attempt != nil {
 			attempt.cancel()
 		}
-	case attemptEnded:
+	case attemptReleased:
 		t.finish(m)
 	case backgroundDialEnded:
 		t.backgroundDialActive.Store(false)
@@ -149,7 +149,7 @@
 	t.report(dispatcher.AttemptResult{RequestID: a.RequestID, Number: a.Number, Target: t.id, Status: status})
 }
 
-func (t *target) finish(m attemptEnded) {
+func (t *target) finish(m attemptReleased) {
 	m.attempt.stop()
 	// A later attempt of the same request may have started here since: the entry is its own then.
 	if t.inFlight[m.attempt.RequestID] == m.attempt {
--- a/scheduler/arrival.go
+++ b/scheduler/arrival.go
@@ -3,7 +3,8 @@
 import "time"
 
 const (
-	// giveUpMarginTicks is how many ticks before half of its timeout a request with no attempt is given up,
+	// giveUpMarginTicks is how many ticks before half of its timeout a request is given up of which no
+	// attempt was sent completely,
 	// so that the client has the response by then.
 	giveUpMarginTicks = 4
 	// timerMarginTicks is the timer margin in ticks: a timer may come a tick late, and so may the step after
@@ -69,8 +70,8 @@
 	return r
 }
 
-// firstGiveUpAt is the giveUpAt of a request with no attempt: after half its timeout. A client that has the
-// response by then has time for a client retry.
+// firstGiveUpAt is the giveUpAt of a request until an attempt was sent completely: after half its timeout. A
+// client that has the response by then has time for a client retry.
 func (s *Scheduler) firstGiveUpAt(timeout time.Duration) time.Duration {
 	return s.now + max(timeout/2-giveUpMarginTicks*s.settings.Tick, s.settings.Tick)
 }
--- a/scheduler/doc.go
+++ b/scheduler/doc.go
@@ -3,7 +3,7 @@
 //
 // The package has no clock and no socket. Its caller passes the time and a batch of [Event] values to
 // [Scheduler.Step], and executes the returned [Action] values in order. Times are durations since an origin
-// long before the first step; in fields that say so, 0 means never or long ago. The same settings, seed and
+// long before the first step; in fields that say so, 0 means none or long ago. The same settings, seed and
 // events always give the same actions.
 //
 // Requests are ordered by redemptive fair queuing (RFQ): each volume has a token bucket, from which a
@@ -16,10 +16,13 @@
 //     isRepeatHarmless.
 //  3. No attempt goes to a draining or removed target: assignTargets.
 //  4. A target in slow start gets no more than this initiator's part of what it can serve: slowStart.admitAt.
+//     Where that part is less than one request, it gets one a window, and more as far as it has served.
 //  5. Requests for a serialized extent run one at a time, in order of arrival: orderAdmitAt.
 //  6. Retries stay within the retry budget: retryBudget.admitAt.
 //  7. A volume stays within this initiator's part of its limit: rateLimitAdmitAt.
 //
+// After "Prevents:" a comment says what would happen without the code.
+//
 // The files, by concern:
 //
 //   - settings.go, events.go, actions.go: the interface
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -41,8 +41,9 @@
 	Targets  []Target
 }
 
-// Request is a new client request. The scheduler ends it exactly once: with Reject, with Fail, or by an
-// attempt that is reported with AttemptEnded.Answered.
+// Request is a new client request. The scheduler ends it exactly once: with Reject, with Fail, by an attempt
+// that is reported with AttemptEnded.Answered, or without a response by ClientClosed. A request whose ID is
+// that of one still known is ignored.
 type Request struct {
 	ID         string
 	Class      string        // name of a Class
@@ -67,7 +68,8 @@
 	Rejected
 	// DeadlineExceeded attempts were not answered in time and may have been executed.
 	DeadlineExceeded
-	// ConnectFailed attempts did not reach the target.
+	// ConnectFailed attempts got no connection or were not sent completely, so the target cannot have
+	// executed them.
 	ConnectFailed
 	// ConnectionReset attempts lost their connection and may have been executed.
 	ConnectionReset
@@ -120,7 +122,7 @@
 	Target      string
 	Status      AttemptStatus
 	Latency     time.Duration // from the Send action to the end
-	Answered    bool          // the client has its response
+	Answered    bool          // no response is needed: the client has it, or has closed
 	LoadReport  *LoadReport   // nil: none
 	VolumeUsage int           // 1 + usage over all initiators, in % of the provisioned rate; 0: absent
 }
--- a/scheduler/latency.go
+++ b/scheduler/latency.go
@@ -23,7 +23,8 @@
 	// initialQueueingFactor is the queueing factor until it is learned: the target serves two requests at
 	// once.
 	initialQueueingFactor = 0.5
-	// maxReportedLoad is the load, in requests, from which on a report is ignored as absurd.
+	// maxReportedLoad is the load, in requests, from which on a report is ignored as absurd, for callers that
+	// do not check; that of upstream is lower.
 	maxReportedLoad = 1e6
 	// minLatency keeps a division by a latency finite, in seconds.
 	minLatency = 1e-6
--- a/scheduler/outlier.go
+++ b/scheduler/outlier.go
@@ -85,7 +85,8 @@
 	t.halveConcurrency()
 }
 
-// recordFailure ejects the target for a time that grows with the failures in a row.
+// recordFailure replaces the target's ejection by one that grows with the failures in a row; after the first
+// there is none.
 func (s *Scheduler) recordFailure(t *target, status AttemptStatus) {
 	if status == Errored {
 		t.consecutiveFailures += errorWeight
@@ -97,8 +98,8 @@
 }
 
 // ejectionTime is how long the target gets no attempt after a failure: the silence timeout divided by
-// ejectionDivisor, for each failure in a row after the first. Durations stay integers: failures are counted
-// in errors.
+// ejectionDivisor, for each failure in a row after the first. The failures are converted to
+// error responses, errorsPerFailure each, so that the arithmetic is in integers.
 func (s *Scheduler) ejectionTime(t *target) time.Duration {
 	failures := max(0, min(t.consecutiveFailures, maxEjectionFailures)-1)
 	errorCount := time.Duration(failures * errorsPerFailure) // a whole number
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -14,7 +14,8 @@
 )
 
 // selectQueue returns the queue of the request's shard, or for a new object the one with the least expected
-// wait. The search starts at a random queue, so that equal ones are used alike.
+// wait. The search starts at a random queue, so that equal ones are used alike. While no shard is known it
+// is that of shard 0.
 func (s *Scheduler) selectQueue(r *request) *shardQueue {
 	if r.Shard >= 0 || len(s.shardQueues) == 0 {
 		return s.shardQueueFor(max(r.Shard, 0))
--- a/scheduler/queue.go
+++ b/scheduler/queue.go
@@ -12,7 +12,8 @@
 	queued        []*request // in order of objectiveAt
 	flows         []*flow
 	flowsByVolume map[*volume]*flow
-	wakeAt        time.Duration // when a queued request may become eligible
+	// wakeAt is when queued requests that were not admitted are checked again; never: with the next event.
+	wakeAt time.Duration
 }
 
 // flow is a volume's state at one shard queue.
--- a/scheduler/request.go
+++ b/scheduler/request.go
@@ -30,7 +30,7 @@
 	sentAt     time.Duration // start of the last attempt
 	loadAtSend float64       // load that the target reported shortly before the last attempt; -1: not known
 	charged    bool          // its units were taken from the volume's rate limit
-	answered   bool          // it has its response
+	answered   bool          // no response is needed: the client has it, or has closed
 
 	mayHaveExecuted bool
 	firstExecution  execution // where it may have been executed first
