--- a/cmd/initiator/endpoints.go
+++ b/cmd/initiator/endpoints.go
@@ -31,7 +31,7 @@
 func schedulerEndpoints(list *endpoints.List, startTimes *discovery.StartTimes) scheduler.EndpointList {
 	converted := scheduler.EndpointList{Complete: list.Complete}
 	for _, entry := range list.Entries {
-		converted.Targets = append(converted.Targets, entry.Target(startTimes.At(entry)))
+		converted.Targets = append(converted.Targets, entry.Target(startTimes.Lookup(entry)))
 	}
 	return converted
 }
--- a/cmd/initiator/initiator.go
+++ b/cmd/initiator/initiator.go
@@ -124,7 +124,7 @@
 	if !cfg.SharedDiscovery() {
 		return 0
 	}
-	return time.Duration(cfg.Scheduler.Initiators) * discovery.ExpectedPollTime
+	return time.Duration(cfg.Scheduler.Initiators) * discovery.PollServiceTime
 }
 
 // newServers returns the clients' servers. With NVMe over TCP the HTTP server answers health checks alone, since all
--- a/internal/discovery/starttimes.go
+++ b/internal/discovery/starttimes.go
@@ -64,8 +64,8 @@
 	s.known[entry.ID] = startTime{wallMs: entry.StartedMs, monotonic: s.place(entry.StartedMs, now)}
 }
 
-// At returns when the target of an entry started, on the monotonic clock; 0: long ago.
-func (s *StartTimes) At(entry endpoints.Entry) time.Duration { return s.known[entry.ID].monotonic }
+// Lookup returns when the target of an entry started, on the monotonic clock; 0: long ago.
+func (s *StartTimes) Lookup(entry endpoints.Entry) time.Duration { return s.known[entry.ID].monotonic }
 
 // detectStep updates the offset if the wall clock was stepped.
 func (s *StartTimes) detectStep(now time.Duration) {
--- a/internal/discovery/starttimes_test.go
+++ b/internal/discovery/starttimes_test.go
@@ -43,7 +43,7 @@
 	clock.monotonic += age
 	clock.step = step
 	starts.Apply(&endpoints.List{Entries: []endpoints.Entry{newEntry}})
-	startedAt := starts.At(newEntry)
+	startedAt := starts.Lookup(newEntry)
 	if got := clock.monotonic - startedAt; got < 0 || got > age+time.Second {
 		t.Errorf("step %v, started before it %v: age %v, want %v", step, startsBeforeStep, got, age)
 	}
@@ -51,10 +51,10 @@
 	clock.monotonic += time.Minute
 	clock.step -= time.Hour
 	starts.Apply(&endpoints.List{Entries: []endpoints.Entry{newEntry}})
-	if starts.At(newEntry) != startedAt {
+	if starts.Lookup(newEntry) != startedAt {
 		t.Errorf("step %v: a target's start changed with a later step", step)
 	}
-	if starts.At(oldEntry) != 0 {
+	if starts.Lookup(oldEntry) != 0 {
 		t.Error("a start long ago is one no more")
 	}
 }
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	// ExpectedPollTime is about how long a shared discovery takes to serve one poll. It takes as long for a poll that was given
+	// PollServiceTime is about how long a shared discovery takes to serve one poll. It takes as long for a poll that was given
 	// up in its queue: a fleet that polled at once, or again soon after a failure, would never be served.
-	ExpectedPollTime = 100 * time.Millisecond
+	PollServiceTime = 100 * time.Millisecond
 	// maxSpread bounds the pause before a first poll and after a failed one, whatever the size of the fleet: by the platform's
 	// rules an initiator must act on a change 6 s after discovery could be reached, and the poll itself may take queueTimeout.
 	maxSpread = 3 * time.Second
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -192,7 +192,7 @@
 	recorders := make([]*pollRecorder, size)
 	for i := range recorders {
 		recorders[i] = &pollRecorder{fail: fail}
-		w, _ := newTestWatcher("127.0.0.1:1", known, time.Duration(size)*ExpectedPollTime)
+		w, _ := newTestWatcher("127.0.0.1:1", known, time.Duration(size)*PollServiceTime)
 		w.client.Transport = recorders[i]
 		go w.Run(ctx)
 	}
--- a/internal/nvme/targetqueue.go
+++ b/internal/nvme/targetqueue.go
@@ -47,14 +47,14 @@
 		return upstream.NoResponse(scheduler.NotSent, upstream.ReasonNotSent)
 	}
 	if n, err := q.Write(capsule); n < len(capsule) {
-		return upstream.NoResponse(scheduler.ConnectFailed, upstream.WriteFailed(err))
+		return upstream.NoResponse(scheduler.ConnectFailed, upstream.WriteErrorReason(err))
 	}
 	finalStatus, data, err := e.run()
 	if err != nil {
 		if errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, net.ErrClosed) {
 			q.association.abort(q.id, e.entry.id())
 		}
-		return upstream.NoResponse(e.failure(err), upstream.ReadFailed(err))
+		return upstream.NoResponse(e.failure(err), upstream.ReadErrorReason(err))
 	}
 	var result upstream.RoundTripResult
 	result.Status = attemptStatus(finalStatus)
--- a/internal/upstream/closereason.go
+++ b/internal/upstream/closereason.go
@@ -32,11 +32,11 @@
 	ReasonAddressChanged   CloseReason = "ADDRESS_CHANGED"
 )
 
-// ReadFailed returns the reason for closing a connection on which a read ended with the error.
-func ReadFailed(err error) CloseReason { return "READ_" + errorReason(err) }
+// ReadErrorReason returns the reason for closing a connection on which a read ended with the error.
+func ReadErrorReason(err error) CloseReason { return "READ_" + errorReason(err) }
 
-// WriteFailed returns the reason for closing a connection on which a write ended with the error.
-func WriteFailed(err error) CloseReason { return "WRITE_" + errorReason(err) }
+// WriteErrorReason returns the reason for closing a connection on which a write ended with the error.
+func WriteErrorReason(err error) CloseReason { return "WRITE_" + errorReason(err) }
 
 func errorReason(err error) CloseReason {
 	switch {
--- a/internal/upstream/http.go
+++ b/internal/upstream/http.go
@@ -50,7 +50,7 @@
 		return NoResponse(scheduler.NotSent, ReasonNotSent)
 	}
 	if n, err := c.Write(message); n < len(message) {
-		return NoResponse(scheduler.ConnectFailed, WriteFailed(err))
+		return NoResponse(scheduler.ConnectFailed, WriteErrorReason(err))
 	}
 	reader := newResponseReader(c.Conn, attempt.Deadline, c.budget)
 	resp, err := reader.read(request.Method)
--- a/internal/upstream/httpresponse.go
+++ b/internal/upstream/httpresponse.go
@@ -183,13 +183,13 @@
 	case timedOut && r.stream.started && time.Now().Before(r.stream.deadline):
 		return NoResponse(scheduler.ConnectionReset, ReasonReadStalled)
 	case timedOut:
-		return NoResponse(scheduler.DeadlineExceeded, ReadFailed(err))
+		return NoResponse(scheduler.DeadlineExceeded, ReadErrorReason(err))
 	case errors.Is(err, errMemoryBudget):
-		return NoResponse(scheduler.Cancelled, ReadFailed(err))
+		return NoResponse(scheduler.Cancelled, ReadErrorReason(err))
 	case errors.Is(err, errBodyTooLarge), r.limit.N <= 0:
 		return NoResponse(scheduler.ConnectionReset, ReasonResponseTooLarge)
 	}
-	return NoResponse(scheduler.ConnectionReset, ReadFailed(err))
+	return NoResponse(scheduler.ConnectionReset, ReadErrorReason(err))
 }
 
 // deadlineReader is the part of a net.Conn that a response is read from.
