--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -10,34 +10,34 @@
 	"dapplegate/scheduler"
 )
 
-// backgroundDialFactor is how many times Options.DialTimeout a dial may take in all where it goes on in the background.
+// backgroundDialFactor times Options.DialTimeout is how long a dial may take in total if it goes on in the background.
 const backgroundDialFactor = 8
 
-// inFlightAttempt is an attempt between its start and its result.
+// inFlightAttempt is an attempt that has started and not ended.
 type inFlightAttempt struct {
 	dispatcher.Attempt
-	stop context.CancelFunc
-	// leftBackgroundDial says that this attempt's dial goes on in the background. The attempt sets it, the actor reads it once
-	// the attempt has ended.
+	cancelContext context.CancelFunc
+	// leftBackgroundDial is true if this attempt's dial goes on in the background. The attempt's goroutine sets it; the
+	// actor reads it after the attempt has ended.
 	leftBackgroundDial bool
 
 	mu        sync.Mutex
-	conn      Conn // nil until the attempt has one
+	conn      Conn // nil until the attempt has a connection
 	cancelled bool
 }
 
-// cancel ends the attempt early: whatever it waits for fails at once.
+// cancel ends the attempt early by failing whatever it is waiting for.
 func (a *inFlightAttempt) cancel() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.cancelled = true
-	a.stop()
+	a.cancelContext()
 	if a.conn != nil {
-		_ = a.conn.Close() // the attempt's read or write fails, and it ends by itself
+		_ = a.conn.Close() // the attempt's read or write fails, which ends the attempt
 	}
 }
 
-// attach lets cancel close the connection. It returns false if the attempt was cancelled before.
+// attach sets the connection for cancel to close. It returns false if the attempt has already been cancelled.
 func (a *inFlightAttempt) attach(conn Conn) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -51,12 +51,12 @@
 	return a.cancelled
 }
 
-// clientGone reports whether the client has closed its connection. The dispatcher cancels the attempt for that too, but its
-// message may not have been handled yet.
+// clientGone reports whether the client has closed its connection. The dispatcher also cancels the attempt in that case, but
+// the actor may not have handled the message yet.
 func (a *inFlightAttempt) clientGone() bool { return a.ClientGone != nil && a.ClientGone() }
 
-// runAttempt connects, carries out the exchange and reports the result. A connection that cannot be used again is closed
-// first: once the scheduler has the result, nothing of the attempt is in flight.
+// runAttempt gets a connection, sends the attempt on it and reports the result. A connection that cannot be used again is
+// closed before the report, so that nothing of the attempt is in flight once the scheduler has the result.
 func (t *target) runAttempt(ctx context.Context, a *inFlightAttempt, idle *pooledConn) {
 	result := NoResponse(scheduler.ConnectFailed, ReasonConnectFailed)
 	uses := 0
@@ -66,23 +66,24 @@
 		uses = conn.uses
 	}
 	if conn != nil && !result.Reusable() {
-		conn.abandon()
+		conn.closeIgnoringError()
 		conn = nil
 		t.log.closed(uses, result.CloseReason, a.ClientRequestID)
 	}
 	if result.Status == scheduler.ConnectFailed && a.isCancelled() {
-		result.Status = scheduler.NotSent // by the client's close or a shutdown; neither says anything about the target
+		result.Status = scheduler.NotSent // the client closed or a shutdown began; neither says anything about the target
 	}
 	result.RequestID = a.RequestID
 	result.Number = a.Number
 	result.Target = t.id
-	// The pool gets the connection first, so that an attempt which the scheduler starts on this result finds it there.
-	t.mailbox.Put(attemptReleased{attempt: a, conn: conn})
-	t.report(result.AttemptResult)
+	// The pool gets the connection before the scheduler gets the result, so that the next attempt finds the connection
+	// there.
+	t.mailbox.Put(attemptEnded{attempt: a, conn: conn})
+	t.reportResult(result.AttemptResult)
 }
 
-// connect returns the idle connection once it is out of quarantine, or a new one if there is none or the
-// target closed it; nil if no connection came up in time.
+// connect returns the idle connection after its quarantine. If there is none, or it is no longer usable, connect dials a new
+// one. It returns nil if no connection is established in time.
 func (t *target) connect(ctx context.Context, a *inFlightAttempt, idle *pooledConn) *pooledConn {
 	if idle != nil && t.awaitQuarantine(ctx, idle) {
 		return idle
@@ -90,11 +91,12 @@
 	return t.dial(ctx, a)
 }
 
-// awaitQuarantine waits until the connection is out of quarantine, or the attempt ends. It returns whether the connection can
-// be used: false, with the connection closed, if the target has closed it meanwhile or has sent something. It is true also
-// if the attempt ends first: the connection is sound, and exchange ends the attempt.
+// awaitQuarantine waits for the end of the connection's quarantine, or until the context is done. It reports whether the
+// connection can be used. If the target has closed the connection or sent something by the end of the quarantine,
+// awaitQuarantine closes it and returns false. It returns true if the context is done first: the connection goes back to the
+// pool, and exchange ends the attempt.
 func (t *target) awaitQuarantine(ctx context.Context, c *pooledConn) bool {
-	remaining := c.quarantineLeft()
+	remaining := c.quarantineRemaining()
 	if remaining <= 0 {
 		return true
 	}
@@ -108,14 +110,15 @@
 	if c.IsIdle() {
 		return true
 	}
-	c.abandon()
+	c.closeIgnoringError()
 	t.log.closed(c.uses, ReasonClosedWhileIdle, "")
 	return false
 }
 
-// dial opens a connection for the attempt; nil if it fails, or takes longer than Options.DialTimeout or the attempt. Such a
-// dial goes on in the background, one at a time for each target, and a later attempt finds its connection in the pool:
-// another dial might take as long.
+// dial opens a connection for the attempt. It returns nil if the dial fails, takes longer than Options.DialTimeout, or is
+// not done when the context is. A dial that takes too long goes on in the background, since another one might take as long,
+// and a later attempt finds its connection in the pool. There is at most one background dial per target; any further dial is
+// aborted.
 func (t *target) dial(ctx context.Context, a *inFlightAttempt) *pooledConn {
 	dialCtx, stopDial := context.WithTimeout(context.Background(), backgroundDialFactor*t.options.DialTimeout)
 	dialed := t.startDial(dialCtx)
@@ -128,12 +131,12 @@
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	t.log.dialOverdue(a.ClientRequestID)
+	t.log.gaveUpWaiting(a.ClientRequestID)
 	a.leftBackgroundDial = t.backgroundDialActive.CompareAndSwap(false, true)
 	if !a.leftBackgroundDial {
 		stopDial()
 		if c := <-dialed; c != nil {
-			c.abandon()
+			c.closeIgnoringError()
 		}
 		return nil
 	}
@@ -144,7 +147,7 @@
 	return nil
 }
 
-// startDial dials the target. The channel gets the connection, or nil if that failed.
+// startDial dials the target. The channel receives the connection, or nil if the dial failed.
 func (t *target) startDial(ctx context.Context) <-chan *pooledConn {
 	dialed := make(chan *pooledConn, 1)
 	go func() {
@@ -160,8 +163,8 @@
 	return dialed
 }
 
-// exchange carries the attempt on a connection. If the attempt was cancelled, its client closed or its deadline passed before
-// that, nothing is sent, and the connection stays usable.
+// exchange sends the attempt on a connection and waits for the result. If the attempt has already been cancelled, its client
+// has closed or its deadline has passed, nothing is sent, and the connection stays usable.
 func (t *target) exchange(ctx context.Context, a *inFlightAttempt, c *pooledConn) RoundTripResult {
 	if !a.attach(c.Conn) || ctx.Err() != nil || a.clientGone() {
 		return NoResponse(scheduler.NotSent, ReasonNone)
@@ -180,9 +183,9 @@
 	return cancelledResult(result)
 }
 
-// cancelledResult is the result of an attempt that was cancelled during its round trip. Its connection was
-// closed by that. A success that came before stays one, and what was not sent completely cannot have
-// executed.
+// cancelledResult returns the result of an attempt that was cancelled during its round trip, which closed its connection. An
+// attempt that succeeded before it was cancelled stays a success. An attempt that was not sent completely keeps its status
+// too, since it cannot have executed.
 func cancelledResult(result RoundTripResult) RoundTripResult {
 	switch result.Status {
 	case scheduler.Succeeded, scheduler.NotSent, scheduler.ConnectFailed:
@@ -196,9 +199,9 @@
 	return result
 }
 
-// mayStart is the last check before the first byte of an attempt. The attempt ends as NotSent for one of four causes: the
-// connection was closed or has bytes to read, which cannot be the response; the target is not serving any more; StartBy has
-// passed; the client has closed.
+// mayStart is the last check before the first byte of an attempt. It returns false, and the attempt ends as NotSent, for one
+// of four reasons: the connection was closed or has bytes to read, which cannot be the response; the target is no longer
+// serving; StartBy has passed; the client has closed its connection.
 func (t *target) mayStart(a *inFlightAttempt, c *pooledConn) bool {
 	if !c.IsIdle() || !t.isServing() {
 		return false
--- a/internal/upstream/closereason.go
+++ b/internal/upstream/closereason.go
@@ -8,34 +8,34 @@
 	"syscall"
 )
 
-// CloseReason says in the log why a connection to a target ended.
+// CloseReason is why a connection to a target was closed, as logged.
 type CloseReason string
 
-// ReasonNone is that of a connection which stays open.
+// ReasonNone stands for a connection that stays open.
 const ReasonNone CloseReason = ""
 
-// Reasons that an attempt or the pool closes a connection for. Failed reads and writes have further ones: see
-// ReadFailed and WriteFailed.
+// Reasons for which an attempt or the pool closes a connection. ReadErrorReason and WriteErrorReason return further ones.
 const (
-	// ReasonConnectFailed: no connection came up for the attempt in time. It is not logged, since none has ended: the lines
-	// "connection failed" and "connection overdue" tell of that. A full pool has no line.
+	// ReasonConnectFailed: no connection was established for the attempt in time. It is never logged, since no connection
+	// was closed: "connection failed" and "attempt gave up waiting for a connection" are logged instead. Nothing is logged
+	// if a limit on connections allows no new one.
 	ReasonConnectFailed    CloseReason = "CONNECT_FAILED"
 	ReasonNotSent          CloseReason = "NOT_SENT"
 	ReasonCancelled        CloseReason = "CANCELLED"
 	ReasonReadStalled      CloseReason = "READ_STALLED"
 	ReasonResponseTooLarge CloseReason = "RESPONSE_TOO_LARGE"
-	ReasonConnectionClose  CloseReason = "CONNECTION_CLOSE" // the target announced it, or sent more than its response
-	ReasonClosed           CloseReason = "CLOSED"           // closed on this side while the attempt ended
+	ReasonConnectionClose  CloseReason = "CONNECTION_CLOSE" // the target asked for it, or sent more than its response
+	ReasonClosed           CloseReason = "CLOSED"           // closed by this process while the attempt ended
 	ReasonClosedWhileIdle  CloseReason = "CLOSED_WHILE_IDLE"
 	ReasonPoolIdleTimeout  CloseReason = "POOL_IDLE_TIMEOUT"
 	ReasonTargetNotServing CloseReason = "TARGET_NOT_SERVING" // draining or removed
 	ReasonAddressChanged   CloseReason = "ADDRESS_CHANGED"
 )
 
-// ReadErrorReason returns the reason for closing a connection on which a read ended with the error.
+// ReadErrorReason returns the reason for closing a connection after a read failed with the error.
 func ReadErrorReason(err error) CloseReason { return "READ_" + errorReason(err) }
 
-// WriteErrorReason returns the reason for closing a connection on which a write ended with the error.
+// WriteErrorReason returns the reason for closing a connection after a write failed with the error.
 func WriteErrorReason(err error) CloseReason { return "WRITE_" + errorReason(err) }
 
 func errorReason(err error) CloseReason {
--- a/internal/upstream/connlog.go
+++ b/internal/upstream/connlog.go
@@ -2,14 +2,14 @@
 
 import "log/slog"
 
-// connLog logs how the connections to one target end, and why one did not come up.
+// connLog logs the ends of connections to one target, and failed dials.
 type connLog struct {
 	logger   *slog.Logger
 	targetID string
 }
 
-// closed logs why a connection ended, after how many attempts, and the client's ID of the request that it carried; empty if
-// it was idle.
+// closed logs why a connection was closed, how many attempts it carried, and the client's ID of the request that it carried
+// last; clientRequestID is empty if the connection was idle.
 func (l connLog) closed(uses int, reason CloseReason, clientRequestID string) {
 	l.logger.Info("connection ended",
 		slog.String("side", "target"),
@@ -19,7 +19,7 @@
 		slog.String("request", clientRequestID))
 }
 
-// dialFailed logs why no connection came up.
+// dialFailed logs why a dial failed.
 func (l connLog) dialFailed(address string, err error) {
 	l.logger.Info("connection failed",
 		slog.String("side", "target"),
@@ -28,9 +28,9 @@
 		slog.Any("error", err))
 }
 
-// dialOverdue logs that an attempt no longer waits for its connection, which may still come up.
-func (l connLog) dialOverdue(clientRequestID string) {
-	l.logger.Info("connection overdue",
+// gaveUpWaiting logs that an attempt stopped waiting for its connection. The dial may go on in the background.
+func (l connLog) gaveUpWaiting(clientRequestID string) {
+	l.logger.Info("attempt gave up waiting for a connection",
 		slog.String("side", "target"),
 		slog.String("target", l.targetID),
 		slog.String("request", clientRequestID))
--- a/internal/upstream/connpool.go
+++ b/internal/upstream/connpool.go
@@ -7,33 +7,34 @@
 )
 
 const (
-	// quarantineTime is how long a connection is not used again after a response. Targets send some responses
-	// twice, a few milliseconds apart. A second copy that crossed the next request on its way would pass for
-	// the response to it; one that arrives during the quarantine is seen by IsIdle, and the connection is
+	// quarantineTime is how long a connection is not reused after a response. Targets send some responses twice, a few
+	// milliseconds apart. If the next request were sent before the second copy arrives, the copy would be taken for the
+	// response to that request. A copy that arrives during the quarantine is detected by IsIdle, and the connection is
 	// closed.
 	quarantineTime = 10 * time.Millisecond
-	// maxConnsForQuarantine is how many connections a target may have opened to it because all others are in
-	// quarantine. From there on, an attempt waits for one of them.
+	// maxConnsForQuarantine is how many connections to a target may be opened only because all idle ones are in quarantine.
+	// With that many open, an attempt waits for the end of a quarantine instead.
 	maxConnsForQuarantine = 4
 )
 
-// pooledConn is a connection with the state that its pool keeps.
+// pooledConn is a connection with the bookkeeping of its pool.
 type pooledConn struct {
 	Conn
-	address    string // the one that was dialed
-	uses       int    // attempts carried
+	address    string // the address that was dialed
+	uses       int    // number of attempts carried
 	returnedAt time.Time
 }
 
-// quarantineLeft is for how long the connection must not be used yet.
-func (c *pooledConn) quarantineLeft() time.Duration {
+// quarantineRemaining returns how long the quarantine still lasts. The result is not positive if the connection is usable
+// now.
+func (c *pooledConn) quarantineRemaining() time.Duration {
 	if c.uses == 0 {
 		return 0
 	}
 	return quarantineTime - c.idleTime()
 }
 
-// idleTime is for how long the connection has been unused; 0 if it was never in the pool.
+// idleTime returns how long the connection has been idle, or 0 if it was never in the pool.
 func (c *pooledConn) idleTime() time.Duration {
 	if c.returnedAt.IsZero() {
 		return 0
@@ -41,69 +42,73 @@
 	return time.Since(c.returnedAt)
 }
 
-// abandon closes the connection. An error of Close is ignored, since the connection is not used again.
-func (c *pooledConn) abandon() { _ = c.Close() }
+// closeIgnoringError closes the connection. It ignores an error of Close, since the connection is not used again.
+func (c *pooledConn) closeIgnoringError() { _ = c.Close() }
 
-// connPool keeps the connections to one target and counts them. It belongs to the target's actor: it is not
-// safe for concurrent use.
+// connPool holds the idle connections to one target and counts all open ones. It is not safe for concurrent use: only the
+// target's actor uses it.
 type connPool struct {
-	options   Options
-	log       connLog
-	idle      []*pooledConn // in the order of their return
-	open      int           // idle, in use or being dialed
-	totalOpen *atomic.Int64 // open of all targets' pools together
+	options        Options
+	log            connLog
+	idle           []*pooledConn // in the order in which they were returned
+	openConns      int           // idle, in use or being dialed
+	totalOpenConns *atomic.Int64 // sum of openConns over the pools of all targets
 }
 
-// acquire returns an idle connection for an attempt, or nil if the attempt is to dial one, which is counted
-// as open already. In order of preference: an idle one out of quarantine, a new one while there are few, the
-// one whose quarantine ends first, for the attempt to wait for, and a new one. It returns false if there is
-// no connection, nor capacity for a new one.
+// acquire returns a connection for an attempt, or nil if the attempt must dial one; a slot is reserved for it then. It
+// returns false if no connection is idle and the limits allow no new one. The order of preference is:
+//
+//   - an idle connection that is not in quarantine
+//   - a new connection, if fewer than maxConnsForQuarantine are open
+//   - the idle connection whose quarantine ends first; the attempt has to wait for that
+//   - a new connection
 func (p *connPool) acquire() (*pooledConn, bool) {
-	if c := p.takeOutOfQuarantine(); c != nil {
+	if c := p.takeReady(); c != nil {
 		return c, true
 	}
-	if p.open < maxConnsForQuarantine && p.reserve() {
+	if p.openConns < maxConnsForQuarantine && p.reserveSlot() {
 		return nil, true
 	}
-	if c := p.takeNextOutOfQuarantine(); c != nil {
+	if c := p.takeSoonestReady(); c != nil {
 		return c, true
 	}
-	return nil, p.reserve()
+	return nil, p.reserveSlot()
 }
 
-// takeOutOfQuarantine takes the connection used last of those out of quarantine; nil if there is none.
-func (p *connPool) takeOutOfQuarantine() *pooledConn {
+// takeReady takes the most recently used idle connection that is not in quarantine. It returns nil if there is none.
+func (p *connPool) takeReady() *pooledConn {
 	for i := len(p.idle) - 1; i >= 0; i-- {
-		if p.idle[i].quarantineLeft() > 0 {
+		if p.idle[i].quarantineRemaining() > 0 {
 			continue
 		}
-		if c := p.takeAt(i); c != nil {
+		if c := p.takeIfIdle(i); c != nil {
 			return c
 		}
 	}
 	return nil
 }
 
-// takeNextOutOfQuarantine takes the connection whose quarantine ends first, which is the one returned first; nil if none is
-// idle. The caller waits for the end of its quarantine.
-func (p *connPool) takeNextOutOfQuarantine() *pooledConn {
+// takeSoonestReady takes the idle connection whose quarantine ends first, which is the one that was returned first. The
+// caller must wait for the end of the quarantine. It returns nil if no connection is idle.
+func (p *connPool) takeSoonestReady() *pooledConn {
 	for len(p.idle) > 0 {
-		if c := p.takeAt(0); c != nil {
+		if c := p.takeIfIdle(0); c != nil {
 			return c
 		}
 	}
 	return nil
 }
 
-// takeAt takes an idle connection. It returns nil, and closes the connection, if the target has closed it or
-// has sent something unrequested. Nothing of the attempt was sent on it, so another connection can carry the attempt.
-func (p *connPool) takeAt(i int) *pooledConn {
+// takeIfIdle removes the connection at index i from the pool and returns it. If the target has closed the connection or sent
+// unrequested data on it, takeIfIdle closes it and returns nil. Nothing of the attempt was sent by then, so it can use
+// another connection.
+func (p *connPool) takeIfIdle(i int) *pooledConn {
 	c := p.idle[i]
 	p.idle = slices.Delete(p.idle, i, i+1)
 	if c.IsIdle() {
 		return c
 	}
-	p.drop(c, ReasonClosedWhileIdle)
+	p.discard(c, ReasonClosedWhileIdle)
 	return nil
 }
 
@@ -113,8 +118,8 @@
 	p.idle = append(p.idle, c)
 }
 
-// prune closes the idle connections that no attempt will use: those to a target that is not serving, to a former address,
-// and those idle for Options.IdleTimeout.
+// prune closes the idle connections that no attempt will use: all of them if the target is not serving, those to a former
+// address, and those that have been idle for Options.IdleTimeout.
 func (p *connPool) prune(serving bool, address string) {
 	now := time.Now()
 	isTooOld := func(c *pooledConn) bool { return now.Sub(c.returnedAt) >= p.options.IdleTimeout }
@@ -133,34 +138,34 @@
 		if !matches(c) {
 			return false
 		}
-		p.drop(c, reason)
+		p.discard(c, reason)
 		return true
 	})
 }
 
-// drop closes a connection that no attempt is on.
-func (p *connPool) drop(c *pooledConn, reason CloseReason) {
-	c.abandon()
-	p.unreserve()
+// discard closes a connection that carries no attempt, and releases its slot.
+func (p *connPool) discard(c *pooledConn, reason CloseReason) {
+	c.closeIgnoringError()
+	p.releaseSlot()
 	p.log.closed(c.uses, reason, "")
 }
 
-// reserve counts one more open connection, unless this target or all together have too many. The bounds keep
-// the process within its file descriptors, whatever the number of targets.
-func (p *connPool) reserve() bool {
-	if p.open >= p.options.MaxConnsPerTarget {
+// reserveSlot counts one more connection as open. It returns false if that would exceed a limit, for this target or for all
+// together. The limits keep the process within its file descriptors, whatever the number of targets.
+func (p *connPool) reserveSlot() bool {
+	if p.openConns >= p.options.MaxConnsPerTarget {
 		return false
 	}
-	if p.totalOpen.Add(1) > int64(p.options.MaxConns) {
-		p.totalOpen.Add(-1)
+	if p.totalOpenConns.Add(1) > int64(p.options.MaxConns) {
+		p.totalOpenConns.Add(-1)
 		return false
 	}
-	p.open++
+	p.openConns++
 	return true
 }
 
-// unreserve counts one open connection less.
-func (p *connPool) unreserve() {
-	p.totalOpen.Add(-1)
-	p.open--
+// releaseSlot counts one connection less as open.
+func (p *connPool) releaseSlot() {
+	p.totalOpenConns.Add(-1)
+	p.openConns--
 }
--- a/internal/upstream/connpool_test.go
+++ b/internal/upstream/connpool_test.go
@@ -15,29 +15,29 @@
 	"dapplegate/scheduler"
 )
 
-// fakeConn is a connection that is idle until the test says otherwise.
+// fakeConn is a connection that is idle unless the test sets busy.
 type fakeConn struct{ busy, closed bool }
 
 func (*fakeConn) RoundTrip(dispatcher.Attempt, func() bool) RoundTripResult {
-	panic("no attempt is made in this test")
+	panic("unexpected call of RoundTrip")
 }
 func (c *fakeConn) IsIdle() bool { return !c.busy }
 func (c *fakeConn) Close() error { c.closed = true; return nil }
 
-// newTestPool returns a pool of its own that may have so many connections.
+// newTestPool returns a pool that may have maxConns connections and shares totalOpenConns with no other pool.
 func newTestPool(maxConns int) *connPool {
 	return &connPool{
-		options:   Options{IdleTimeout: time.Minute, MaxConnsPerTarget: maxConns, MaxConns: maxConns},
-		log:       connLog{logger: slog.New(slog.DiscardHandler)},
-		totalOpen: &atomic.Int64{},
+		options:        Options{IdleTimeout: time.Minute, MaxConnsPerTarget: maxConns, MaxConns: maxConns},
+		log:            connLog{logger: slog.New(slog.DiscardHandler)},
+		totalOpenConns: &atomic.Int64{},
 	}
 }
 
-// addIdle adds a connection that has carried an attempt and was returned to the pool some time ago.
+// addIdle adds a connection that carried an attempt and was returned to the pool idleTime ago.
 func addIdle(t *testing.T, p *connPool, idleTime time.Duration) *pooledConn {
 	t.Helper()
-	if !p.reserve() {
-		t.Fatal("the pool is full")
+	if !p.reserveSlot() {
+		t.Fatal("pool is full")
 	}
 	c := &pooledConn{Conn: &fakeConn{}, uses: 1}
 	p.put(c)
@@ -45,18 +45,18 @@
 	return c
 }
 
-// expectAcquire checks what acquire returns: a connection, or nil for one to be dialed.
+// expectAcquire checks the results of acquire; a nil connection means that the attempt must dial one.
 func expectAcquire(t *testing.T, p *connPool, want *pooledConn, wantOK bool) {
 	t.Helper()
 	if got, ok := p.acquire(); got != want || ok != wantOK {
-		t.Errorf("acquired %p, %v; want %p, %v", got, ok, want, wantOK)
+		t.Errorf("acquire returned %p, %v; want %p, %v", got, ok, want, wantOK)
 	}
 }
 
-// TestAcquireOrder checks which connection an attempt gets: the one used last of those out of quarantine, a
-// new one while there are few, the one longest in quarantine, a new one up to the bound.
+// TestAcquireOrder checks the order of preference in which acquire chooses a connection: the most recently used one that is
+// not in quarantine, a new one if few are open, the one whose quarantine ends first, and a new one within the limit.
 func TestAcquireOrder(t *testing.T) {
-	const inQuarantine = -time.Hour // returned in the future: it stays so, however slow the test
+	const inQuarantine = -time.Hour // a return in the future, so that the quarantine lasts however slow the test is
 	pool := newTestPool(maxConnsForQuarantine + 1)
 	older := addIdle(t, pool, time.Hour)
 	newer := addIdle(t, pool, time.Minute)
@@ -64,30 +64,31 @@
 	expectAcquire(t, pool, newer, true)
 	expectAcquire(t, pool, older, true)
 	expectAcquire(t, pool, nil, true)
-	if pool.open != maxConnsForQuarantine {
-		t.Fatalf("%d connections are open, want %d", pool.open, maxConnsForQuarantine)
+	if pool.openConns != maxConnsForQuarantine {
+		t.Fatalf("%d connections are open, want %d", pool.openConns, maxConnsForQuarantine)
 	}
 	expectAcquire(t, pool, firstReturned, true)
 	expectAcquire(t, pool, nil, true)
 	expectAcquire(t, pool, nil, false)
-	if open, total := pool.open, pool.totalOpen.Load(); open != pool.options.MaxConns || total != int64(open) {
-		t.Errorf("%d connections are open, %d in all, want %d", open, total, pool.options.MaxConns)
+	if openConns, total := pool.openConns, pool.totalOpenConns.Load(); openConns != pool.options.MaxConns ||
+		total != int64(openConns) {
+		t.Errorf("%d connections are open and the total is %d, want %d for both", openConns, total, pool.options.MaxConns)
 	}
 }
 
-// TestAcquireClosesUnusable has a connection that is not idle any more: it is closed and counted no longer.
+// TestAcquireClosesUnusable checks that acquire closes a pooled connection that has data to read, and releases its slot.
 func TestAcquireClosesUnusable(t *testing.T) {
 	pool := newTestPool(1)
 	c := addIdle(t, pool, time.Minute)
 	conn := c.Conn.(*fakeConn)
 	conn.busy = true
-	expectAcquire(t, pool, nil, true) // in place of the one closed
-	if !conn.closed || pool.open != 1 || len(pool.idle) != 0 {
-		t.Errorf("closed %v, %d open, %d idle; want it closed, one open, none idle", conn.closed, pool.open, len(pool.idle))
+	expectAcquire(t, pool, nil, true) // replaces the closed connection
+	if !conn.closed || pool.openConns != 1 || len(pool.idle) != 0 {
+		t.Errorf("closed %v, %d open, %d idle; want true, 1 open, 0 idle", conn.closed, pool.openConns, len(pool.idle))
 	}
 }
 
-// deadlineRecorder remembers the deadline set last.
+// deadlineRecorder records the last deadline that was set.
 type deadlineRecorder struct {
 	net.Conn
 	deadline time.Time
@@ -98,10 +99,10 @@
 	return r.Conn.SetDeadline(t)
 }
 
-// TestDeadlineClearedAfterAttempt
+// TestDeadlineClearedAfterAttempt checks that an attempt leaves no deadline on its connection.
 //
-// An attempt's deadline was not cleared on its connection. Once it had passed, the check of the idle connection failed, the
-// healthy connection was closed, and nearly every request needed a new one.
+// With a deadline that had passed, the check of the idle connection failed, the healthy connection was closed, and nearly
+// every request needed a new one.
 func TestDeadlineClearedAfterAttempt(t *testing.T) {
 	actor := newTestTarget(scheduler.Serving)
 	near, far := net.Pipe()
@@ -114,16 +115,16 @@
 	attempt := newTestAttempt(&httpmsg.Request{Method: "GET", URI: "/"})
 	result := actor.exchange(t.Context(), attempt, &pooledConn{Conn: newTestHTTPConn(recorder)})
 	if !result.Reusable() || !recorder.deadline.IsZero() {
-		t.Errorf("reusable %v (%s), deadline left %v; want it reusable with none", result.Reusable(), result.CloseReason,
-			recorder.deadline)
+		t.Errorf("reusable %v (close reason %q), deadline %v; want a reusable connection without one",
+			result.Reusable(), result.CloseReason, recorder.deadline)
 	}
 }
 
-// TestStaleConnection checks that a connection which the target closed while it was idle is not written to.
+// TestStaleConnection checks that nothing is sent on a connection that the target closed while it was idle.
 func TestStaleConnection(t *testing.T) {
 	const (
-		closeDelay    = 20 * time.Millisecond // until the response has arrived and the connection is in the pool
-		closeTransfer = 20 * time.Millisecond // until the close has arrived
+		closeDelay   = 20 * time.Millisecond // enough for the response to arrive and the connection to return to the pool
+		closeArrival = 20 * time.Millisecond // enough for the close to arrive
 	)
 	closed := make(chan bool)
 	server := newFakeTarget(t, func(n int32, _ *http.Request, conn net.Conn) bool {
@@ -141,18 +142,16 @@
 	registry.send(10 * time.Second)
 	registry.result(t)
 	<-closed
-	time.Sleep(closeTransfer)
+	time.Sleep(closeArrival)
 	registry.send(10 * time.Second)
 	if result := registry.result(t); result.Status != scheduler.Succeeded || server.requests.Load() != 2 {
-		t.Errorf("status %v after %d requests, want it served by the second", result.Status, server.requests.Load())
+		t.Errorf("got status %v after %d requests, want SUCCEEDED after 2", result.Status, server.requests.Load())
 	}
 }
 
-// TestDuplicateResponse
-//
-// A target answers a request twice, the second time when the next request is on its way already. That one
-// must not be served with the copy: the connection is in quarantine when it would be chosen, and another one
-// is opened. Where there are enough connections, quarantine is no reason for a further one.
+// TestDuplicateResponse checks that a second copy of a response is not taken for the response to the next request, which has
+// already been sent when the copy arrives: the first connection is in quarantine, so the second request uses a new one. It
+// also checks that quarantine opens no more than maxConnsForQuarantine connections.
 func TestDuplicateResponse(t *testing.T) {
 	secondArrived := make(chan struct{})
 	copySent := make(chan struct{})
@@ -173,27 +172,27 @@
 	for _, want := range []string{"first", "second"} {
 		registry.send(10 * time.Second)
 		if result := registry.result(t); result.Status != scheduler.Succeeded || string(result.Payload.([]byte)) != want {
-			t.Errorf("status %v, body %q, want %q", result.Status, result.Payload, want)
+			t.Errorf("got status %v and body %q, want SUCCEEDED and %q", result.Status, result.Payload, want)
 		}
 	}
 
 	const requestsInARow = 20
-	plain := newFakeTarget(t, respondOK)
-	registry = newTestRegistry(plain.Addr().String())
+	secondServer := newFakeTarget(t, respondOK)
+	registry = newTestRegistry(secondServer.Addr().String())
 	for range requestsInARow {
 		registry.send(10 * time.Second)
 		registry.result(t)
 	}
-	if n := plain.connections.Load(); n > maxConnsForQuarantine {
-		t.Errorf("%d connections for requests one after another, want %d at most", n, maxConnsForQuarantine)
+	if n := secondServer.connections.Load(); n > maxConnsForQuarantine {
+		t.Errorf("%d connections for consecutive requests, want at most %d", n, maxConnsForQuarantine)
 	}
 }
 
-// TestConnectionLimits checks both bounds: on the connections to one target, and to all of them together.
+// TestConnectionLimits checks both limits: on the connections to one target, and on those to all targets together.
 func TestConnectionLimits(t *testing.T) {
 	const (
 		attemptsPerTarget = testMaxConnsPerTarget + 1
-		rejected          = 2*attemptsPerTarget - testMaxConns // one at the first target, the others at the second
+		beyondLimits      = 2*attemptsPerTarget - testMaxConns // one attempt at the first target, the others at the second
 	)
 	release := make(chan bool)
 	server := newFakeTarget(t, func(_ int32, _ *http.Request, conn net.Conn) bool {
@@ -207,16 +206,16 @@
 			registry.sendRead(fmt.Sprint("r", targetID, i), targetID, time.Minute)
 		}
 	}
-	for range rejected {
-		// Not ConnectFailed: that this process has no connection to spare says nothing about the target.
+	for range beyondLimits {
+		// Not ConnectFailed: a limit of this process says nothing about the target.
 		if result := registry.result(t); result.Status != scheduler.NotSent {
-			t.Errorf("past the bounds: status %v, want it not sent", result.Status)
+			t.Errorf("beyond the limits: got status %v, want NOT_SENT", result.Status)
 		}
 	}
 	close(release)
 	for range testMaxConns {
 		if result := registry.result(t); result.Status != scheduler.Succeeded {
-			t.Errorf("within the bounds: status %v, want it served", result.Status)
+			t.Errorf("within the limits: got status %v, want SUCCEEDED", result.Status)
 		}
 	}
 }
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -20,26 +20,26 @@
 )
 
 const (
-	// testTimeout is far above what anything awaited takes, also on a busy machine.
+	// testTimeout is far longer than any event takes that a test waits for, even on a busy machine.
 	testTimeout = 20 * time.Second
-	// testTarget is the ID of the target that a testRegistry has.
+	// testTarget is the ID of a testRegistry's target.
 	testTarget = "n"
-	// testMaxConnsPerTarget and testMaxConns are the bounds on the connections of a testRegistry.
+	// testMaxConnsPerTarget and testMaxConns are the limits on the connections of a testRegistry.
 	testMaxConnsPerTarget = 4
 	testMaxConns          = 6
 )
 
 func TestMain(m *testing.M) { propertytest.Main(m) }
 
-// fakeTarget is a target that handles each request with a function of the test.
+// fakeTarget is an HTTP target that passes each request to a requestHandler.
 type fakeTarget struct {
 	net.Listener
 	connections atomic.Int32 // accepted
 	requests    atomic.Int32 // received
 }
 
-// requestHandler answers the n-th request, from 1, on its connection. It returns false to close the
-// connection.
+// requestHandler responds to the n-th request, counted from 1, on its connection. It returns false to have the connection
+// closed.
 type requestHandler func(n int32, request *http.Request, conn net.Conn) bool
 
 func newFakeTarget(t *testing.T, handle requestHandler) *fakeTarget {
@@ -82,20 +82,20 @@
 	}
 }
 
-// respondOK is a requestHandler.
+// respondOK is a requestHandler that responds with 200 OK.
 func respondOK(_ int32, _ *http.Request, conn net.Conn) bool { return respond(conn, "200 OK", "") }
 
-// respond writes a response with a status line, further headers after it, and a body. It returns false if
-// that failed.
+// respond writes a response with a body. The head is the rest of the status line, optionally followed by headers. It returns
+// false if the write fails.
 func respond(conn net.Conn, head, body string) bool {
 	_, err := fmt.Fprintf(conn, "HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s", head, len(body), body)
 	return err == nil
 }
 
-// closeQuietly closes what the test is done with.
+// closeQuietly closes c and ignores an error.
 func closeQuietly(c io.Closer) { _ = c.Close() }
 
-// testRegistry is a registry with one target, and the results of its attempts.
+// testRegistry is a registry with one target that collects the results of attempts.
 type testRegistry struct {
 	*Registry
 	results chan dispatcher.AttemptResult
@@ -121,7 +121,7 @@
 	return r
 }
 
-// send starts an attempt of a write; its request ID is the number of sends so far.
+// send starts an attempt of a write at testTarget. The request ID is the number of calls so far.
 func (r *testRegistry) send(timeout time.Duration) {
 	r.sent++
 	r.Send(dispatcher.Attempt{
@@ -142,26 +142,26 @@
 	})
 }
 
-// result waits for the next result.
+// result returns the next result. It waits up to testTimeout.
 func (r *testRegistry) result(t *testing.T) dispatcher.AttemptResult {
 	t.Helper()
 	select {
 	case result := <-r.results:
 		return result
 	case <-time.After(testTimeout):
-		t.Fatal("no result")
+		t.Fatal("no result within testTimeout")
 		return dispatcher.AttemptResult{}
 	}
 }
 
-// targetActor returns the actor of the testTarget.
+// targetActor returns the actor of testTarget.
 func (r *testRegistry) targetActor() *target {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.targets[testTarget]
 }
 
-// awaitNoBackgroundDial waits until the actor has handled the end of its background dial.
+// awaitNoBackgroundDial waits until the actor has no background dial.
 func awaitNoBackgroundDial(actor *target) {
 	for actor.backgroundDialActive.Load() {
 		time.Sleep(time.Millisecond)
@@ -172,16 +172,16 @@
 func (r *testRegistry) awaitRetired() {
 	for {
 		r.mu.Lock()
-		left := len(r.retired)
+		remaining := len(r.retired)
 		r.mu.Unlock()
-		if left == 0 {
+		if remaining == 0 {
 			return
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// newTestTarget returns an actor that is not run, in a state.
+// newTestTarget returns an actor in a state, without starting its run.
 func newTestTarget(state scheduler.TargetState) *target {
 	options := Options{Logger: slog.New(slog.DiscardHandler)}
 	actor := newTarget(testTarget, options, nil, func(dispatcher.AttemptResult) {})
@@ -189,7 +189,7 @@
 	return actor
 }
 
-// newTestAttempt returns an attempt of a request, with a deadline that is far away.
+// newTestAttempt returns an attempt of a request with a distant deadline.
 func newTestAttempt(request *httpmsg.Request) *inFlightAttempt {
 	return &inFlightAttempt{Attempt: dispatcher.Attempt{Deadline: time.Now().Add(time.Minute), Payload: request}}
 }
@@ -198,18 +198,18 @@
 	return &httpConn{Conn: conn, budget: newMemoryBudget(2 * maxBodyBytes)}
 }
 
-// withoutDeadlines is a deadlineReader that knows none.
+// withoutDeadlines is a deadlineReader that ignores deadlines.
 type withoutDeadlines struct{ io.Reader }
 
 func (withoutDeadlines) SetReadDeadline(time.Time) error { return nil }
 
-// readResponse reads the response to a GET from what a target sent before it closed the connection.
+// readResponse parses the response to a GET. The target sent the given bytes and then closed the connection.
 func readResponse(sent string) (*response, error) {
 	conn := withoutDeadlines{strings.NewReader(sent)}
 	return newResponseReader(conn, time.Now().Add(time.Minute), newMemoryBudget(2*maxBodyBytes)).read("GET")
 }
 
-// blockingDialer holds each dial until the test lets one succeed, or its context ends.
+// blockingDialer blocks each dial until the test releases it or its context is done.
 type blockingDialer struct {
 	started, failed atomic.Int32
 	release         chan bool // each value lets one dial succeed
@@ -221,29 +221,29 @@
 	d.started.Add(1)
 	select {
 	case <-d.release:
-		return alwaysOK{}, nil
+		return alwaysOKConn{}, nil
 	case <-ctx.Done():
 		d.failed.Add(1)
 		return nil, ctx.Err()
 	}
 }
 
-// alwaysOK is a connection on which each attempt succeeds.
-type alwaysOK struct{}
+// alwaysOKConn is a connection on which every attempt succeeds.
+type alwaysOKConn struct{}
 
-func (alwaysOK) RoundTrip(dispatcher.Attempt, func() bool) RoundTripResult {
+func (alwaysOKConn) RoundTrip(dispatcher.Attempt, func() bool) RoundTripResult {
 	return RoundTripResult{AttemptResult: dispatcher.AttemptResult{Status: scheduler.Succeeded}}
 }
-func (alwaysOK) IsIdle() bool { return true }
-func (alwaysOK) Close() error { return nil }
+func (alwaysOKConn) IsIdle() bool { return true }
+func (alwaysOKConn) Close() error { return nil }
 
-// heldDialer connects at once, and hands the connection over when the test says so.
-type heldDialer struct {
+// delayedDialer connects at once, but its Dial returns only when the test releases it.
+type delayedDialer struct {
 	HTTPDialer
 	connected, release chan bool
 }
 
-func (d *heldDialer) Dial(ctx context.Context, addr string) (Conn, error) {
+func (d *delayedDialer) Dial(ctx context.Context, addr string) (Conn, error) {
 	conn, err := d.HTTPDialer.Dial(ctx, addr)
 	d.connected <- true
 	<-d.release
--- a/internal/upstream/http.go
+++ b/internal/upstream/http.go
@@ -11,13 +11,13 @@
 	"dapplegate/scheduler"
 )
 
-// HTTPDialer opens HTTP/1.1 connections. All of them share one memory budget for the bodies that they read.
+// HTTPDialer opens HTTP/1.1 connections, which share one memory budget for the response bodies that they read.
 type HTTPDialer struct {
 	budget *memoryBudget
 }
 
-// NewHTTPDialer returns a dialer whose connections buffer at most maxBufferedBytes of response bodies that are being read at
-// one time, and at least two bodies of the largest size.
+// NewHTTPDialer returns a dialer. The response bodies that its connections are reading at the same time are limited to
+// maxBufferedBytes in total, but the limit is at least two bodies of the largest size.
 func NewHTTPDialer(maxBufferedBytes int64) HTTPDialer {
 	return HTTPDialer{newMemoryBudget(max(maxBufferedBytes, 2*maxBodyBytes))}
 }
@@ -34,15 +34,15 @@
 // httpConn is one HTTP/1.1 connection to a target.
 type httpConn struct {
 	net.Conn
-	host   string // of the Host header
+	host   string // value of the Host header
 	budget *memoryBudget
 }
 
-// RoundTrip implements Conn. How many bytes were written decides the status: short of the last one the target
-// cannot have started, after it the attempt may have executed. Write, head and body are all bounded by the
-// attempt's deadline.
+// RoundTrip implements Conn. The status depends on how much was written: until the last byte of the request the target
+// cannot have started the attempt, after it the attempt may have executed. The attempt's deadline applies to the write and
+// to the read of head and body.
 func (c *httpConn) RoundTrip(attempt dispatcher.Attempt, mayStart func() bool) RoundTripResult {
-	// SetDeadline fails only on a closed connection, on which the write fails too.
+	// SetDeadline fails only on a closed connection, and then the write fails too.
 	_ = c.SetDeadline(attempt.Deadline)
 	request := attempt.Payload.(*httpmsg.Request)
 	message := encodeRequest(request, c.host, time.Until(attempt.Deadline))
@@ -55,21 +55,21 @@
 	reader := newResponseReader(c.Conn, attempt.Deadline, c.budget)
 	resp, err := reader.read(request.Method)
 	if err != nil {
-		return reader.failure(err)
+		return reader.failureResult(err)
 	}
 	return RoundTripResult{
 		AttemptResult: resp.attemptResult(),
-		CloseReason:   c.afterResponse(resp, reader.hasExcess()),
+		CloseReason:   c.prepareForReuse(resp, reader.hasExtraData()),
 	}
 }
 
-// afterResponse makes the connection ready for the next attempt, or returns why there can be none.
-func (c *httpConn) afterResponse(resp *response, excess bool) CloseReason {
-	if resp.closeAfter || excess {
+// prepareForReuse prepares the connection for the next attempt, or returns why the connection must be closed.
+func (c *httpConn) prepareForReuse(resp *response, hasExtraData bool) CloseReason {
+	if resp.closeAfter || hasExtraData {
 		return ReasonConnectionClose
 	}
-	// A deadline left on the connection would make IsIdle fail once it has passed, and a healthy connection
-	// would be closed for it.
+	// If the deadline stayed set, IsIdle would return false once it had passed, and the pool would close a healthy
+	// connection.
 	if c.SetDeadline(time.Time{}) != nil {
 		return ReasonClosed
 	}
--- a/internal/upstream/httprequest.go
+++ b/internal/upstream/httprequest.go
@@ -8,20 +8,20 @@
 	"dapplegate/internal/httpmsg"
 )
 
-// typicalHeadBytes is what most request heads fit into.
+// typicalHeadBytes is a size that most request heads fit into.
 const typicalHeadBytes = 256
 
-// minRequestTimeout is the least that is sent as Request-Timeout-Ms, whose unit it is.
+// minRequestTimeout is the smallest timeout that Request-Timeout-Ms, a header in milliseconds, can express.
 const minRequestTimeout = time.Millisecond
 
-// encodeRequest returns the bytes of an attempt: the head, and the client's body unchanged.
+// encodeRequest returns the HTTP message of an attempt: a head, and the client's body unchanged.
 func encodeRequest(request *httpmsg.Request, host string, timeout time.Duration) []byte {
 	message := make([]byte, 0, typicalHeadBytes+len(request.Body))
 	message = appendRequestHead(message, request, host, timeout)
 	return append(message, request.Body...)
 }
 
-// appendRequestHead appends the head of an attempt. Only headers that the protocol lists are sent.
+// appendRequestHead appends the head of an attempt. It contains only the headers that the protocol defines.
 func appendRequestHead(buffer []byte, request *httpmsg.Request, host string, timeout time.Duration) []byte {
 	buffer = append(buffer, request.Method...)
 	buffer = append(buffer, ' ')
--- a/internal/upstream/httpresponse.go
+++ b/internal/upstream/httpresponse.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	// maxBodyBytes bounds the body of a response. Responses may be much larger than requests.
+	// maxBodyBytes limits the body of a response. Responses may be much larger than requests.
 	maxBodyBytes = 1 << 20
-	// maxHeadBytes bounds the head of a response, and the framing of a chunked body.
+	// maxHeadBytes limits the head of a response, and the framing of a chunked body.
 	maxHeadBytes = 16 << 10
-	// maxInformational is how many 1xx responses may precede the final one.
+	// maxInformational is how many 1xx responses may precede the final response.
 	maxInformational = 8
-	// maxVolumeUsage bounds a usage report, in percent: a report of this much or more is ignored.
+	// maxVolumeUsage limits a usage report, in percent. A report of this value or more is ignored.
 	maxVolumeUsage = 1e6
-	// readBufferBytes is the size of the buffer that a response is read through.
+	// readBufferBytes is the size of the read buffer.
 	readBufferBytes = 4096
-	// stallTimeout is the longest pause between two reads of a response that has begun. It ends the wait for a response that
-	// stops midway long before the attempt's deadline, and is far above the delays of a busy initiator.
+	// stallTimeout is how long a read may take once the response has begun. A response that stops midway thus fails long
+	// before the attempt's deadline. The value is far above the delays of a busy initiator.
 	stallTimeout = 250 * time.Millisecond
 )
 
@@ -39,14 +39,14 @@
 // response is a complete response of a target.
 type response struct {
 	statusCode  int
-	notStarted  bool                  // the target says that it never started the attempt
-	loadReport  *scheduler.LoadReport // nil: none
+	notStarted  bool                  // the target states that it never started the attempt
+	loadReport  *scheduler.LoadReport // nil if the response has none
 	volumeUsage int                   // as in dispatcher.AttemptResult
 	body        []byte
-	closeAfter  bool // the connection must not be used again
+	closeAfter  bool // the target closes the connection after the response, so it must not be reused
 }
 
-// attemptResult is the response as the outcome of its attempt.
+// attemptResult converts the response to the result of its attempt.
 func (r *response) attemptResult() dispatcher.AttemptResult {
 	return dispatcher.AttemptResult{
 		Status:      r.status(),
@@ -56,8 +56,8 @@
 	}
 }
 
-// status is the outcome of the attempt. The header Not-Started counts only with the two status codes that the protocol
-// defines it for: with any other, the attempt may have executed.
+// status returns the status of the attempt. The header Not-Started is honored only with the two status codes for which the
+// protocol defines it: with any other code the attempt may have executed.
 func (r *response) status() scheduler.AttemptStatus {
 	switch r.statusCode {
 	case http.StatusOK:
@@ -70,10 +70,10 @@
 	return scheduler.Errored
 }
 
-// responseReader reads one response, within the attempt's deadline and the bounds on size and memory.
+// responseReader reads one response. It enforces the attempt's deadline and the limits on size and memory.
 type responseReader struct {
 	stream *stallReader
-	limit  *io.LimitedReader // the bytes that may still be read from the connection for the head or the body
+	limit  *io.LimitedReader // limits how many bytes of the head or body may still be read from the connection
 	buffer *bufio.Reader
 	budget *memoryBudget
 }
@@ -89,7 +89,8 @@
 	}
 }
 
-// read reads the complete response to a request with the method. Pass its error to failure, which makes it a RoundTripResult.
+// read reads the complete response to a request of the given method. Pass its error to failure, which makes it a
+// RoundTripResult.
 func (r *responseReader) read(method string) (*response, error) {
 	head, err := r.readFinalHead(method)
 	if err != nil {
@@ -109,7 +110,7 @@
 	}, nil
 }
 
-// readFinalHead reads heads up to the first that is not informational.
+// readFinalHead skips informational responses and returns the head of the final one.
 func (r *responseReader) readFinalHead(method string) (*http.Response, error) {
 	for informational := 0; informational <= maxInformational; informational++ {
 		if err := r.awaitHead(); err != nil {
@@ -126,8 +127,8 @@
 	return nil, errTooManyInformational
 }
 
-// awaitHead waits until the deadline for a head to begin. From then on the stall timeout holds, and the head
-// must end within its bound: a head without end would take memory without end.
+// awaitHead waits for the first byte of a head, until the attempt's deadline. From then on the stall timeout applies, and
+// the head is limited to maxHeadBytes, since an endless head would take unlimited memory.
 func (r *responseReader) awaitHead() error {
 	r.limit.N = maxHeadBytes
 	r.stream.started = false
@@ -139,9 +140,9 @@
 	return err
 }
 
-// readBody reads the body. Its memory is taken from the budget while it is read; one whose length is not
-// known in advance takes as much as the largest. A body without a length ends with its connection: a reset
-// fails the read.
+// readBody reads the body. While it does, the size of the body is taken from the memory budget; a body of unknown length
+// takes the largest size. A body that is neither chunked nor has a length ends when the target closes the connection; a
+// reset instead of a close fails the read.
 func (r *responseReader) readBody(head *http.Response) ([]byte, error) {
 	if head.ContentLength > maxBodyBytes {
 		return nil, errBodyTooLarge
@@ -170,14 +171,14 @@
 	return body.Bytes(), nil
 }
 
-// hasExcess reports whether more has arrived than the response.
-func (r *responseReader) hasExcess() bool { return r.buffer.Buffered() > 0 }
+// hasExtraData reports whether more data was received than the response.
+func (r *responseReader) hasExtraData() bool { return r.buffer.Buffered() > 0 }
 
-// failure is the outcome of an attempt whose response could not be read; the attempt may have executed. DeadlineExceeded
-// stands for the attempt's deadline alone, Cancelled for an exhausted memory budget, which says nothing about the target.
-// ConnectionReset stands for all other causes: besides a connection that was reset or ended early, a stalled, malformed or too
-// large response. The CloseReason tells them apart.
-func (r *responseReader) failure(err error) RoundTripResult {
+// failureResult returns the result of an attempt whose response could not be read. The attempt may have executed. The status
+// is DeadlineExceeded only if the attempt's deadline passed, and Cancelled if the memory budget was exhausted, which says
+// nothing about the target. It is ConnectionReset for every other cause: the connection was reset or closed early, or the
+// response stalled, was malformed or was too large. The CloseReason distinguishes these causes.
+func (r *responseReader) failureResult(err error) RoundTripResult {
 	timedOut := errors.Is(err, os.ErrDeadlineExceeded)
 	switch {
 	case timedOut && r.stream.started && time.Now().Before(r.stream.deadline):
@@ -192,17 +193,17 @@
 	return NoResponse(scheduler.ConnectionReset, ReadErrorReason(err))
 }
 
-// deadlineReader is the part of a net.Conn that a response is read from.
+// deadlineReader is the part of a net.Conn that is needed to read a response.
 type deadlineReader interface {
 	io.Reader
 	SetReadDeadline(time.Time) error
 }
 
-// stallReader bounds each read of a response that has started by the stall timeout, and by the deadline.
+// stallReader applies the stall timeout, and the attempt's deadline, to each read of a response that has begun.
 type stallReader struct {
 	deadlineReader
-	deadline time.Time // of the attempt
-	started  bool
+	deadline time.Time // the attempt's deadline
+	started  bool      // the first byte of the response has arrived
 }
 
 func (s *stallReader) Read(buffer []byte) (int, error) {
@@ -218,8 +219,7 @@
 	return s.deadlineReader.Read(buffer)
 }
 
-// parseVolumeUsage reads a usage report in percent. The result is a percentage plus one; 0 if there is none
-// that can be used.
+// parseVolumeUsage parses a usage report in percent. It returns the percentage plus one, or 0 if there is no valid report.
 func parseVolumeUsage(header string) int {
 	percent, err := strconv.Atoi(header)
 	if err != nil || percent < 0 || percent >= maxVolumeUsage {
--- a/internal/upstream/loadreport.go
+++ b/internal/upstream/loadreport.go
@@ -7,14 +7,14 @@
 	"dapplegate/scheduler"
 )
 
-// maxReportedRequests exceeds the requests that a target ever has queued or in flight: a figure of this much or more is ignored.
+// maxReportedRequests is more than a target ever has queued or in flight. A reported value of this much or more is ignored.
 const maxReportedRequests = 1e5
 
-// notReported is the scheduler's value of a figure that a load report lacks.
+// notReported is what the scheduler expects for a value that a load report does not contain.
 const notReported = -1
 
-// parseLoadReport reads a load report such as "inflight=7,queue=2", in requests. Unknown and unusable
-// fields are skipped; nil if there is no other.
+// parseLoadReport parses a load report such as "inflight=7,queue=2", in requests. It skips unknown and invalid fields, and
+// returns nil if there are no others.
 func parseLoadReport(header string) *scheduler.LoadReport {
 	report := &scheduler.LoadReport{QueueDepth: notReported, InFlight: notReported}
 	for field := range strings.SplitSeq(header, ",") {
--- a/internal/upstream/memorybudget.go
+++ b/internal/upstream/memorybudget.go
@@ -2,8 +2,8 @@
 
 import "sync/atomic"
 
-// memoryBudget bounds the response bodies that all connections of a dialer are reading at one time, in bytes. It is safe for
-// concurrent use.
+// memoryBudget limits the total size, in bytes, of the response bodies that all connections of a dialer are reading at the
+// same time. It is safe for concurrent use.
 type memoryBudget struct {
 	free atomic.Int64
 }
@@ -14,7 +14,7 @@
 	return budget
 }
 
-// acquire takes bytes from the budget, or none if there are fewer.
+// acquire takes bytes from the budget. If fewer are free, it takes none and returns false.
 func (b *memoryBudget) acquire(bytes int64) bool {
 	for {
 		free := b.free.Load()
@@ -27,5 +27,5 @@
 	}
 }
 
-// release returns bytes that were acquired.
+// release returns acquired bytes to the budget.
 func (b *memoryBudget) release(bytes int64) { b.free.Add(bytes) }
--- a/internal/upstream/memorybudget_test.go
+++ b/internal/upstream/memorybudget_test.go
@@ -5,33 +5,33 @@
 	"testing"
 )
 
-// TestMemoryBudget checks that acquire takes all bytes or none, and never more than the budget has.
+// TestMemoryBudget checks that acquire takes either all requested bytes or none, and never more than are free.
 func TestMemoryBudget(t *testing.T) {
 	budget := newMemoryBudget(10)
 	if !budget.acquire(7) {
 		t.Error("7 of 10 bytes were refused")
 	}
 	if budget.acquire(4) {
-		t.Error("4 bytes were given where 3 are left")
+		t.Error("4 bytes were acquired when 3 were free")
 	}
 	if !budget.acquire(3) {
 		t.Error("the last 3 bytes were refused")
 	}
 	budget.release(7)
 	if !budget.acquire(7) {
-		t.Error("7 bytes that were released were refused")
+		t.Error("7 released bytes were refused")
 	}
 }
 
-// TestMemoryBudgetRefusesOneWithoutAnother asks for more than there is again and again, beside one that always fits. Failure:
-// the bytes of the large one are taken for a moment before it is refused, and the other is refused with it.
-func TestMemoryBudgetRefusesOneWithoutAnother(t *testing.T) {
+// TestMemoryBudgetRefusalDoesNotAffectOthers checks that a call of acquire that is refused never makes a concurrent one
+// fail. That would happen if acquire took the bytes first and returned them on refusal.
+func TestMemoryBudgetRefusalDoesNotAffectOthers(t *testing.T) {
 	const size, rounds = 100, 200_000
 	budget := newMemoryBudget(size)
-	var asking sync.WaitGroup
+	var workers sync.WaitGroup
 	done := make(chan struct{})
 	for range 2 {
-		asking.Go(func() {
+		workers.Go(func() {
 			for {
 				select {
 				case <-done:
@@ -39,7 +39,7 @@
 				default:
 				}
 				if budget.acquire(2 * size) {
-					t.Error("more was acquired than there is")
+					t.Error("acquired more bytes than the budget has")
 					return
 				}
 			}
@@ -54,8 +54,8 @@
 		budget.release(size)
 	}
 	close(done)
-	asking.Wait()
+	workers.Wait()
 	if refused > 0 {
-		t.Errorf("%d of %d that fit were refused", refused, rounds)
+		t.Errorf("%d of %d calls within the budget were refused", refused, rounds)
 	}
 }
--- a/internal/upstream/messages.go
+++ b/internal/upstream/messages.go
@@ -2,35 +2,35 @@
 
 import "dapplegate/internal/dispatcher"
 
-// message is what a target's actor takes from its mailbox: one of the types in this file.
+// message is a message to the actor of a target: one of the types in this file.
 type message interface{ isMessage() }
 
-// startAttempt asks for an attempt to be made.
+// startAttempt starts an attempt.
 type startAttempt struct{ attempt dispatcher.Attempt }
 
-// cancelAttempt asks for the attempt of a request to be ended early, if it is in flight.
+// cancelAttempt cancels the attempt of a request, if it is in flight.
 type cancelAttempt struct{ requestID string }
 
-// attemptReleased returns the resources of an attempt to its actor.
-type attemptReleased struct {
+// attemptEnded tells the actor that an attempt has ended, and returns its connection.
+type attemptEnded struct {
 	attempt *inFlightAttempt
-	conn    *pooledConn // to be used again; nil if it was closed, or is not up yet
+	conn    *pooledConn // nil if it was closed, could not be established or is still being dialed
 }
 
-// backgroundDialEnded ends a dial that outlasted its attempt.
+// backgroundDialEnded tells the actor that a background dial has ended, and passes it the connection.
 type backgroundDialEnded struct {
 	conn *pooledConn // nil if the dial failed
 }
 
-// endpointChanged says that the target's state or address may have changed.
+// endpointChanged tells the actor that the target's state or address may have changed.
 type endpointChanged struct{}
 
-// retire ends the actor once nothing of it is in flight.
+// retire tells the actor to end once no attempt or dial is in flight.
 type retire struct{}
 
 func (startAttempt) isMessage()        {}
 func (cancelAttempt) isMessage()       {}
-func (attemptReleased) isMessage()     {}
+func (attemptEnded) isMessage()        {}
 func (backgroundDialEnded) isMessage() {}
 func (endpointChanged) isMessage()     {}
 func (retire) isMessage()              {}
--- a/internal/upstream/registry.go
+++ b/internal/upstream/registry.go
@@ -1,8 +1,8 @@
-// Package upstream carries attempts to targets.
+// Package upstream sends attempts to targets and reports their results.
 //
-// The Registry has an actor for each target of the endpoint list (target.go), which owns a pool of
-// connections to it (connpool.go) and runs each attempt on one of them (attempt.go). What is spoken on a
-// connection is behind the interfaces Dialer and Conn; this package has HTTP/1.1 (http.go).
+// The Registry runs an actor for each target of the endpoint list (target.go). The actor owns a pool of connections to its
+// target (connpool.go) and runs each attempt on one of them (attempt.go). The interfaces Dialer and Conn hide the protocol
+// (conn.go); this package implements them for HTTP/1.1 (http.go).
 package upstream
 
 import (
@@ -15,57 +15,59 @@
 	"dapplegate/scheduler"
 )
 
-// Endpoint is a target as the endpoint list has it.
+// Endpoint is an entry of the endpoint list.
 type Endpoint struct {
 	ID    string
-	Addr  string // host:port; empty: as before
+	Addr  string // host:port; if empty, the target keeps its address
 	State scheduler.TargetState
 }
 
-// Options are the bounds of all connections.
+// Options configures a Registry: its protocol, the limits on its connections, and its log. An attempt that needs a new
+// connection beyond MaxConnsPerTarget or MaxConns is reported as NotSent.
 type Options struct {
 	Dialer            Dialer
-	DialTimeout       time.Duration // how long an attempt waits for a new connection; see backgroundDialFactor
+	DialTimeout       time.Duration // how long an attempt waits for a new connection; see also backgroundDialFactor
 	IdleTimeout       time.Duration // how long an unused connection is kept in the pool
-	MaxConnsPerTarget int           // open connections to one target, those being dialed included; beyond: ConnectFailed
-	MaxConns          int           // open connections to all targets together
+	MaxConnsPerTarget int           // connections to one target, including those being dialed
+	MaxConns          int           // connections to all targets, including those being dialed
 	Logger            *slog.Logger
 }
 
-// Registry holds the targets' actors. An endpoint list is applied to it before the scheduler has it, so that an attempt which
-// was decided on the older list is still checked against the newer state right before its first byte. It is safe for
-// concurrent use.
+// Registry holds the actors of all targets. The caller applies each endpoint list to the Registry before it passes the list
+// to the scheduler: an attempt that the scheduler started on the basis of an older list is then checked against the newer
+// state right before its first byte. A Registry is safe for concurrent use.
 type Registry struct {
-	options   Options
-	report    func(dispatcher.AttemptResult)
-	openConns atomic.Int64 // to all targets, those being dialed included
+	options        Options
+	reportResult   func(dispatcher.AttemptResult)
+	totalOpenConns atomic.Int64 // connections to all targets, including those being dialed
 
 	mu      sync.Mutex
 	targets map[string]*target
-	retired map[*target]bool // removed from the list, with an attempt or a dial in flight
+	retired map[*target]bool // actors of removed targets, until they end
 }
 
 var _ dispatcher.Upstream = (*Registry)(nil)
 
-// NewRegistry returns a registry without targets. It calls report, from any goroutine, with the result of
+// NewRegistry returns a registry without targets. The registry calls reportResult, from any goroutine, with the result of
 // each attempt.
-func NewRegistry(options Options, report func(dispatcher.AttemptResult)) *Registry {
+func NewRegistry(options Options, reportResult func(dispatcher.AttemptResult)) *Registry {
 	return &Registry{
-		options: options,
-		report:  report,
-		targets: map[string]*target{},
-		retired: map[*target]bool{},
+		options:      options,
+		reportResult: reportResult,
+		targets:      map[string]*target{},
+		retired:      map[*target]bool{},
 	}
 }
 
-// Apply applies entries of the endpoint list. If the list is complete, targets that it does not name are removed.
+// Apply adds, updates and removes targets as the list says. If the list is complete, targets that it does not contain are
+// removed.
 func (r *Registry) Apply(list []Endpoint, complete bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	listed := make(map[string]bool, len(list))
 	for _, endpoint := range list {
 		listed[endpoint.ID] = true
-		r.applyOne(endpoint)
+		r.applyEndpoint(endpoint)
 	}
 	for id, t := range r.targets {
 		if complete && !listed[id] {
@@ -77,20 +79,20 @@
 	}
 }
 
-func (r *Registry) applyOne(endpoint Endpoint) {
+func (r *Registry) applyEndpoint(endpoint Endpoint) {
 	t := r.targets[endpoint.ID]
 	if t == nil {
 		if endpoint.State == scheduler.Removed {
 			return
 		}
-		t = r.add(endpoint.ID)
+		t = r.addTarget(endpoint.ID)
 	}
 	t.update(endpoint.Addr, endpoint.State)
 }
 
-// add starts the actor of a target.
-func (r *Registry) add(id string) *target {
-	t := newTarget(id, r.options, &r.openConns, r.report)
+// addTarget adds a target and starts its actor.
+func (r *Registry) addTarget(id string) *target {
+	t := newTarget(id, r.options, &r.totalOpenConns, r.reportResult)
 	r.targets[id] = t
 	go func() {
 		t.run()
@@ -101,20 +103,20 @@
 	return t
 }
 
-// retire lets the actor of a removed target end once nothing of it is in flight.
+// retire removes a target from the registry and retires its actor, which ends once no attempt or dial is in flight.
 func (r *Registry) retire(t *target) {
 	delete(r.targets, t.id)
 	r.retired[t] = true
 	t.mailbox.Put(retire{})
 }
 
-// Send starts an attempt; one result follows.
+// Send starts an attempt. Exactly one result is reported for it.
 func (r *Registry) Send(attempt dispatcher.Attempt) {
 	if r.deliver(attempt) {
 		return
 	}
-	// The target was removed from the list after the decision.
-	r.report(dispatcher.AttemptResult{
+	// The target was removed after the scheduler had chosen it.
+	r.reportResult(dispatcher.AttemptResult{
 		RequestID: attempt.RequestID,
 		Number:    attempt.Number,
 		Target:    attempt.Target,
@@ -122,7 +124,7 @@
 	})
 }
 
-// deliver hands an attempt to its target's actor; false if there is none.
+// deliver passes an attempt to the actor of its target. It returns false if there is no such target.
 func (r *Registry) deliver(attempt dispatcher.Attempt) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -134,15 +136,15 @@
 	return true
 }
 
-// Cancel ends the attempt of a request at a target early, if it is in flight; its connection is closed before
-// its result is reported.
+// Cancel cancels the attempt of a request at a target, if it is in flight. The attempt's connection is closed before its
+// result is reported.
 func (r *Registry) Cancel(targetID, requestID string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if t := r.targets[targetID]; t != nil {
 		t.mailbox.Put(cancelAttempt{requestID})
 	}
-	// The attempt may have started before the target was removed, and perhaps listed anew.
+	// The attempt may have started before the target was removed, and the target may have been added again since.
 	for t := range r.retired {
 		if t.id == targetID {
 			t.mailbox.Put(cancelAttempt{requestID})
--- a/internal/upstream/target.go
+++ b/internal/upstream/target.go
@@ -12,53 +12,53 @@
 )
 
 const (
-	// prunesPerIdleTimeout is how often idle connections are pruned within Options.IdleTimeout.
+	// prunesPerIdleTimeout is how many times idle connections are pruned during one Options.IdleTimeout.
 	prunesPerIdleTimeout = 8
-	// minPruneInterval bounds how often the idle connections are pruned where Options.IdleTimeout is short.
+	// minPruneInterval is the shortest interval between prunes, for a short Options.IdleTimeout.
 	minPruneInterval = 50 * time.Millisecond
 )
 
-// target is the actor of one target: its goroutine, in run, handles one message at a time. Each attempt runs
-// on a goroutine of its own and comes back with a message.
+// target is the actor of one target. Its goroutine, which executes run, handles one message at a time. Each attempt runs on
+// a goroutine of its own, which sends the actor a message when the attempt ends.
 type target struct {
-	id      string
-	options Options
-	report  func(dispatcher.AttemptResult)
-	log     connLog
-	mailbox *mailbox.Box[message]
-
-	// The registry writes these. The state is read right before the first byte of an attempt, the address when a connection is
-	// dialed, and both when idle connections are pruned.
+	id           string
+	options      Options
+	reportResult func(dispatcher.AttemptResult)
+	log          connLog
+	mailbox      *mailbox.Box[message]
+
+	// The registry writes state and addr. The state is read when an attempt starts and right before its first byte, the
+	// address when a connection is dialed, and both when idle connections are pruned.
 	state atomic.Int32 // a scheduler.TargetState
 	addr  atomic.Pointer[string]
 
-	// backgroundDialActive bounds the dials in the background to one at a time. An attempt sets it for a dial that outlasts it;
-	// the actor clears it.
+	// backgroundDialActive limits background dials to one at a time. An attempt sets it when it leaves its dial running; the
+	// actor clears it when that dial ends.
 	backgroundDialActive atomic.Bool
 
-	// Only the actor's goroutine uses these.
+	// Only the actor's goroutine uses the following fields.
 	pool     connPool
 	inFlight map[string]*inFlightAttempt // by request ID
-	retired  bool
+	retired  bool                        // the target was removed from the registry
 }
 
-// newTarget returns an actor that is yet to be run. totalOpen counts the connections to all targets.
-func newTarget(id string, options Options, totalOpen *atomic.Int64,
-	report func(dispatcher.AttemptResult)) *target {
+// newTarget returns an actor, whose run the caller starts. totalOpenConns counts the connections to all targets.
+func newTarget(id string, options Options, totalOpenConns *atomic.Int64,
+	reportResult func(dispatcher.AttemptResult)) *target {
 	log := connLog{logger: options.Logger, targetID: id}
 	return &target{
-		id:       id,
-		options:  options,
-		report:   report,
-		log:      log,
-		mailbox:  mailbox.New[message](),
-		pool:     connPool{options: options, log: log, totalOpen: totalOpen},
-		inFlight: map[string]*inFlightAttempt{},
+		id:           id,
+		options:      options,
+		reportResult: reportResult,
+		log:          log,
+		mailbox:      mailbox.New[message](),
+		pool:         connPool{options: options, log: log, totalOpenConns: totalOpenConns},
+		inFlight:     map[string]*inFlightAttempt{},
 	}
 }
 
-// update sets the state, and the address unless it is empty. Attempts that are about to write see the state at once; the
-// actor prunes its pool with its next messages.
+// update sets the state, and also the address unless it is empty. Attempts that are about to write see the new state at
+// once; the actor prunes its pool when it handles the message.
 func (t *target) update(address string, state scheduler.TargetState) {
 	if address != "" {
 		t.addr.Store(&address)
@@ -75,7 +75,7 @@
 
 func (t *target) currentState() scheduler.TargetState { return scheduler.TargetState(t.state.Load()) }
 
-// address is where the target listens; empty if that is not known.
+// address returns the host:port address of the target, or "" if it is not known.
 func (t *target) address() string {
 	if address := t.addr.Load(); address != nil {
 		return *address
@@ -83,12 +83,12 @@
 	return ""
 }
 
-// run handles messages until the actor is retired and nothing of it is in flight.
+// run handles messages until the actor is retired and no attempt or dial is in flight.
 func (t *target) run() {
 	var spare []message
 	ticker := time.NewTicker(max(t.options.IdleTimeout/prunesPerIdleTimeout, minPruneInterval))
 	defer ticker.Stop()
-	for !t.hasEnded() {
+	for !t.isDone() {
 		select {
 		case <-ticker.C:
 			t.prune()
@@ -103,7 +103,8 @@
 	t.pool.closeAll(ReasonTargetNotServing)
 }
 
-func (t *target) hasEnded() bool {
+// isDone reports whether the actor is retired and no attempt or dial is in flight.
+func (t *target) isDone() bool {
 	return t.retired && len(t.inFlight) == 0 && !t.backgroundDialActive.Load()
 }
 
@@ -115,7 +116,7 @@
 		if attempt := t.inFlight[m.requestID]; attempt != nil {
 			attempt.cancel()
 		}
-	case attemptReleased:
+	case attemptEnded:
 		t.finish(m)
 	case backgroundDialEnded:
 		t.backgroundDialActive.Store(false)
@@ -127,8 +128,8 @@
 	}
 }
 
-// start runs an attempt on an idle connection or on a new one. An attempt that cannot start, because the target is not serving
-// or this process has no connection to spare, is reported as NotSent at once.
+// start starts a goroutine that runs the attempt on an idle connection or on a new one. If the target is not serving, or the
+// limits on connections allow no new one, the attempt is reported as NotSent at once.
 func (t *target) start(a dispatcher.Attempt) {
 	if !t.isServing() {
 		t.reportNotSent(a)
@@ -139,32 +140,32 @@
 		t.reportNotSent(a)
 		return
 	}
-	ctx, stop := context.WithDeadline(context.Background(), a.Deadline)
-	attempt := &inFlightAttempt{Attempt: a, stop: stop}
+	ctx, cancelContext := context.WithDeadline(context.Background(), a.Deadline)
+	attempt := &inFlightAttempt{Attempt: a, cancelContext: cancelContext}
 	t.inFlight[a.RequestID] = attempt
 	go t.runAttempt(ctx, attempt, conn)
 }
 
 func (t *target) reportNotSent(a dispatcher.Attempt) {
-	t.report(dispatcher.AttemptResult{RequestID: a.RequestID, Number: a.Number, Target: t.id, Status: scheduler.NotSent})
+	t.reportResult(dispatcher.AttemptResult{RequestID: a.RequestID, Number: a.Number, Target: t.id, Status: scheduler.NotSent})
 }
 
-func (t *target) finish(m attemptReleased) {
-	m.attempt.stop()
-	// A later attempt of the same request may have started here since: the entry is its own then.
+func (t *target) finish(m attemptEnded) {
+	m.attempt.cancelContext()
+	// If a later attempt of the same request has already started at this target, the entry belongs to that attempt.
 	if t.inFlight[m.attempt.RequestID] == m.attempt {
 		delete(t.inFlight, m.attempt.RequestID)
 	}
-	// A dial in the background still counts as open; backgroundDialEnded follows.
+	// A background dial keeps its slot in the pool until backgroundDialEnded arrives.
 	if !m.attempt.leftBackgroundDial {
 		t.returnConn(m.conn)
 	}
 }
 
-// returnConn puts a connection back into the pool; nil stands for one that was closed or never came up.
+// returnConn puts a connection back into the pool. A nil connection was closed or never established: its slot is released.
 func (t *target) returnConn(c *pooledConn) {
 	if c == nil {
-		t.pool.unreserve()
+		t.pool.releaseSlot()
 		return
 	}
 	t.pool.put(c)
