--- a/internal/discovery/poll.go
+++ b/internal/discovery/poll.go
@@ -13,48 +13,48 @@
 )
 
 const (
-	// watchWait is how long discovery may hold a poll that waits for a change.
-	watchWait = 20 * time.Second
-	// responseGrace is how long a response may be overdue before its poll is given up. Discovery keeps connections open and is
-	// silent while it is down. By the platform's rules an initiator must act on a change 2 s after the wait of its poll: the
-	// next poll must have been made by then.
+	// longPollWait is how long discovery may hold a poll while it waits for a change.
+	longPollWait = 20 * time.Second
+	// responseGrace is how long after the wait of a poll the response may arrive before the poll times out. While discovery
+	// is down, it keeps connections open and sends nothing. By the platform's rules, an initiator must act on a change
+	// within 2 s after the wait of its poll, so the next poll must have been made by then.
 	responseGrace = 1500 * time.Millisecond
-	// queueTimeout is the shortest timeout of a poll where one discovery serves all initiators in turn: polls may wait in its
-	// queue for 2 s, and one that is given up earlier is still served, at the cost of the others.
-	queueTimeout = 2500 * time.Millisecond
-	// dialTimeout bounds the time for a connection to discovery.
+	// minSharedPollTimeout is the shortest timeout of a poll if one discovery serves all initiators in turn. Polls may wait
+	// in its queue for 2 s, and a poll that times out earlier is still served, which delays the others.
+	minSharedPollTimeout = 2500 * time.Millisecond
+	// dialTimeout limits the time to establish a connection to discovery.
 	dialTimeout = time.Second
-	// maxConns bounds the connections to discovery.
+	// maxConns limits the number of connections to discovery.
 	maxConns = 2
-	// maxListBytes bounds the memory that a response may take.
+	// maxListBytes limits the size of a response, and so the memory for it.
 	maxListBytes = 4 << 20
 )
 
-// errUnusableList marks a list that cannot be decoded or does not follow the one held.
-var errUnusableList = errors.New("endpoint list is not usable")
+// errUnusableList marks a list that cannot be decoded, or that cannot be applied to the current version.
+var errUnusableList = errors.New("unusable endpoint list")
 
 // pollRequest is one poll of discovery.
 type pollRequest struct {
-	after int64         // the version held; noVersion asks for the complete list
+	after int64         // the current version; noVersion requests the complete list
 	wait  time.Duration // how long discovery may wait for a change
 }
 
-// asksForChanges reports whether the request asks for changes, not for the complete list.
+// asksForChanges reports whether the poll requests the changes since a version. Otherwise it requests the complete list.
 func (p pollRequest) asksForChanges() bool { return p.after >= 0 }
 
-// path is the request's URI.
-func (p pollRequest) path() string {
+// uri returns the path and the query of the poll.
+func (p pollRequest) uri() string {
 	if !p.asksForChanges() {
 		return "/api/targets"
 	}
 	return fmt.Sprintf("/api/targets?after=%d&wait_ms=%d", p.after, p.wait.Milliseconds())
 }
 
-// timeout is how long the poll may last; shared says that one discovery serves all initiators in turn.
+// timeout returns the timeout of the poll. The parameter shared is true if one discovery serves all initiators in turn.
 func (p pollRequest) timeout(shared bool) time.Duration {
 	timeout := p.wait + responseGrace
 	if shared {
-		timeout = max(timeout, queueTimeout)
+		timeout = max(timeout, minSharedPollTimeout)
 	}
 	return timeout
 }
@@ -67,7 +67,7 @@
 	}}
 }
 
-// fetch gets a list from a URL within the timeout. A list that cannot be decoded is an errUnusableList.
+// fetch requests a list from a URL, with a timeout. It returns errUnusableList if the list cannot be decoded.
 func (w *Watcher) fetch(ctx context.Context, url string, timeout time.Duration) (*endpoints.List, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -79,7 +79,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = response.Body.Close() }() // the body has been read, or the error of that is returned
+	defer func() { _ = response.Body.Close() }() // the body was read, or reading it failed with an error that is returned
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxListBytes))
 	if err != nil {
 		return nil, err
--- a/internal/discovery/starttimes.go
+++ b/internal/discovery/starttimes.go
@@ -6,34 +6,33 @@
 	"dapplegate/internal/endpoints"
 )
 
-// minClockStep is by how much the wall clock must move against the monotonic clock to count as stepped.
-// Gradual adjustments are slower than that.
+// minClockStep is the smallest change of the wall clock relative to the monotonic clock, since the last step, that counts as
+// a step. Gradual adjustments are slower, and count only once they add up to this much.
 const minClockStep = 50 * time.Millisecond
 
-// StartTimes maps the starts of targets, which the endpoint list has in wall-clock time, onto a monotonic
-// clock: a step of the wall clock must not change how long a target seems to have run. It is not safe for
+// StartTimes converts the start times of targets from wall-clock time, which the endpoint list uses, to a monotonic clock,
+// so that a step of the wall clock does not change how long a target seems to have been running. It is not safe for
 // concurrent use.
 type StartTimes struct {
 	wallClock      func() time.Time
 	monotonicClock func() time.Duration
-	offset         time.Duration // of the wall clock, as Unix time, against the monotonic clock
-	previousOffset time.Duration // before the last step
+	offset         time.Duration // Unix time minus the monotonic clock
+	previousOffset time.Duration // the offset before the last step
 	known          map[string]startTime
 }
 
-// startTime is one start of a target, on either clock.
+// startTime is the start time of a target on both clocks.
 type startTime struct {
-	wallMs    int64 // as listed
+	wallMs    int64 // Unix time in milliseconds, as listed
 	monotonic time.Duration
 }
 
-// NewStartTimes returns an empty map between two clocks. The monotonic one began at the wall clock's time
-// since the Unix epoch.
+// NewStartTimes returns an empty StartTimes. The monotonic clock must have started at the Unix time of the wall clock.
 func NewStartTimes(wallClock func() time.Time, monotonicClock func() time.Duration) *StartTimes {
 	return &StartTimes{wallClock: wallClock, monotonicClock: monotonicClock, known: map[string]startTime{}}
 }
 
-// Apply places the starts of a list on the monotonic clock. A start that is known already keeps its place.
+// Apply converts the start times in a list. A start time that is already known is not converted again.
 func (s *StartTimes) Apply(list *endpoints.List) {
 	now := s.monotonicClock()
 	s.detectStep(now)
@@ -61,13 +60,13 @@
 	if before, ok := s.known[entry.ID]; ok && before.wallMs == entry.StartedMs {
 		return
 	}
-	s.known[entry.ID] = startTime{wallMs: entry.StartedMs, monotonic: s.place(entry.StartedMs, now)}
+	s.known[entry.ID] = startTime{wallMs: entry.StartedMs, monotonic: s.toMonotonic(entry.StartedMs, now)}
 }
 
-// Lookup returns when the target of an entry started, on the monotonic clock; 0: long ago.
+// Lookup returns the start time of an entry's target on the monotonic clock, or 0 if the target started long ago.
 func (s *StartTimes) Lookup(entry endpoints.Entry) time.Duration { return s.known[entry.ID].monotonic }
 
-// detectStep updates the offset if the wall clock was stepped.
+// detectStep updates the offset if the wall clock has been stepped.
 func (s *StartTimes) detectStep(now time.Duration) {
 	offset := time.Duration(s.wallClock().UnixNano()) - now
 	if (offset - s.offset).Abs() >= minClockStep {
@@ -76,11 +75,11 @@
 	}
 }
 
-// place finds a start on the monotonic clock. The target may have started before the last step of the wall
-// clock or after it: of the two places the later one counts, unless it is in the future. A target that seems
-// older than it is may get more load than it can take after its start; one that seems younger only gets less
-// for a while.
-func (s *StartTimes) place(wallMs int64, now time.Duration) time.Duration {
+// toMonotonic converts a start time to the monotonic clock. The target may have started before or after the last step of the
+// wall clock, so there are two candidates. The later one that is not in the future is chosen, or the current time if both
+// are. This errs on the safe side: a target that seems older than it is may get more load than it can take after its start,
+// whereas one that seems younger only gets less load for a while.
+func (s *StartTimes) toMonotonic(wallMs int64, now time.Duration) time.Duration {
 	if wallMs == 0 {
 		return 0
 	}
--- a/internal/discovery/starttimes_test.go
+++ b/internal/discovery/starttimes_test.go
@@ -7,19 +7,18 @@
 	"dapplegate/internal/endpoints"
 )
 
-// steppedClock is a wall clock that a test steps, beside a monotonic one.
+// steppedClock is a monotonic clock and a wall clock that a test can step.
 type steppedClock struct{ monotonic, step time.Duration }
 
 func (c *steppedClock) wall() time.Time { return time.Unix(0, int64(c.monotonic+c.step)) }
 
-// TestStartTimesAcrossClockSteps
+// TestStartTimesAcrossClockSteps checks that the age of a target is right if the wall clock is stepped before or after its
+// start.
 //
-// Symptom: a target that had just started got all of its traffic at once, or next to none for an hour.
-// Sequence: the wall clock is stepped after the initiator's start, and a target starts. The endpoint list
-// has its start in wall-clock time.
-// Cause: that time was held against a clock that was set by the wall clock once, at the initiator's start, so
-// that the target seemed to have started an hour ago, or to start in an hour.
-// Settled by this test: the age of a target that has just started is wrong by the step.
+// It guards against a target that has just started getting all of its traffic at once, or next to none for an hour. The
+// endpoint list has start times in wall-clock time. They were compared with a clock that was set from the wall clock only
+// once, at the initiator's start, so that after a step of an hour a new target seemed to have started an hour ago, or to
+// start in an hour.
 func TestStartTimesAcrossClockSteps(t *testing.T) {
 	for _, step := range []time.Duration{0, -time.Hour, time.Hour, -3 * time.Second, 3 * time.Second} {
 		for _, startsBeforeStep := range []bool{true, false} {
@@ -45,16 +44,16 @@
 	starts.Apply(&endpoints.List{Entries: []endpoints.Entry{newEntry}})
 	startedAt := starts.Lookup(newEntry)
 	if got := clock.monotonic - startedAt; got < 0 || got > age+time.Second {
-		t.Errorf("step %v, started before it %v: age %v, want %v", step, startsBeforeStep, got, age)
+		t.Errorf("step %v, target started before the step %v: got age %v, want %v", step, startsBeforeStep, got, age)
 	}
 
 	clock.monotonic += time.Minute
 	clock.step -= time.Hour
 	starts.Apply(&endpoints.List{Entries: []endpoints.Entry{newEntry}})
 	if starts.Lookup(newEntry) != startedAt {
-		t.Errorf("step %v: a target's start changed with a later step", step)
+		t.Errorf("step %v: start time changed after a later step", step)
 	}
 	if starts.Lookup(oldEntry) != 0 {
-		t.Error("a start long ago is one no more")
+		t.Error("start time of a target that started long ago is not 0")
 	}
 }
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -1,5 +1,5 @@
-// Package discovery keeps the endpoint list up to date: a Watcher watches the discovery service, StartTimes
-// places the targets' starts on the initiator's own clock.
+// Package discovery keeps the endpoint list up to date. A Watcher polls the discovery service for changes; StartTimes
+// converts the targets' start times to the initiator's own clock.
 package discovery
 
 import (
@@ -16,39 +16,43 @@
 )
 
 const (
-	// PollServiceTime is about how long a shared discovery takes to serve one poll. It takes as long for a poll that was given
-	// up in its queue: a fleet that polled at once, or again soon after a failure, would never be served.
+	// PollServiceTime is the approximate time that a shared discovery takes to serve one poll. It takes the same time for a
+	// poll that timed out in its queue, so a fleet that polled all at once, or again soon after a failure, would never be
+	// served.
 	PollServiceTime = 100 * time.Millisecond
-	// maxSpread bounds the pause before a first poll and after a failed one, whatever the size of the fleet: by the platform's
-	// rules an initiator must act on a change 6 s after discovery could be reached, and the poll itself may take queueTimeout.
+	// maxSpread limits the pause before the first poll and after a failed one, whatever the size of the fleet. By the
+	// platform's rules, an initiator must act on a change within 6 s after discovery becomes reachable, and the poll itself
+	// may take minSharedPollTimeout.
 	maxSpread = 3 * time.Second
-	// retryPause is the pause after a failed poll, to which the spread is added.
+	// retryPause is the shortest pause after a failed poll. The spread, or a part of it, may be added.
 	retryPause = 100 * time.Millisecond
-	// noVersion is the version where there is no list that changes could be applied to. Any version below 0
-	// counts as this one.
+	// noVersion stands for the lack of a list that changes could be applied to. Any version below 0 is treated in the same
+	// way.
 	noVersion = -1
 )
 
-// Watcher watches discovery and passes on its lists, in order. Polling has a goroutine of its own, which never waits for
-// notify: by the protocol a watch ends unless the next poll comes within 200 ms of the last response.
+// Watcher polls discovery and passes its lists to notify, in order. The polls run on a goroutine of their own, which never
+// waits for notify: by the protocol, a watch ends unless the next poll arrives within 200 ms after the last response.
 type Watcher struct {
-	address   string        // at the start
-	spread    time.Duration // 0: discovery serves this initiator alone
+	address   string        // the initial address
+	spread    time.Duration // 0 if discovery serves this initiator alone
 	notify    func(*endpoints.List)
 	log       *slog.Logger
 	client    http.Client
 	lists     *mailbox.Box[*endpoints.List]
 	addresses *mailbox.Box[string]
 
-	// These are owned by the goroutine of watchAt while that runs, else by that of watch.
-	version       int64 // the latest one; noVersion: the complete list is needed
-	failures      int   // polls failed in a row at this address
-	alreadySpread bool  // the next poll is spread over the fleet already, and needs no further random pause
+	// The following fields are owned by the goroutine of watchAddress while it runs, and otherwise by the goroutine of
+	// watch.
+	version       int64 // of the last list; noVersion if the complete list is needed
+	failures      int   // consecutive failed polls at this address
+	alreadySpread bool  // the next poll is already spread over the fleet and needs no further random pause
 }
 
-// New returns a watcher of discovery at an address. It notifies of the list known from an earlier run first, if there is one,
-// however old; then of each list from discovery. Where one discovery serves all initiators, spread is the time over which their
-// first polls, and those after a failure, are distributed at random; 0 if discovery serves this initiator alone.
+// New returns a watcher of discovery at an address. It first passes the list known from an earlier run to notify, however
+// old it is; known is nil if there is none. Then it passes each list from discovery. If one discovery serves all initiators,
+// their first polls, and those after a failure, are distributed at random over the time spread; spread is 0 if discovery
+// serves this initiator alone.
 func New(address string, known *endpoints.List, spread time.Duration, notify func(*endpoints.List),
 	log *slog.Logger) *Watcher {
 	w := &Watcher{
@@ -70,11 +74,11 @@
 	return w
 }
 
-// SetAddress has discovery polled at another address from now on, for the complete list first. A poll of the
-// former one is given up.
+// SetAddress makes the watcher poll discovery at another address, first for the complete list. A poll of the previous
+// address is cancelled.
 func (w *Watcher) SetAddress(address string) { w.addresses.Put(address) }
 
-// Run notifies until the context ends.
+// Run polls discovery and calls notify until the context is done.
 func (w *Watcher) Run(ctx context.Context) {
 	go w.watch(ctx)
 	for {
@@ -89,28 +93,28 @@
 	}
 }
 
-// watch polls discovery until the context ends, at one address after another.
+// watch polls discovery until the context is done, at the initial address and then at each one that is set.
 func (w *Watcher) watch(ctx context.Context) {
 	pause(ctx, randomWithin(w.spread))
 	w.alreadySpread = true
 	address := w.address
 	for ctx.Err() == nil {
-		address = w.watchUntilMoved(ctx, address)
-		// The first poll at a new address is not spread.
+		address = w.watchUntilAddressChange(ctx, address)
+		// The first poll at a new address is made at once, so it is not spread over the fleet.
 		w.version = noVersion
 		w.alreadySpread = false
 		w.client.CloseIdleConnections()
 	}
 }
 
-// watchUntilMoved polls discovery at an address until another one is set, which it returns, or the context
-// ends.
-func (w *Watcher) watchUntilMoved(ctx context.Context, address string) string {
+// watchUntilAddressChange polls discovery at an address until the context is done or another address is set. It returns
+// the address to poll next.
+func (w *Watcher) watchUntilAddressChange(ctx context.Context, address string) string {
 	watchCtx, stop := context.WithCancel(ctx)
 	stopped := make(chan struct{})
 	go func() {
 		defer close(stopped)
-		w.watchAt(watchCtx, address)
+		w.watchAddress(watchCtx, address)
 	}()
 	next := address
 	select {
@@ -121,36 +125,37 @@
 		}
 	}
 	stop()
-	<-stopped // a list from this address must not come after one from the next
+	<-stopped // no list from this address may follow one from the next address
 	return next
 }
 
-// watchAt polls discovery at one address until the context ends. After a success the next poll follows at
-// once, since the watch ends otherwise.
-func (w *Watcher) watchAt(ctx context.Context, address string) {
+// watchAddress polls discovery at one address until the context is done. After a successful poll it polls again without
+// a pause, since the watch would end otherwise.
+func (w *Watcher) watchAddress(ctx context.Context, address string) {
 	w.failures = 0
 	for ctx.Err() == nil {
-		request := w.nextPoll()
-		begun := time.Now()
+		request := w.nextRequest()
+		startedAt := time.Now()
 		list, err := w.poll(ctx, address, request)
 		if ctx.Err() != nil {
 			return
 		}
 		if err != nil {
-			w.pollFailed(err)
-			pause(ctx, w.retryDelay(request, time.Since(begun)))
+			w.recordFailure(err)
+			pause(ctx, w.retryDelay(request, time.Since(startedAt)))
 			continue
 		}
 		w.accept(list)
 	}
 }
 
-// nextPoll goes on from the version that is held, also after a failure, since a complete list costs discovery
-// the most. After a failure it asks for no wait, so that another silence is noticed soon.
-func (w *Watcher) nextPoll() pollRequest {
+// nextRequest returns the next poll. It requests the changes since the current version, even after a failed poll, since a
+// complete list costs discovery the most. After a failed poll discovery is not to wait for a change, so that a lack of
+// response is noticed soon.
+func (w *Watcher) nextRequest() pollRequest {
 	request := pollRequest{after: w.version}
 	if request.asksForChanges() && w.failures == 0 {
-		request.wait = watchWait
+		request.wait = longPollWait
 	}
 	return request
 }
@@ -158,19 +163,20 @@
 // isShared reports whether one discovery serves all initiators in turn.
 func (w *Watcher) isShared() bool { return w.spread > 0 }
 
-// poll returns a list that applies to the version held, or is complete.
+// poll requests a list. It returns only a complete list, or one that can be applied to the current version.
 func (w *Watcher) poll(ctx context.Context, address string, request pollRequest) (*endpoints.List, error) {
-	list, err := w.fetch(ctx, "http://"+address+request.path(), request.timeout(w.isShared()))
+	list, err := w.fetch(ctx, "http://"+address+request.uri(), request.timeout(w.isShared()))
 	if err != nil {
 		return nil, err
 	}
 	if !list.Complete && (!request.asksForChanges() || *list.Version < request.after) {
-		return nil, fmt.Errorf("%w: a change to version %d where %d is held", errUnusableList, *list.Version, request.after)
+		return nil, fmt.Errorf("%w: changes up to version %d cannot be applied to version %d",
+			errUnusableList, *list.Version, request.after)
 	}
 	return list, nil
 }
 
-// accept makes a list's version the current one, and passes the list on unless it is an empty change.
+// accept sets the current version and passes the list on, unless it contains no changes.
 func (w *Watcher) accept(list *endpoints.List) {
 	if w.failures > 0 {
 		w.log.Info("endpoint poll recovered", slog.Int("failures", w.failures))
@@ -183,9 +189,9 @@
 	}
 }
 
-// pollFailed counts a failure, and logs the first in a row. After a list that cannot be used the complete one is needed, since
-// it is not known what the next change would apply to.
-func (w *Watcher) pollFailed(err error) {
+// recordFailure counts a failed poll and logs the first of consecutive ones. After an unusable list, the complete list is
+// needed, since it is not known which version the next changes would apply to.
+func (w *Watcher) recordFailure(err error) {
 	w.failures++
 	if w.failures == 1 {
 		w.log.Warn("endpoint poll failed", slog.String("reason", "POLL_FAILED"), slog.Any("error", err))
@@ -195,25 +201,29 @@
 	}
 }
 
-// retryDelay returns the pause after a poll that failed when it had lasted for a time. After the first failure since a success or
-// a move it is a random part of the spread, since the whole fleet may fail at once; after later ones, and after a failed first
-// poll of the process, it is all of the spread, which keeps the initiators apart. A watch that stayed silent for all of its wait leaves no time for that and needs none, since watches begin
-// apart.
-func (w *Watcher) retryDelay(request pollRequest, lasted time.Duration) time.Duration {
+// retryDelay returns the pause after a poll that failed after the given time. It is retryPause plus one of the following:
+//
+//   - after further consecutive failures, and if the first poll of the process fails: the whole spread, which keeps the polls
+//     of the initiators apart
+//   - if discovery did not respond within the wait of the poll: nothing. There is no time left for a longer pause, and no
+//     need for one, since the polls of the initiators begin at different times.
+//   - after any other first failure since a success or a change of address: a random part of the spread, since the polls of
+//     the whole fleet may fail at the same time
+func (w *Watcher) retryDelay(request pollRequest, elapsed time.Duration) time.Duration {
 	if w.alreadySpread {
 		return retryPause + w.spread
 	}
-	if request.wait > 0 && lasted >= request.wait {
+	if request.wait > 0 && elapsed >= request.wait {
 		return retryPause
 	}
 	w.alreadySpread = true
 	return retryPause + randomWithin(w.spread)
 }
 
-// randomWithin returns a random part of the span.
+// randomWithin returns a random duration in [0, span), or 0 if span is 0.
 func randomWithin(span time.Duration) time.Duration { return rand.N(max(span, 1)) }
 
-// pause waits for a time, or until the context ends.
+// pause waits for a duration, or until the context is done.
 func pause(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -17,14 +17,14 @@
 
 const entryJSON = `{"id":"a","addr":"127.0.0.1:1","zone":"z","kind":"k","cell":3,"state":"SERVING","weight":1.0,"started_ms":7}`
 
-// The limits of the acceptance runs that the polls must keep to.
+// Limits that the polls must keep in the acceptance runs.
 const (
-	// maxPollGap is how far apart two polls of one initiator may begin: an initiator must act on a change 6 s after discovery
-	// could be reached, and a poll may take queueTimeout.
-	maxPollGap = 6*time.Second - queueTimeout
-	// maxSilentWatch is how long a silent watch may stay open: an initiator must act 2 s after its wait on the changes that it
-	// misses. The rest of the 2 s is for the next poll.
-	maxSilentWatch = watchWait + 1800*time.Millisecond
+	// maxPollGap is the longest time between the beginnings of two polls of one initiator: an initiator must act on a change
+	// within 6 s after discovery becomes reachable, and a poll may take minSharedPollTimeout.
+	maxPollGap = 6*time.Second - minSharedPollTimeout
+	// maxSilentPoll is how long a poll without a response may stay open: an initiator must act on the changes that it missed
+	// within 2 s after the wait of that poll. The rest of the 2 s is for the next poll.
+	maxSilentPoll = longPollWait + 1800*time.Millisecond
 )
 
 func listJSON(version int, complete bool, entries ...string) string {
@@ -40,14 +40,14 @@
 	return list
 }
 
-// newTestWatcher returns a watcher, and the channel that it sends the versions of its lists to.
+// newTestWatcher returns a watcher, and a channel that receives the versions of the lists that it passes on.
 func newTestWatcher(address string, known *endpoints.List, spread time.Duration) (*Watcher, chan int64) {
 	versions := make(chan int64, 64)
 	notify := func(list *endpoints.List) { versions <- *list.Version }
 	return New(address, known, spread, notify, slog.New(slog.DiscardHandler)), versions
 }
 
-// startServer serves HTTP for the time of the test and returns its host:port address.
+// startServer starts an HTTP server that runs until the test ends, and returns its host:port address.
 func startServer(t *testing.T, handler http.HandlerFunc) string {
 	t.Helper()
 	server := httptest.NewServer(handler)
@@ -55,14 +55,14 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// write sends a body. If that fails the watcher sees it, and so does the test.
+// write sends a body. It ignores an error, since the watcher's poll then fails, which the test detects.
 func write(w io.Writer, body string) { _, _ = io.WriteString(w, body) }
 
 func expectURLs(t *testing.T, polled <-chan string, want ...string) {
 	t.Helper()
 	for i, url := range want {
 		if got := <-polled; got != url {
-			t.Fatalf("poll %d is %q, want %q", i, got, url)
+			t.Fatalf("poll %d: got URL %q, want %q", i, got, url)
 		}
 	}
 }
@@ -71,26 +71,26 @@
 	t.Helper()
 	for _, version := range want {
 		if got := <-versions; got != version {
-			t.Errorf("notified of version %d, want %d", got, version)
+			t.Errorf("got list of version %d, want %d", got, version)
 		}
 	}
 }
 
-// TestWatch plays discovery's responses in turn and checks polls and notifications. A watch goes on from the
-// last version, the known one at first, and also after a poll that failed. After a list that cannot be used
-// the complete one is polled.
+// TestWatch checks the watcher's polls and the lists that it passes on, for a sequence of responses. The watcher requests
+// the changes since the last version, which at first is that of the known list, even after a failed poll. After an unusable
+// list it requests the complete list.
 func TestWatch(t *testing.T) {
 	responses := []struct {
 		status int
 		body   string
-		poll   string // the poll that gets it
+		poll   string // the poll that gets this response
 	}{
 		{200, listJSON(5, true, entryJSON), "/api/targets?after=3&wait_ms=20000"},
 		{200, listJSON(6, false, strings.Replace(entryJSON, "SERVING", "DRAINING", 1)), "/api/targets?after=5&wait_ms=20000"},
 		{200, listJSON(6, false), "/api/targets?after=6&wait_ms=20000"},
 		{500, "", "/api/targets?after=6&wait_ms=20000"},
 		{200, "nonsense", "/api/targets?after=6&wait_ms=0"},
-		{200, listJSON(7, false, entryJSON), "/api/targets"}, // a change where the complete list was due
+		{200, listJSON(7, false, entryJSON), "/api/targets"}, // changes, although the complete list was requested
 		{200, listJSON(8, true, entryJSON), "/api/targets"},
 		{200, listJSON(2, false, entryJSON), "/api/targets?after=8&wait_ms=20000"}, // an earlier version
 		{200, listJSON(9, true, entryJSON), "/api/targets"},
@@ -120,7 +120,7 @@
 	expectVersions(t, versions, 3, 5, 6, 8, 9)
 }
 
-// testStartKey is the context key of a test's start, for the round trippers below.
+// testStartKey is the context key of the time at which a test started, for the round trippers below.
 type testStartKey struct{}
 
 func withTestStart(ctx context.Context) context.Context {
@@ -131,14 +131,15 @@
 	return time.Since(r.Context().Value(testStartKey{}).(time.Time))
 }
 
-// pollRecorder is a discovery that never responds to a poll, or fails each at once. It records when they begin.
+// pollRecorder is a discovery service that never responds to a poll or, if fail is set, fails each poll at once. It records
+// when the polls begin.
 type pollRecorder struct {
-	fail   bool
-	begins []time.Duration
+	fail      bool
+	pollTimes []time.Duration
 }
 
 func (p *pollRecorder) RoundTrip(r *http.Request) (*http.Response, error) {
-	p.begins = append(p.begins, sinceTestStart(r))
+	p.pollTimes = append(p.pollTimes, sinceTestStart(r))
 	if p.fail {
 		return &http.Response{StatusCode: http.StatusServiceUnavailable, Body: http.NoBody, Request: r}, nil
 	}
@@ -146,12 +147,11 @@
 	return nil, r.Context().Err()
 }
 
-// TestFleetPollsSpread
+// TestFleetPollsSpread checks that the first polls of many initiators that start at the same time, and the polls after a
+// failure, are spread out, but that an initiator makes its first poll, and the next one after a failure, within maxPollGap.
 //
-// Many initiators start at once on one discovery that serves them in turn. If all polled at once, nearly all
-// polls would be given up in its queue, and these would take all of its time again and again. The first
-// polls, and those after a failure, come spread out; but no two of one initiator are further apart than
-// maxPollGap.
+// It guards against an overload of a discovery service that serves the initiators in turn: if all polled at once, nearly all
+// polls would time out in its queue, and serving these would take all of its time again and again.
 func TestFleetPollsSpread(t *testing.T) {
 	const fleet = 300
 	const seconds = 60
@@ -159,33 +159,33 @@
 		synctest.Test(t, func(t *testing.T) {
 			pollsBySecond := map[int]int{}
 			total := 0
-			for i, begins := range runFleet(t, fleet, seconds*time.Second, fail) {
-				if len(begins) == 0 || begins[0] > maxPollGap {
-					t.Fatalf("initiator %d polled at %v, want a first poll within %v", i, begins, maxPollGap)
+			for i, pollTimes := range runFleet(t, fleet, seconds*time.Second, fail) {
+				if len(pollTimes) == 0 || pollTimes[0] > maxPollGap {
+					t.Fatalf("initiator %d polled at %v, want the first poll within %v", i, pollTimes, maxPollGap)
 				}
-				previous := begins[0]
-				for _, begin := range begins {
-					if fail && begin-previous > maxPollGap {
-						t.Fatalf("initiator %d polled at %v, more than %v apart", i, begins, maxPollGap)
+				previous := pollTimes[0]
+				for _, pollTime := range pollTimes {
+					if fail && pollTime-previous > maxPollGap {
+						t.Fatalf("initiator %d polled at %v, want gaps of at most %v", i, pollTimes, maxPollGap)
 					}
-					previous = begin
-					pollsBySecond[int(begin/time.Second)]++
+					previous = pollTime
+					pollsBySecond[int(pollTime/time.Second)]++
 					total++
 				}
 			}
 			for second, polls := range pollsBySecond {
-				if polls > fleet/2 { // spread evenly, a third
-					t.Errorf("failing %v: %d polls in second %d, want %d at most", fail, polls, second, fleet/2)
+				if polls > fleet/2 { // a third if spread evenly
+					t.Errorf("fail=%v: %d polls in second %d, want at most %d", fail, polls, second, fleet/2)
 				}
 			}
 			if total > fleet*seconds/3 {
-				t.Errorf("failing %v: %d polls in %d s", fail, total, seconds)
+				t.Errorf("fail=%v: too many polls: %d in %d s", fail, total, seconds)
 			}
 		})
 	}
 }
 
-// runFleet starts so many initiators at once for a time, and returns when each of them polled.
+// runFleet runs size initiators that start at the same time, for a duration, and returns when each of them polled.
 func runFleet(t *testing.T, size int, span time.Duration, fail bool) [][]time.Duration {
 	ctx, stop := context.WithCancel(withTestStart(context.Background()))
 	known := decodeList(t, listJSON(0, true, entryJSON))
@@ -199,43 +199,43 @@
 	time.Sleep(span)
 	stop()
 	synctest.Wait()
-	begins := make([][]time.Duration, size)
+	pollTimes := make([][]time.Duration, size)
 	for i, recorder := range recorders {
-		begins[i] = recorder.begins
+		pollTimes[i] = recorder.pollTimes
 	}
-	return begins
+	return pollTimes
 }
 
-// TestSilentPoll guards against a discovery that is down and keeps the connection open: the poll is given up.
-func TestSilentPoll(t *testing.T) {
+// TestFetchTimeout checks that a poll times out if discovery is down and keeps the connection open without a response.
+func TestFetchTimeout(t *testing.T) {
 	address := startServer(t, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
 	w, _ := newTestWatcher("", nil, 0)
 	if _, err := w.fetch(context.Background(), "http://"+address+"/api/targets", 50*time.Millisecond); err == nil {
-		t.Error("a silent poll had a result")
+		t.Error("fetch returned a list without a response")
 	}
 }
 
-// silentWatches is a discovery whose polls fall silent where they may wait for a change. It records when each
-// of these is given up.
-type silentWatches struct{ ends []time.Duration }
+// silentDiscovery is a discovery service that never responds to polls with a wait. It records when each of these polls is
+// cancelled.
+type silentDiscovery struct{ timeouts []time.Duration }
 
-func (s *silentWatches) RoundTrip(r *http.Request) (*http.Response, error) {
+func (s *silentDiscovery) RoundTrip(r *http.Request) (*http.Response, error) {
 	if wait := r.URL.Query().Get("wait_ms"); wait == "" || wait == "0" {
 		body := io.NopCloser(strings.NewReader(listJSON(1, true, entryJSON)))
 		return &http.Response{StatusCode: http.StatusOK, Body: body, Request: r}, nil
 	}
 	<-r.Context().Done()
-	s.ends = append(s.ends, sinceTestStart(r))
+	s.timeouts = append(s.timeouts, sinceTestStart(r))
 	return nil, r.Context().Err()
 }
 
-// TestSilentWatch guards against waiting on for a watch that has fallen silent: no watch stays open for more
-// than maxSilentWatch, also where polls are spread over a fleet, and the next one has begun by then.
-func TestSilentWatch(t *testing.T) {
+// TestSilentPollTimeout checks that no poll stays open for more than maxSilentPoll if discovery does not respond, and that
+// the next poll has begun by then. This also applies if the polls are spread over a fleet.
+func TestSilentPollTimeout(t *testing.T) {
 	for _, spread := range []time.Duration{0, time.Minute} {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, stop := context.WithCancel(withTestStart(context.Background()))
-			discovery := &silentWatches{}
+			discovery := &silentDiscovery{}
 			w, _ := newTestWatcher("127.0.0.1:1", nil, spread)
 			w.client.Transport = discovery
 			go w.Run(ctx)
@@ -243,21 +243,21 @@
 			stop()
 			synctest.Wait()
 			previous := min(spread, maxSpread)
-			for _, end := range discovery.ends {
-				if end-previous > maxSilentWatch {
-					t.Fatalf("spread %v: silent watches ended at %v, want none open for more than %v", spread, discovery.ends,
-						maxSilentWatch)
+			for _, end := range discovery.timeouts {
+				if end-previous > maxSilentPoll {
+					t.Fatalf("spread %v: polls without response ended at %v, want none open for more than %v", spread, discovery.timeouts,
+						maxSilentPoll)
 				}
 				previous = end
 			}
-			if len(discovery.ends) < 4 {
-				t.Errorf("spread %v: %d watches in two minutes", spread, len(discovery.ends))
+			if len(discovery.timeouts) < 4 {
+				t.Errorf("spread %v: %d polls in two minutes, want at least 4", spread, len(discovery.timeouts))
 			}
 		})
 	}
 }
 
-// serveUnchanged serves a complete list, and holds each poll for a change.
+// serveUnchanged returns a handler that serves a complete list, and never responds to polls for changes.
 func serveUnchanged(version int) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Has("after") {
@@ -268,7 +268,7 @@
 	}
 }
 
-// startRecorded starts a server that sends the URL of each poll to the channel.
+// startRecorded starts a server that sends the URL of each poll to the returned channel.
 func startRecorded(t *testing.T, handler http.HandlerFunc) (address string, polled chan string) {
 	t.Helper()
 	polled = make(chan string, 64)
@@ -279,8 +279,8 @@
 	return address, polled
 }
 
-// TestSetAddress has discovery move twice while a watch waits: the complete list is polled at once at the
-// last address, also where its version is an earlier one, and the first address is not polled again.
+// TestSetAddress checks two changes of discovery's address during a poll: the complete list is requested at once from the
+// last address, and accepted even if its version is older, and the first address is not polled again.
 func TestSetAddress(t *testing.T) {
 	first, polledFirst := startRecorded(t, serveUnchanged(9))
 	second, polledSecond := startRecorded(t, serveUnchanged(4))
@@ -294,15 +294,16 @@
 	expectURLs(t, polledSecond, "/api/targets", "/api/targets?after=4&wait_ms=20000")
 	expectVersions(t, versions, 9, 4)
 	if len(polledFirst) > 0 {
-		t.Errorf("the first address was polled again: %q", <-polledFirst)
+		t.Errorf("first address was polled again: %q", <-polledFirst)
 	}
 }
 
-// TestSetAddressAtOnce
+// TestSetAddressBeforeFirstPoll checks that the list is requested from the new address if the address changes before the
+// first poll.
 //
-// Discovery moves before its first address has been polled. The goroutine that polls read its address while
-// the move wrote it, which only the race detector sees. The list is had from the second address all the same.
-func TestSetAddressAtOnce(t *testing.T) {
+// It guards against a data race, which only the race detector finds: the polling goroutine read the address while SetAddress
+// wrote it.
+func TestSetAddressBeforeFirstPoll(t *testing.T) {
 	address := startServer(t, serveUnchanged(4))
 	for range 20 {
 		ctx, stop := context.WithCancel(context.Background())
