--- a/internal/upstream/httpresponse.go
+++ b/internal/upstream/httpresponse.go
@@ -89,8 +89,7 @@
 	}
 }
 
-// read reads the complete response to a request of the given method. Pass its error to failure, which makes it a
-// RoundTripResult.
+// read reads the complete response to a request of the given method. failureResult converts its error to a RoundTripResult.
 func (r *responseReader) read(method string) (*response, error) {
 	head, err := r.readFinalHead(method)
 	if err != nil {
--- a/internal/upstream/target.go
+++ b/internal/upstream/target.go
@@ -64,7 +64,7 @@
 		t.addr.Store(&address)
 	}
 	if before := scheduler.TargetState(t.state.Swap(int32(state))); before != state {
-		t.options.Logger.LogAttrs(context.Background(), slog.LevelDebug, "target changed",
+		t.options.Logger.LogAttrs(context.Background(), slog.LevelDebug, "target state changed",
 			slog.String("target", t.id), slog.String("from", before.String()), slog.String("to", state.String()))
 	}
 	t.mailbox.Put(endpointChanged{})
@@ -150,6 +150,7 @@
 	t.reportResult(dispatcher.AttemptResult{RequestID: a.RequestID, Number: a.Number, Target: t.id, Status: scheduler.NotSent})
 }
 
+// finish releases the resources of an attempt that has ended.
 func (t *target) finish(m attemptEnded) {
 	m.attempt.cancelContext()
 	// If a later attempt of the same request has already started at this target, the entry belongs to that attempt.
