--- a/cmd/simadapter/decode.go
+++ b/cmd/simadapter/decode.go
@@ -180,7 +180,7 @@
 		State: state,
 	}
 	if record.LaunchedUs != nil {
-		target.Started = config.Microseconds(*record.LaunchedUs)
+		target.StartedAt = config.Microseconds(*record.LaunchedUs)
 	}
 	return target, nil
 }
--- a/cmd/simadapter/encode.go
+++ b/cmd/simadapter/encode.go
@@ -21,7 +21,7 @@
 	case scheduler.SetTimer:
 		wire.Type = "remind"
 		wire.KeyBack = timerKey
-		wire.FromNowUs = action.After.Microseconds()
+		wire.FromNowUs = action.Delay.Microseconds()
 	case scheduler.WatchEndpoints:
 		wire.Type = "streamChanges"
 		wire.On = true
--- a/cmd/simadapter/samples_test.go
+++ b/cmd/simadapter/samples_test.go
@@ -23,7 +23,7 @@
 			`{"target":"target_azkaesv","failureDomain":"treforest","classOfHost":"node-std","cohort":4,"mode":"up","nominal":1.5,"launchedUs":6100000}]}`,
 			scheduler.EndpointList{Complete: true, Targets: []scheduler.Target{
 				{ID: "target_abuevth", Zone: "treforest", Shard: 0, State: scheduler.Serving},
-				{ID: "target_azkaesv", Zone: "treforest", Shard: 4, State: scheduler.Serving, Started: 6100 * time.Millisecond}}}},
+				{ID: "target_azkaesv", Zone: "treforest", Shard: 4, State: scheduler.Serving, StartedAt: 6100 * time.Millisecond}}}},
 		{`{"type":"members","initiatorId":"initiator_3","mode":"whole","gen":42,"records":[]}`, scheduler.EndpointList{Complete: true}},
 		{`{"type":"members","initiatorId":"initiator_3","mode":"patch","gen":43,"records":[` +
 			`{"target":"a","failureDomain":"z","classOfHost":"k","cohort":1,"mode":"draining","nominal":1,"launchedUs":0},` +
@@ -90,7 +90,7 @@
 			`{"type":"decline","initiatorId":"initiator_3","rid":"r","holdOffUs":250000}`},
 		{scheduler.Action{Kind: scheduler.Reject, RequestID: "r"}, `{"type":"decline","initiatorId":"initiator_3","rid":"r"}`},
 		{scheduler.Action{Kind: scheduler.Fail, RequestID: "r"}, `{"type":"lose","initiatorId":"initiator_3","rid":"r"}`},
-		{scheduler.Action{Kind: scheduler.SetTimer, After: 500 * time.Millisecond},
+		{scheduler.Action{Kind: scheduler.SetTimer, Delay: 500 * time.Millisecond},
 			`{"type":"remind","initiatorId":"initiator_3","keyBack":"step","fromNowUs":500000}`},
 		{scheduler.Action{Kind: scheduler.WatchEndpoints}, `{"type":"streamChanges","initiatorId":"initiator_3","on":true}`},
 	} {
@@ -117,7 +117,7 @@
 	got, err := wire.SchedulerSettings()
 	want := scheduler.Settings{
 		Initiators: 3, Tick: 2 * time.Millisecond, MaxAttempts: 3, MeanUnits: 1.98, MaxUnits: 6,
-		WithinShareFactor: 0.35, BeyondShareFactor: 0.1, UsageReportPeriod: time.Second, PollEndpoints: true,
+		WithinShareFactor: 0.35, BeyondShareFactor: 0.1, UsageReportPeriod: time.Second, WatchEndpoints: true,
 		Classes: []scheduler.Class{
 			{Name: "file-read", LatencyObjective: 200 * time.Millisecond, Deadline: 1200 * time.Millisecond, DedupWindow: 5 * time.Second, PriorityWeight: 2},
 			{Name: "file-write", LatencyObjective: 300 * time.Millisecond, Deadline: 2 * time.Second, Idempotency: scheduler.IdempotencyKey,
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -183,7 +183,7 @@
 
 // SharedDiscovery reports whether one discovery service serves the polls of all initiators in turn, so that they must be
 // spread. On the platform that is so where the endpoint list must be requested.
-func (c *Config) SharedDiscovery() bool { return c.Scheduler.PollEndpoints }
+func (c *Config) SharedDiscovery() bool { return c.Scheduler.WatchEndpoints }
 
 // ClassNames returns the set of configured request classes.
 func (c *Config) ClassNames() map[string]bool {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -94,7 +94,7 @@
 		WithinShareFactor: w.Extra.FairWorth,
 		BeyondShareFactor: w.Extra.IdleWorth,
 		UsageReportPeriod: Microseconds(w.Extra.MeteringUs),
-		PollEndpoints:     w.RegistryMode == registryModeOnRequest,
+		WatchEndpoints:    w.RegistryMode == registryModeOnRequest,
 	}
 	for i, wire := range w.Classes {
 		class, err := wire.class()
--- a/internal/dispatcher/actions.go
+++ b/internal/dispatcher/actions.go
@@ -11,7 +11,7 @@
 func (d *Dispatcher) execute(now time.Time, action scheduler.Action) {
 	switch action.Kind {
 	case scheduler.SetTimer:
-		d.setTimer(now.Add(action.After))
+		d.setTimer(now.Add(action.Delay))
 	case scheduler.Send:
 		if state := d.idleCall(action.RequestID); state != nil {
 			d.send(state, now, action)
--- a/internal/dispatcher/messages.go
+++ b/internal/dispatcher/messages.go
@@ -119,7 +119,7 @@
 func (d *Dispatcher) beginShutdown(now, deadline time.Time) {
 	d.shutdownDeadline = deadline
 	d.setTimer(deadline)
-	d.events = append(d.events, scheduler.Shutdown{Within: deadline.Sub(now)})
+	d.events = append(d.events, scheduler.Shutdown{GracePeriod: deadline.Sub(now)})
 }
 
 // cancelAtShutdown cancels all attempts in flight once the shutdown's deadline has passed. Their results follow, and the
--- a/internal/endpoints/endpoints.go
+++ b/internal/endpoints/endpoints.go
@@ -114,10 +114,10 @@
 // clock.
 func (e *Entry) Target(started time.Duration) scheduler.Target {
 	target := scheduler.Target{
-		ID:      e.ID,
-		Zone:    e.Zone,
-		State:   e.TargetState(),
-		Started: started,
+		ID:        e.ID,
+		Zone:      e.Zone,
+		State:     e.TargetState(),
+		StartedAt: started,
 	}
 	if e.Shard != nil {
 		target.Shard = *e.Shard
--- a/internal/endpoints/endpoints_test.go
+++ b/internal/endpoints/endpoints_test.go
@@ -45,7 +45,7 @@
 		t.Fatal(err)
 	}
 	const started = 5 * time.Second // on the scheduler's clock
-	want := scheduler.Target{ID: "a", Zone: "z", Shard: 3, Started: started}
+	want := scheduler.Target{ID: "a", Zone: "z", Shard: 3, StartedAt: started}
 	if got := list.Entries[0].Target(started); got != want {
 		t.Errorf("entry %+v, want %+v", got, want)
 	}
--- a/scheduler/actions.go
+++ b/scheduler/actions.go
@@ -27,5 +27,5 @@
 	Timeout     time.Duration // of a Send: the attempt times out after it
 	StartWithin time.Duration // of a Send: the first byte must leave within it; 0: at any time
 	RetryAfter  time.Duration // of a Reject: how long the client should wait; 0: no advice
-	After       time.Duration // of a SetTimer
+	Delay       time.Duration // of a SetTimer
 }
--- a/scheduler/completion.go
+++ b/scheduler/completion.go
@@ -62,7 +62,7 @@
 // onShutdown shortens the deadlines of all requests, also of those yet to arrive. An attempt in flight keeps
 // its timeout: the caller cancels it at the shutdown's deadline, and its end brings the response.
 func (s *Scheduler) onShutdown(e Shutdown) {
-	s.shutdownDeadline = s.now + e.Within
+	s.shutdownDeadline = s.now + e.GracePeriod
 	for _, r := range s.requests {
 		r.deadline = min(r.deadline, s.shutdownDeadline)
 		r.giveUpAt = min(r.giveUpAt, r.deadline-s.timerMargin())
--- a/scheduler/completion_test.go
+++ b/scheduler/completion_test.go
@@ -91,7 +91,7 @@
 	h.step(queued)
 	h.advance(100 * ms)
 	shutdownAt := h.now
-	h.step(Shutdown{Within: 500 * ms})
+	h.step(Shutdown{GracePeriod: 500 * ms})
 	late := testRequest("late", "v", 1)
 	late.Shard = 1
 	h.advance(400 * ms)
@@ -115,7 +115,7 @@
 	const within = 500 * ms
 	for _, after := range []time.Duration{within, within + ms, 2 * within} {
 		h := newHarness(t, testSettings(), servingTarget(testTarget, 0))
-		h.step(Shutdown{Within: within})
+		h.step(Shutdown{GracePeriod: within})
 		h.now += after
 		h.step(testRequest("a", "v", 1))
 		if len(h.sends) != 0 || len(h.responses) != 1 || h.responses[0].Kind != Reject {
--- a/scheduler/endpoints.go
+++ b/scheduler/endpoints.go
@@ -70,7 +70,7 @@
 		s.targetsByID[entry.ID] = t
 		s.targets = append(s.targets, t)
 	}
-	if entry.Started != t.Started && s.now-entry.Started < s.slowStart.Duration {
+	if entry.StartedAt != t.StartedAt && s.now-entry.StartedAt < s.slowStart.Duration {
 		s.onTargetRestart(t)
 	}
 	t.Target = entry
@@ -113,7 +113,7 @@
 	for _, q := range s.shardQueues {
 		q.target = nil
 		for _, t := range s.targets {
-			if t.Shard == q.shard && t.State == Serving && (q.target == nil || t.Started > q.target.Started) {
+			if t.Shard == q.shard && t.State == Serving && (q.target == nil || t.StartedAt > q.target.StartedAt) {
 				q.target = t
 			}
 		}
--- a/scheduler/endpoints_test.go
+++ b/scheduler/endpoints_test.go
@@ -57,8 +57,8 @@
 // TestLatestStartServesShard lists two serving targets of one shard, as when a target moves. The one that
 // started last serves the shard.
 func TestLatestStartServesShard(t *testing.T) {
-	older := Target{ID: "older", Started: 100 * ms}
-	newer := Target{ID: "newer", Started: 200 * ms}
+	older := Target{ID: "older", StartedAt: 100 * ms}
+	newer := Target{ID: "newer", StartedAt: 200 * ms}
 	for _, targets := range [][]Target{{older, newer}, {newer, older}} {
 		h := newHarness(t, testSettings(), targets...)
 		h.step(testRequest("a", "v", 1))
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -27,11 +27,11 @@
 
 // Target is an entry of the endpoint list.
 type Target struct {
-	ID      string
-	Zone    string // failure domain
-	Shard   int    // the one shard that it serves
-	State   TargetState
-	Started time.Duration // time of its last start; 0: long ago
+	ID        string
+	Zone      string // failure domain
+	Shard     int    // the one shard that it serves
+	State     TargetState
+	StartedAt time.Duration // time of its last start; 0: long ago
 }
 
 // EndpointList is the endpoint list, or a change of it.
@@ -135,7 +135,7 @@
 
 // Shutdown begins the graceful shutdown: each request, also one yet to arrive, must end within that time from
 // now.
-type Shutdown struct{ Within time.Duration }
+type Shutdown struct{ GracePeriod time.Duration }
 
 // Timer reports that the timer set by SetTimer is due.
 type Timer struct{}
--- a/scheduler/rulechecks_test.go
+++ b/scheduler/rulechecks_test.go
@@ -29,7 +29,7 @@
 func (s *simulation) checkAction(action Action) {
 	switch action.Kind {
 	case SetTimer:
-		s.timers = append(s.timers, s.now+action.After)
+		s.timers = append(s.timers, s.now+action.Delay)
 		return
 	case WatchEndpoints:
 		return
@@ -109,13 +109,13 @@
 // much.
 func (s *simulation) checkSlowStart(r *observedRequest, t Target) {
 	slowStart := s.settings.SlowStart
-	age := s.now - t.Started
-	if slowStart.Window <= 0 || t.Started <= 0 || age >= slowStart.Duration {
+	age := s.now - t.StartedAt
+	if slowStart.Window <= 0 || t.StartedAt <= 0 || age >= slowStart.Duration {
 		return
 	}
 	addUnits(s.slowStart, t.ID, s.now, r.Units)
 	windowStart := s.now - slowStart.Window
-	sent := sumAfter(s.slowStart[t.ID], windowStart, t.Started)
+	sent := sumAfter(s.slowStart[t.ID], windowStart, t.StartedAt)
 	served := sumAfter(s.served[t.ID], windowStart, 0)
 	capacity := slowStart.InitialCapacity + (1-slowStart.InitialCapacity)*age.Seconds()/slowStart.Duration.Seconds()
 	evenPart := slowStart.Budget / float64(s.settings.Initiators) * capacity / slowStart.InitialCapacity
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -78,7 +78,7 @@
 		queueingFactor:    initialQueueingFactor,
 		slowStart:         newSlowStart(&settings),
 		retryBudget:       retryBudget{RetryBudget: settings.RetryBudget, tick: settings.Tick},
-		poller:            newEndpointPoller(settings.PollEndpoints),
+		poller:            newEndpointPoller(settings.WatchEndpoints),
 		timer:             wakeTimer{setFor: never},
 	}
 	s.indexClassesAndPlans()
--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -86,7 +86,7 @@
 	WithinShareFactor float64       // part of the priority weight for units beyond the reservation
 	BeyondShareFactor float64       // part of the priority weight for units beyond the volume's share
 	UsageReportPeriod time.Duration // period of the usage reports; 0: there are none
-	PollEndpoints     bool          // the endpoint list must be requested with WatchEndpoints
+	WatchEndpoints    bool          // the endpoint list must be requested with WatchEndpoints
 }
 
 // SettingsError reports a setting with which no scheduler can run.
--- a/scheduler/simulation_test.go
+++ b/scheduler/simulation_test.go
@@ -171,7 +171,7 @@
 	t.Zone = []string{"a", "b"}[number/4]
 	t.State = TargetState(s.rng.IntN(3))
 	if t.State == Serving && s.chance(0.5) {
-		t.Started = s.now - time.Duration(s.rng.IntN(500))*ms
+		t.StartedAt = s.now - time.Duration(s.rng.IntN(500))*ms
 	}
 	return t
 }
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -31,7 +31,7 @@
 
 // isInSlowStart reports whether the target started within the slow-start duration: its capacity still grows.
 func (p *slowStart) isInSlowStart(t *target, now time.Duration) bool {
-	return t.Started > 0 && now-t.Started < p.Duration
+	return t.StartedAt > 0 && now-t.StartedAt < p.Duration
 }
 
 // admitAt returns the time from which that many units may go to the target, or a time at which to ask
@@ -49,7 +49,7 @@
 	if p.Window <= 0 || !p.isInSlowStart(t, now) {
 		return 0
 	}
-	if p.oneRequestPerWindow && sent == 0 || sent+units <= p.budget(now-t.Started, served) {
+	if p.oneRequestPerWindow && sent == 0 || sent+units <= p.budget(now-t.StartedAt, served) {
 		return 0
 	}
 	return now + p.Window/slowStartChecks
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -47,7 +47,7 @@
 	h := newSeededHarness(t, settings, seed)
 	h.advance(20 * time.Second)
 	h.step(EndpointList{Complete: true, Targets: []Target{servingTarget(testTarget, 0)}})
-	h.step(EndpointList{Targets: []Target{{ID: testTarget, Started: h.now - time.Second}}})
+	h.step(EndpointList{Targets: []Target{{ID: testTarget, StartedAt: h.now - time.Second}}})
 	listedAt := h.now
 	var sent []time.Duration
 	for i := range 400 {
@@ -74,7 +74,7 @@
 		OverloadFactor:  4,
 	}
 	h := newHarness(t, settings, servingTarget(testTarget, 0))
-	h.step(EndpointList{Targets: []Target{{ID: testTarget, Started: h.now}}})
+	h.step(EndpointList{Targets: []Target{{ID: testTarget, StartedAt: h.now}}})
 	n := h.target()
 	var sent, answered []time.Duration
 	since := func(times []time.Duration) int {
@@ -153,7 +153,7 @@
 		SlowStart:  SlowStart{Budget: 5, InitialCapacity: 0.5, Duration: 10 * time.Second, Window: time.Second},
 	})
 	start := time.Minute
-	started := &target{Target: Target{Started: start}}
+	started := &target{Target: Target{StartedAt: start}}
 	started.recentlySent.add(start, 5)
 	if at := policy.admitAt(start, started, 1); at <= start {
 		t.Error("a sixth unit is admitted at the start")
--- a/scheduler/sweep_test.go
+++ b/scheduler/sweep_test.go
@@ -50,7 +50,7 @@
 // a new target in place of the last. Each second attempt loses its connection.
 func (h *harness) playChurn(i int) {
 	if i%10 == 0 {
-		only := Target{ID: fmt.Sprintf("n%d", i), Started: h.now - time.Hour}
+		only := Target{ID: fmt.Sprintf("n%d", i), StartedAt: h.now - time.Hour}
 		h.step(EndpointList{Complete: true, Targets: []Target{only}})
 	}
 	request := testRequest(fmt.Sprintf("r%d", i), fmt.Sprintf("v%d", i), 1)
--- a/scheduler/timer.go
+++ b/scheduler/timer.go
@@ -33,7 +33,7 @@
 	next := min(s.timer.nextWorkAt, s.now+s.shortestObjective/timersPerObjective)
 	if next < s.timer.setFor {
 		s.timer.setFor = next
-		s.emit(Action{Kind: SetTimer, After: max(next-s.now, s.settings.Tick)})
+		s.emit(Action{Kind: SetTimer, Delay: max(next-s.now, s.settings.Tick)})
 	}
 }
 
--- a/scheduler/timer_test.go
+++ b/scheduler/timer_test.go
@@ -15,7 +15,7 @@
 		after := time.Duration(-1)
 		for _, action := range h.step(Timer{}) {
 			if action.Kind == SetTimer {
-				after = action.After
+				after = action.Delay
 			}
 		}
 		if after < 0 {
