--- a/internal/clienthttp/conn.go
+++ b/internal/clienthttp/conn.go
@@ -166,14 +166,14 @@
 		return markClosed()
 	}
 	if observed == stateIdle && c.hasResponded.Load() {
-		return socket.ShutdownIfQuiet(c.Conn, "", markClosed)
+		return socket.ShutdownIfIdle(c.Conn, "", markClosed)
 	}
-	return socket.ShutdownIfQuiet(c.Conn, unservedResponse, markClosed)
+	return socket.ShutdownIfIdle(c.Conn, unservedResponse, markClosed)
 }
 
 // peerClosed reports whether the client has closed the connection or its write side, also if bytes from before are unread.
 func (c *clientConn) peerClosed() bool {
-	return c.Conn != nil && socket.IsPeerClosed(c.Conn)
+	return c.Conn != nil && socket.ClosedByPeer(c.Conn)
 }
 
 // isCloseUndetected reports whether net/http no longer detects that the client closes.
--- a/internal/clienthttp/conn_test.go
+++ b/internal/clienthttp/conn_test.go
@@ -271,7 +271,7 @@
 func awaitUnread(t *testing.T, conn net.Conn) {
 	t.Helper()
 	giveUpAt := time.Now().Add(testTimeout)
-	for socket.IsQuiet(conn) {
+	for socket.IsOpenAndIdle(conn) {
 		if time.Now().After(giveUpAt) {
 			t.Fatalf("nothing arrived within %v", testTimeout)
 		}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -126,7 +126,7 @@
 		return err
 	}
 	if f.Known != nil {
-		if err := f.Known.Check(); err != nil {
+		if err := f.Known.Validate(); err != nil {
 			return &FieldError{Field: "known", Err: err}
 		}
 	}
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -37,8 +37,8 @@
 	notify    func(*endpoints.List)
 	log       *slog.Logger
 	client    http.Client
-	lists     *mailbox.Box[*endpoints.List]
-	addresses *mailbox.Box[string]
+	lists     *mailbox.Mailbox[*endpoints.List]
+	addresses *mailbox.Mailbox[string]
 
 	// These are owned by the goroutine of watchAt while that runs, else by that of watch.
 	version       int64 // the latest one; noVersion: the complete list is needed
--- a/internal/dispatcher/actions.go
+++ b/internal/dispatcher/actions.go
@@ -71,7 +71,7 @@
 		return
 	}
 	state.answered = true
-	response.LastAttempt = state.lastStatus
+	response.LastAttemptStatus = state.lastStatus
 	d.logResponse(state, response)
 	state.call.Respond(response)
 }
--- a/internal/dispatcher/call.go
+++ b/internal/dispatcher/call.go
@@ -39,10 +39,10 @@
 
 // Response is the one final answer to a request.
 type Response struct {
-	Status      Status
-	Payload     any                     // what the upstream returned; set if Status is Served
-	RetryAfter  time.Duration           // how long the client should wait before it sends the request again; 0: no advice
-	LastAttempt scheduler.AttemptStatus // how the last attempt ended; without meaning if there was none
+	Status            Status
+	Payload           any                     // what the upstream returned; set if Status is Served
+	RetryAfter        time.Duration           // how long the client should wait before it sends the request again; 0: no advice
+	LastAttemptStatus scheduler.AttemptStatus // how the last attempt ended; without meaning if there was none
 }
 
 // overloadRetryAfter is the Retry-After of Overloaded: it gives open calls time to end before the client asks again.
--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -33,7 +33,7 @@
 	clock     Clock
 	options   Options
 
-	inbox     *mailbox.Box[message]
+	inbox     *mailbox.Mailbox[message]
 	openCalls atomic.Int64 // submitted and not released yet
 
 	calls      callTable
--- a/internal/dispatcher/dispatcher_test.go
+++ b/internal/dispatcher/dispatcher_test.go
@@ -147,7 +147,7 @@
 		if len(h.upstream.sent) != 1 {
 			t.Errorf("%v: %d attempts, want 1", status, len(h.upstream.sent))
 		}
-		if len(h.responses) != 1 || h.responses[0].Status != Failed || h.responses[0].LastAttempt != status {
+		if len(h.responses) != 1 || h.responses[0].Status != Failed || h.responses[0].LastAttemptStatus != status {
 			t.Errorf("%v: responses %+v, want one failure", status, h.responses)
 		}
 	}
--- a/internal/endpoints/endpoints.go
+++ b/internal/endpoints/endpoints.go
@@ -65,14 +65,14 @@
 	if err := jsoniter.ConfigCompatibleWithStandardLibrary.Unmarshal(data, &list); err != nil {
 		return nil, fmt.Errorf("list: %w", err)
 	}
-	if err := list.Check(); err != nil {
+	if err := list.Validate(); err != nil {
 		return nil, err
 	}
 	return &list, nil
 }
 
-// Check returns a FieldError for the first field that cannot be used.
-func (l *List) Check() error {
+// Validate returns a FieldError for the first field that cannot be used.
+func (l *List) Validate() error {
 	if l.Version == nil {
 		return &FieldError{Field: "version", Err: errMissing}
 	}
--- a/internal/mailbox/mailbox.go
+++ b/internal/mailbox/mailbox.go
@@ -3,23 +3,23 @@
 
 import "sync"
 
-// Box is a queue that any goroutine puts messages into and one goroutine, its owner, takes them from.
+// Mailbox is a queue that any goroutine puts messages into and one goroutine, its owner, takes them from.
 //
 // It has no bound, so Put neither blocks nor drops: two owners that send to each other cannot deadlock, and no result is
 // lost. What may pile up must be bounded where work is admitted, as by the limits on client connections and open calls.
-type Box[T any] struct {
+type Mailbox[T any] struct {
 	mu       sync.Mutex
 	messages []T
 	wake     chan struct{} // holds one value while a wake-up is pending
 }
 
 // New returns an empty mailbox.
-func New[T any]() *Box[T] {
-	return &Box[T]{wake: make(chan struct{}, 1)}
+func New[T any]() *Mailbox[T] {
+	return &Mailbox[T]{wake: make(chan struct{}, 1)}
 }
 
 // Put adds a message. It never blocks, and is safe for concurrent use.
-func (b *Box[T]) Put(message T) {
+func (b *Mailbox[T]) Put(message T) {
 	b.mu.Lock()
 	b.messages = append(b.messages, message)
 	b.mu.Unlock()
@@ -31,11 +31,11 @@
 
 // Wake returns a channel that is readable when there may be messages to take. A wake-up may be spurious: another Take may
 // have taken the messages.
-func (b *Box[T]) Wake() <-chan struct{} { return b.wake }
+func (b *Mailbox[T]) Wake() <-chan struct{} { return b.wake }
 
 // Take removes and returns all messages, in the order of their Puts; none: an empty slice. Take reuses the memory of spare,
 // which the caller must not use any more: the slice of an earlier Take, or nil.
-func (b *Box[T]) Take(spare []T) []T {
+func (b *Mailbox[T]) Take(spare []T) []T {
 	clear(spare)
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/nvme/controllerqueue.go
+++ b/internal/nvme/controllerqueue.go
@@ -29,7 +29,7 @@
 	acceptedAt time.Time
 	framing    framing
 
-	outbox    *mailbox.Box[[]byte] // PDUs to send; nil ends the connection
+	outbox    *mailbox.Mailbox[[]byte] // PDUs to send; nil ends the connection
 	endOnce   sync.Once
 	endReason string
 	done      chan struct{} // closed after the connection
--- a/internal/nvme/iocommand.go
+++ b/internal/nvme/iocommand.go
@@ -118,7 +118,7 @@
 		Request:    namespace.request(p.io),
 		ReceivedAt: time.Now(),
 		Payload:    p.io,
-		ClientGone: func() bool { return socket.IsPeerClosed(q.conn) },
+		ClientGone: func() bool { return socket.ClosedByPeer(q.conn) },
 		Respond:    func(response dispatcher.Response) { q.respond(p, response, advancedRetry) },
 	}
 	deadline := q.server.options.ClassDeadlines[call.Class]
--- a/internal/nvme/server_test.go
+++ b/internal/nvme/server_test.go
@@ -24,7 +24,7 @@
 		return dispatcher.Response{Status: dispatcher.Rejected, RetryAfter: retryAfter}
 	}
 	failed := func(last scheduler.AttemptStatus) dispatcher.Response {
-		return dispatcher.Response{Status: dispatcher.Failed, LastAttempt: last}
+		return dispatcher.Response{Status: dispatcher.Failed, LastAttemptStatus: last}
 	}
 	for _, c := range []struct {
 		name          string
--- a/internal/nvme/status.go
+++ b/internal/nvme/status.go
@@ -88,7 +88,7 @@
 		}
 		return statusNamespaceNotReady
 	}
-	if response.LastAttempt == scheduler.DeadlineExceeded || response.LastAttempt == scheduler.ConnectionReset {
+	if response.LastAttemptStatus == scheduler.DeadlineExceeded || response.LastAttemptStatus == scheduler.ConnectionReset {
 		return statusTransientTransport | statusDoNotRetry
 	}
 	return statusInternalError | statusDoNotRetry
--- a/internal/nvme/targetqueue.go
+++ b/internal/nvme/targetqueue.go
@@ -31,7 +31,7 @@
 }
 
 // IsIdle implements upstream.Conn.
-func (q *targetQueue) IsIdle() bool { return q.in.Buffered() == 0 && socket.IsQuiet(q.Conn) }
+func (q *targetQueue) IsIdle() bool { return q.in.Buffered() == 0 && socket.IsOpenAndIdle(q.Conn) }
 
 // RoundTrip implements upstream.Conn for one read or write, an *IORequest. A write's data is in the capsule where it fits,
 // else it is sent when the controller asks for it.
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -22,12 +22,12 @@
 // peekFlags make a receive look at the first byte without taking it and without waiting.
 const peekFlags = syscall.MSG_PEEK | syscall.MSG_DONTWAIT
 
-// IsQuiet reports whether a connection is open and nothing is unread on it. It never waits.
+// IsOpenAndIdle reports whether a connection is open and nothing is unread on it. It never waits.
 //
 // Prevents the use of a pooled connection that the other side has closed, or on which a late response would be taken for that
 // of the next request, because both show as a read that would not wait. It is so at the time of the call: whatever arrives
 // later is for the caller to detect.
-func IsQuiet(conn net.Conn) bool {
+func IsOpenAndIdle(conn net.Conn) bool {
 	syscallConn, ok := conn.(syscall.Conn)
 	if !ok {
 		return true
@@ -46,7 +46,7 @@
 	return err == nil && quiet
 }
 
-// ShutdownIfQuiet shuts a connection down in both directions if it is open, nothing is unread on it, and confirm then returns
+// ShutdownIfIdle shuts a connection down in both directions if it is open, nothing is unread on it, and confirm then returns
 // true. It reports whether it did; the caller still has to close the connection. A finalMessage that is not empty is sent
 // first, as far as the send buffer has space at once.
 //
@@ -54,7 +54,7 @@
 // this goroutine again, because the raw system calls follow one another without a call into the Go scheduler. A small window
 // remains between the two system calls: bytes that arrive in it are answered by a reset, as are those that arrive after the
 // shutdown.
-func ShutdownIfQuiet(conn net.Conn, finalMessage string, confirm func() bool) bool {
+func ShutdownIfIdle(conn net.Conn, finalMessage string, confirm func() bool) bool {
 	syscallConn, ok := conn.(syscall.Conn)
 	if !ok {
 		return confirm()
@@ -101,13 +101,13 @@
 		uintptr(unsafe.Pointer(&message[0])), uintptr(len(message)), syscall.MSG_DONTWAIT|syscall.MSG_NOSIGNAL, 0, 0)
 }
 
-// IsPeerClosed reports whether the other side has closed or reset a connection, also if bytes from before are still unread. A
+// ClosedByPeer reports whether the other side has closed or reset a connection, also if bytes from before are still unread. A
 // close of its write side alone (half-close) counts as well: the two look the same from here. So does a connection that this
 // side has closed.
 //
 // Prevents work for a client that has closed, which a read would show only after all unread bytes, such as those of pipelined
 // requests, because the kernel reports the close apart from the data.
-func IsPeerClosed(conn net.Conn) bool {
+func ClosedByPeer(conn net.Conn) bool {
 	syscallConn, ok := conn.(syscall.Conn)
 	if !ok {
 		return false
--- a/internal/socket/socket_test.go
+++ b/internal/socket/socket_test.go
@@ -72,28 +72,28 @@
 // TestIsQuiet checks the three states of a pooled connection, and that the look takes nothing from it.
 func TestIsQuiet(t *testing.T) {
 	client, accepted := connPair(t)
-	if !IsQuiet(accepted) {
+	if !IsOpenAndIdle(accepted) {
 		t.Error("an open connection with nothing unread is not quiet")
 	}
 	write(t, client, "ab")
-	await(t, "unread bytes show", func() bool { return !IsQuiet(accepted) })
+	await(t, "unread bytes show", func() bool { return !IsOpenAndIdle(accepted) })
 	buffer := make([]byte, 2)
 	if _, err := io.ReadFull(accepted, buffer); err != nil || string(buffer) != "ab" {
 		t.Errorf("read %q, %v after the look", buffer, err)
 	}
-	if !IsQuiet(accepted) {
+	if !IsOpenAndIdle(accepted) {
 		t.Error("not quiet after all was read")
 	}
 	if err := client.Close(); err != nil {
 		t.Fatal(err)
 	}
-	await(t, "the close shows", func() bool { return !IsQuiet(accepted) })
+	await(t, "the close shows", func() bool { return !IsOpenAndIdle(accepted) })
 }
 
 // TestShutdownIfQuiet shuts an idle connection down: the client gets the final message and the end.
 func TestShutdownIfQuiet(t *testing.T) {
 	client, accepted := connPair(t)
-	if !ShutdownIfQuiet(accepted, "bye", agree) {
+	if !ShutdownIfIdle(accepted, "bye", agree) {
 		t.Fatal("not shut down")
 	}
 	if got, err := io.ReadAll(client); err != nil || string(got) != "bye" {
@@ -106,13 +106,13 @@
 func TestShutdownKeepsUnreadBytes(t *testing.T) {
 	client, accepted := connPair(t)
 	write(t, client, "G")
-	await(t, "the byte arrives", func() bool { return !IsQuiet(accepted) })
+	await(t, "the byte arrives", func() bool { return !IsOpenAndIdle(accepted) })
 	confirmed := false
 	confirm := func() bool {
 		confirmed = true
 		return true
 	}
-	if ShutdownIfQuiet(accepted, "bye", confirm) || confirmed {
+	if ShutdownIfIdle(accepted, "bye", confirm) || confirmed {
 		t.Errorf("shut down over an unread byte, or confirm was called: %v", confirmed)
 	}
 	wantOpen(t, client, accepted)
@@ -121,7 +121,7 @@
 // TestShutdownNeedsConfirmation wants a connection left open if confirm returns false.
 func TestShutdownNeedsConfirmation(t *testing.T) {
 	client, accepted := connPair(t)
-	if ShutdownIfQuiet(accepted, "bye", func() bool { return false }) {
+	if ShutdownIfIdle(accepted, "bye", func() bool { return false }) {
 		t.Error("shut down though confirm returned false")
 	}
 	wantOpen(t, client, accepted)
@@ -141,18 +141,18 @@
 func TestIsPeerClosed(t *testing.T) {
 	client, accepted := connPair(t)
 	write(t, client, "request")
-	await(t, "the bytes arrive", func() bool { return !IsQuiet(accepted) })
-	if IsPeerClosed(accepted) {
+	await(t, "the bytes arrive", func() bool { return !IsOpenAndIdle(accepted) })
+	if ClosedByPeer(accepted) {
 		t.Error("closed before the client closed")
 	}
 	if err := client.CloseWrite(); err != nil {
 		t.Fatal(err)
 	}
-	await(t, "the close shows behind unread bytes", func() bool { return IsPeerClosed(accepted) })
+	await(t, "the close shows behind unread bytes", func() bool { return ClosedByPeer(accepted) })
 	if err := accepted.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if !IsPeerClosed(accepted) {
+	if !ClosedByPeer(accepted) {
 		t.Error("a connection closed on this side counts as open")
 	}
 }
@@ -208,8 +208,8 @@
 		_ = conn.Close()
 		_ = peer.Close()
 	})
-	if !IsQuiet(conn) || IsPeerClosed(conn) || !ShutdownIfQuiet(conn, "", agree) {
-		t.Errorf("quiet %v, closed by peer %v", IsQuiet(conn), IsPeerClosed(conn))
+	if !IsOpenAndIdle(conn) || ClosedByPeer(conn) || !ShutdownIfIdle(conn, "", agree) {
+		t.Errorf("quiet %v, closed by peer %v", IsOpenAndIdle(conn), ClosedByPeer(conn))
 	}
 }
 
--- a/internal/upstream/http.go
+++ b/internal/upstream/http.go
@@ -77,4 +77,4 @@
 }
 
 // IsIdle implements Conn.
-func (c *httpConn) IsIdle() bool { return socket.IsQuiet(c.Conn) }
+func (c *httpConn) IsIdle() bool { return socket.IsOpenAndIdle(c.Conn) }
--- a/internal/upstream/target.go
+++ b/internal/upstream/target.go
@@ -25,7 +25,7 @@
 	options Options
 	report  func(dispatcher.AttemptResult)
 	log     connLog
-	mailbox *mailbox.Box[message]
+	mailbox *mailbox.Mailbox[message]
 
 	// The registry writes these. The state is read right before the first byte of an attempt, the address when a connection is
 	// dialed, and both when idle connections are pruned.
