--- a/scheduler/endpoints.go
+++ b/scheduler/endpoints.go
@@ -113,7 +113,8 @@
 	for _, q := range s.shardQueues {
 		q.target = nil
 		for _, t := range s.targets {
-			if t.Shard == q.shard && t.State == Serving && (q.target == nil || t.StartedAt > q.target.StartedAt) {
+			if t.Shard == q.shard && t.State == Serving &&
+				(q.target == nil || t.StartedAt > q.target.StartedAt) {
 				q.target = t
 			}
 		}
