--- a/internal/upstream/http.go
+++ b/internal/upstream/http.go
@@ -77,4 +77,4 @@
 }
 
 // IsIdle implements Conn.
-func (c *httpConn) IsIdle() bool { return socket.IsQuiet(c.Conn) }
+func (c *httpConn) IsIdle() bool { return socket.IsOpenAndIdle(c.Conn) }
--- a/internal/upstream/target.go
+++ b/internal/upstream/target.go
@@ -25,7 +25,7 @@
 	options      Options
 	reportResult func(dispatcher.AttemptResult)
 	log          connLog
-	mailbox      *mailbox.Box[message]
+	mailbox      *mailbox.Mailbox[message]
 
 	// The registry writes state and addr. The state is read when an attempt starts and right before its first byte, the
 	// address when a connection is dialed, and both when idle connections are pruned.
