--- a/scheduler/actions.go
+++ b/scheduler/actions.go
@@ -2,30 +2,31 @@
 
 import "time"
 
-// ActionKind says what an Action asks for.
+// ActionKind is the kind of an Action.
 type ActionKind int
 
 const (
 	// Send starts an attempt of RequestID at Target, with Timeout and StartWithin.
 	Send ActionKind = iota
-	// Reject ends RequestID with the promise that a repeat by the client is harmless; an idempotent request
-	// may have been executed. RetryAfter is the advice to the client.
+	// Reject ends RequestID and tells the client that it is safe to send the request again: it was not
+	// executed, or its class makes a repeat safe. RetryAfter is the advice to the client.
 	Reject
-	// Fail ends RequestID with no promise about its effect.
+	// Fail ends RequestID without stating whether it was executed.
 	Fail
-	// SetTimer asks for a Timer event in After from now. It replaces a later timer.
+	// SetTimer requests a Timer event after Delay. It replaces a timer that would fire later.
 	SetTimer
-	// WatchEndpoints asks for the endpoint list and its changes.
+	// WatchEndpoints requests the endpoint list and all later changes to it.
 	WatchEndpoints
 )
 
-// Action is one thing for the caller to do. A field that the Kind does not mention is zero.
+// Action is one instruction to the caller. Fields that the description of its Kind does not mention are
+// zero.
 type Action struct {
 	Kind        ActionKind
 	RequestID   string
 	Target      string
-	Timeout     time.Duration // of a Send: the attempt times out after it
-	StartWithin time.Duration // of a Send: the first byte must leave within it; 0: at any time
-	RetryAfter  time.Duration // of a Reject: how long the client should wait; 0: no advice
-	Delay       time.Duration // of a SetTimer
+	Timeout     time.Duration // for Send: maximum duration of the attempt
+	StartWithin time.Duration // for Send: the first byte must be sent within this time; 0: no bound
+	RetryAfter  time.Duration // for Reject: how long the client should wait before it retries; 0: no advice
+	Delay       time.Duration // for SetTimer: time from now to the Timer event
 }
--- a/scheduler/arrival.go
+++ b/scheduler/arrival.go
@@ -3,16 +3,15 @@
 import "time"
 
 const (
-	// giveUpMarginTicks is how many ticks before half of its timeout a request is given up of which no
-	// attempt was sent completely,
-	// so that the client has the response by then.
+	// giveUpMarginTicks is a margin in ticks: a request of which no attempt was sent completely is given
+	// up this long before half of its timeout, so that the client has the response by then.
 	giveUpMarginTicks = 4
-	// timerMarginTicks is the timer margin in ticks: a timer may come a tick late, and so may the step after
-	// it.
+	// timerMarginTicks is the timer margin in ticks: a timer may be one tick late, and so may the step
+	// after it.
 	timerMarginTicks = 2
 )
 
-// onRequest handles a new request: it is queued for its shard, or rejected at once.
+// onRequest handles a new request: it queues the request for its shard or rejects it at once.
 func (s *Scheduler) onRequest(e Request) {
 	if s.requests[e.ID] != nil {
 		return
@@ -26,11 +25,11 @@
 	}
 	r := s.newRequest(e, class, s.volumeFor(e, plan))
 	s.requests[r.ID] = r
-	s.giveUps.add(r)
+	s.pendingGiveUps.add(r)
 	r.volume.backlog++
 	s.joinSerialQueue(r)
 	r.queue = s.selectQueue(r)
-	if r.objectiveAt <= s.now { // a client retry, after the objective of the first request
+	if r.objectiveEndsAt <= s.now { // a client retry after the end of the objective of the first request
 		r.pastObjective = true
 		s.giveUp(r)
 		return
@@ -39,7 +38,7 @@
 	r.queue.enqueue(r)
 }
 
-// volumeFor returns the request's volume, and creates it if needed.
+// volumeFor returns the request's volume and creates it if needed.
 func (s *Scheduler) volumeFor(e Request, plan *Plan) *volume {
 	v := s.volumes[e.Volume]
 	if v == nil {
@@ -50,58 +49,60 @@
 	return v
 }
 
-// newRequest returns the request with its times, bounded by the deadline of its class and by a shutdown.
+// newRequest returns the request with its times, which are bounded by the deadline of its class and by a
+// shutdown.
 func (s *Scheduler) newRequest(e Request, class *Class, v *volume) *request {
 	e.Timeout = min(e.Timeout, class.Deadline, s.shutdownDeadline-s.now)
 	e.Units = max(e.Units, 0)
 	r := &request{
-		Request:      e,
-		class:        class,
-		volume:       v,
-		firstArrival: s.now,
-		deadline:     s.now + e.Timeout,
-		objectiveAt:  s.now + class.LatencyObjective,
-		giveUpAt:     s.firstGiveUpAt(e.Timeout),
-		heapIndex:    -1,
+		Request:         e,
+		class:           class,
+		volume:          v,
+		firstArrival:    s.now,
+		deadline:        s.now + e.Timeout,
+		objectiveEndsAt: s.now + class.LatencyObjective,
+		giveUpAt:        s.initialGiveUpAt(e.Timeout),
+		heapIndex:       -1,
 	}
-	s.subtractStall(r)
+	s.adjustForStall(r)
 	s.recognizeClientRetry(r)
-	r.objectiveAt = min(r.objectiveAt, r.deadline-s.timerMargin())
+	r.objectiveEndsAt = min(r.objectiveEndsAt, r.deadline-s.timerMargin())
 	return r
 }
 
-// firstGiveUpAt is the giveUpAt of a request until an attempt was sent completely: after half its timeout. A
-// client that has the response by then has time for a client retry.
-func (s *Scheduler) firstGiveUpAt(timeout time.Duration) time.Duration {
+// initialGiveUpAt is the giveUpAt of a request of which no attempt was sent completely yet: shortly
+// before half of its timeout. A client that has the response by then has time left for a client retry.
+func (s *Scheduler) initialGiveUpAt(timeout time.Duration) time.Duration {
 	return s.now + max(timeout/2-giveUpMarginTicks*s.settings.Tick, s.settings.Tick)
 }
 
-// timerMargin is how long before its deadline a request is given up at the latest: a timer may come a tick
-// late, and so may the step after it. The time to write the response is the caller's affair; the dispatcher
-// subtracts its ResponseWriteMargin from the timeout.
+// timerMargin is the minimum time between the giveUpAt of a request and its deadline, since a timer may
+// be one tick late, and so may the step after it. It does not include the time to write the response: the
+// dispatcher subtracts its ResponseWriteMargin from the timeout.
 func (s *Scheduler) timerMargin() time.Duration { return timerMarginTicks * s.settings.Tick }
 
-// subtractStall moves the objective of a request that arrived while this process stood still: what is left
-// of its timeout tells how long it has waited. It assumes that the client's whole timeout is the deadline of
-// the class.
-func (s *Scheduler) subtractStall(r *request) {
+// adjustForStall moves the objective of a request that arrived while the process was stalled to an
+// earlier time, by the time that the request has waited. The wait follows from the remaining timeout, on
+// the assumption that the client's full timeout is the deadline of the class.
+func (s *Scheduler) adjustForStall(r *request) {
 	waited := r.class.Deadline - r.Timeout
 	if s.stall > 0 && waited < s.stall+s.shortestObjective/timersPerObjective {
-		r.objectiveAt -= waited
+		r.objectiveEndsAt -= waited
 	}
 }
 
-// recognizeClientRetry moves the objective of a client retry to that of the first request, after it was given
-// up here. A client retry has the same key, and ends within the deadline of the first request.
+// recognizeClientRetry gives a client retry the objective of its first request, if that was given up
+// here. A client retry has the same key as the first request, and ends by the client's deadline, counted
+// from the arrival of the first request.
 //
-// Prevents: all clients use short timeouts, so each request is taken for a client retry and waits until it is
-// rejected. A short timeout alone does not make a request a client retry.
+// A short timeout alone does not make a request a client retry. Otherwise, if all clients used short
+// timeouts, each request would be taken for a client retry and wait until it is rejected.
 func (s *Scheduler) recognizeClientRetry(r *request) {
 	first := s.givenUp.find(r)
 	if first == nil || r.deadline > first.firstArrival+r.class.Deadline+s.timerMargin() {
 		return
 	}
 	r.firstArrival = first.firstArrival
-	r.objectiveAt = first.firstArrival + r.class.LatencyObjective
+	r.objectiveEndsAt = first.firstArrival + r.class.LatencyObjective
 	s.givenUp.remove(r)
 }
--- a/scheduler/attempts.go
+++ b/scheduler/attempts.go
@@ -1,13 +1,14 @@
 package scheduler
 
-// onAttemptEnded handles the end of an attempt: the request has its response, gets a retry, or is given up.
+// onAttemptEnded handles the end of an attempt: the request ends, is queued for a retry, or is given up.
 func (s *Scheduler) onAttemptEnded(e AttemptEnded) {
 	r := s.requests[e.RequestID]
 	if r == nil || r.inFlight == nil || e.Attempt != r.attempts-1 {
 		return
 	}
 	t := r.inFlight
-	// Before removeInFlight: the checks of the concurrency limit and of outliers count the ending attempt.
+	// This precedes removeInFlight because the concurrency limit and the outlier detection count the
+	// ending attempt.
 	s.recordResult(t, r, e)
 	s.onLoadReport(t, e.LoadReport)
 	t.removeInFlight(r)
@@ -17,7 +18,7 @@
 	}
 	s.settleExtent(r, e.Status)
 	if e.Status != ConnectFailed && e.Status != NotSent {
-		r.giveUpAt = r.deadline - s.timerMargin() // it was sent, so it has its whole timeout
+		r.giveUpAt = r.deadline - s.timerMargin() // it was sent, so it may use its whole timeout
 	}
 	r.recordExecution(t, e.Status)
 	switch {
@@ -32,25 +33,26 @@
 	}
 }
 
-// requeue queues the request for a retry, after a backoff. It keeps its tags: its units were charged to the
-// volume once.
+// requeue queues the request for a retry after a backoff. The request keeps its tags, since its units
+// were already charged to the volume.
 func (s *Scheduler) requeue(r *request, t *target) {
 	if r.needsDedup() {
 		r.giveUpAt = min(r.giveUpAt, r.dedupEndsAt())
 	}
 	r.notBefore = s.now + s.retryBackoff(r, t)
 	r.queue.enqueue(r)
-	s.giveUps.add(r)
+	s.pendingGiveUps.add(r)
 }
 
-// onResponseStarted lets the attempt in flight continue until its end, past the request's giveUpAt.
+// onResponseStarted exempts the request from being given up, so that the attempt in flight can finish
+// after the request's giveUpAt.
 func (s *Scheduler) onResponseStarted(e ResponseStarted) {
 	if r := s.requests[e.RequestID]; r != nil {
-		s.giveUps.remove(r)
+		s.pendingGiveUps.remove(r)
 	}
 }
 
-// onClientClosed ends the request. An attempt in flight goes on.
+// onClientClosed ends the request. An attempt in flight continues.
 func (s *Scheduler) onClientClosed(e ClientClosed) {
 	if r := s.requests[e.RequestID]; r != nil && !r.answered {
 		s.endRequest(r)
--- a/scheduler/completion.go
+++ b/scheduler/completion.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// giveUp ends the request without a response of a target: with a rejection where a client retry is harmless,
-// otherwise with a failure.
+// giveUp ends the request without a response from a target: it rejects the request if a client retry is
+// safe, and otherwise fails it.
 func (s *Scheduler) giveUp(r *request) {
-	if r.isRepeatHarmless() {
+	if r.isRepeatSafe() {
 		s.emit(Action{Kind: Reject, RequestID: r.ID, RetryAfter: s.retryAfter(r)})
 	} else {
 		s.emit(Action{Kind: Fail, RequestID: r.ID})
@@ -17,8 +17,9 @@
 	s.endRequest(r)
 }
 
-// retryAfter is how long to wait until a client retry can be served: until the deadline of a request that is
-// past its objective, otherwise until its volume is within its rate again.
+// retryAfter is how long the client should wait before a client retry: until the deadline if the request
+// is past its objective, otherwise until the request's start tag, when its volume is within its rate
+// again.
 func (s *Scheduler) retryAfter(r *request) time.Duration {
 	if r.pastObjective {
 		return max(0, r.deadline-s.now)
@@ -26,17 +27,18 @@
 	return max(0, r.startTag-s.now)
 }
 
-// endRequest notes that the request needs no response any more, and drops it unless an attempt is in flight.
+// endRequest records that the request needs no response any more, and removes it unless an attempt is in
+// flight.
 func (s *Scheduler) endRequest(r *request) {
 	r.answered = true
-	s.giveUps.remove(r)
+	s.pendingGiveUps.remove(r)
 	if r.inFlight == nil {
 		r.dequeue()
 		s.release(r)
 	}
 }
 
-// release drops an ended request that has no attempt in flight.
+// release removes an ended request that has no attempt in flight.
 func (s *Scheduler) release(r *request) {
 	delete(s.requests, r.ID)
 	r.volume.backlog--
@@ -46,28 +48,29 @@
 // giveUpOverdue gives up the queued requests whose giveUpAt has passed.
 func (s *Scheduler) giveUpOverdue() {
 	for {
-		r := s.giveUps.earliest()
+		r := s.pendingGiveUps.earliest()
 		if r == nil || r.giveUpAt > s.now {
 			return
 		}
 		if r.inFlight != nil {
-			// Its attempt times out by its deadline, and the end of the attempt ends or requeues it.
-			s.giveUps.remove(r)
+			// The attempt times out by the deadline, and its end then ends or requeues the request.
+			s.pendingGiveUps.remove(r)
 			continue
 		}
 		s.giveUp(r)
 	}
 }
 
-// onShutdown shortens the deadlines of all requests, also of those yet to arrive. An attempt in flight keeps
-// its timeout: the caller cancels it at the shutdown's deadline, and its end brings the response.
+// onShutdown shortens the deadlines of all requests, including those yet to arrive. An attempt in flight
+// keeps its timeout: the caller cancels it at the shutdown deadline, and the scheduler ends the request
+// when the attempt ends.
 func (s *Scheduler) onShutdown(e Shutdown) {
 	s.shutdownDeadline = s.now + e.GracePeriod
 	for _, r := range s.requests {
 		r.deadline = min(r.deadline, s.shutdownDeadline)
 		r.giveUpAt = min(r.giveUpAt, r.deadline-s.timerMargin())
-		// Clamping all to one bound keeps queued sorted by objectiveAt.
-		r.objectiveAt = min(r.objectiveAt, r.deadline-s.timerMargin())
+		// All objectives get the same upper bound, so queued stays sorted by objectiveEndsAt.
+		r.objectiveEndsAt = min(r.objectiveEndsAt, r.deadline-s.timerMargin())
 	}
-	heap.Init(&s.giveUps)
+	heap.Init(&s.pendingGiveUps)
 }
--- a/scheduler/dispatch.go
+++ b/scheduler/dispatch.go
@@ -1,6 +1,6 @@
 package scheduler
 
-// dispatchQueue sends requests while the queue's target has capacity.
+// dispatchQueue sends requests as long as the queue's target has capacity.
 func (s *Scheduler) dispatchQueue(q *shardQueue) {
 	q.wakeAt = never
 	for q.target != nil && len(q.queued) > 0 {
@@ -17,7 +17,7 @@
 	}
 }
 
-// send starts an attempt of the request. It is the only function that does.
+// send starts an attempt of the request. No other function starts attempts.
 func (s *Scheduler) send(r *request, t *target) {
 	r.dequeue()
 	t.recordExtent(r.Extent)
@@ -47,14 +47,14 @@
 		Timeout:   min(s.attemptTimeout(t, r), untilDeadline),
 	}
 	if r.needsDedup() {
-		// Prevents: the connection takes long to open, and the retry arrives when targets no longer drop it.
-		// The caller sends no first byte after this time.
+		// If opening the connection takes long, the retry could arrive when targets no longer discard it
+		// as a duplicate. The caller sends no first byte after this time.
 		action.StartWithin = r.dedupEndsAt() - s.now
 	}
 	return action
 }
 
-// recordExtent counts the attempts in a row for one extent.
+// recordExtent counts the consecutive attempts for the same extent.
 func (t *target) recordExtent(extent string) {
 	if t.lastExtent != extent {
 		t.lastExtent = extent
@@ -63,7 +63,7 @@
 	t.sequentialRun++
 }
 
-// freshLoad is the target's last reported load, or -1 if the report is old.
+// freshLoad is the target's last reported load, or -1 if the report is too old.
 func (s *Scheduler) freshLoad(t *target) float64 {
 	if s.now-t.loadReportedAt < s.shortestObjective/2 {
 		return t.reportedLoad
--- a/scheduler/endpoints.go
+++ b/scheduler/endpoints.go
@@ -3,61 +3,61 @@
 import "time"
 
 const (
-	// minPollBackoff and maxPollBackoff bound the time between a failed poll of the endpoint list and the
-	// next.
-	minPollBackoff = time.Second
-	maxPollBackoff = 8 * time.Second
+	// minWatchBackoff and maxWatchBackoff bound the time between a failed request for the endpoint list
+	// and the next request.
+	minWatchBackoff = time.Second
+	maxWatchBackoff = 8 * time.Second
 )
 
-// endpointPoller decides when the endpoint list is requested, where the caller does not watch it by itself.
-// Once the list was received, its changes follow without a further poll.
-type endpointPoller struct {
-	enabled  bool
-	nextPoll time.Duration // never: no poll is needed
-	backoff  time.Duration // from a failed poll to the next
+// endpointWatcher decides when to request the endpoint list, unless the caller watches the list on its
+// own. After the list was received, its changes follow without another request.
+type endpointWatcher struct {
+	enabled       bool
+	nextRequestAt time.Duration // never: no request is needed
+	backoff       time.Duration // from a failed request to the next
 }
 
-func newEndpointPoller(enabled bool) endpointPoller {
-	poller := endpointPoller{enabled: enabled, nextPoll: never, backoff: minPollBackoff}
+func newEndpointWatcher(enabled bool) endpointWatcher {
+	watcher := endpointWatcher{enabled: enabled, nextRequestAt: never, backoff: minWatchBackoff}
 	if enabled {
-		poller.nextPoll = 0
+		watcher.nextRequestAt = 0
 	}
-	return poller
+	return watcher
 }
 
-// recordFailure plans the next poll. The backoff doubles with each failure in a row.
-func (p *endpointPoller) recordFailure(now time.Duration) {
-	if !p.enabled {
+// recordFailure schedules the next request. The backoff doubles with each consecutive failure.
+func (w *endpointWatcher) recordFailure(now time.Duration) {
+	if !w.enabled {
 		return
 	}
-	p.nextPoll = now + p.backoff
-	p.backoff = min(2*p.backoff, maxPollBackoff)
+	w.nextRequestAt = now + w.backoff
+	w.backoff = min(2*w.backoff, maxWatchBackoff)
 }
 
 // recordSuccess resets the backoff.
-func (p *endpointPoller) recordSuccess() { p.backoff = minPollBackoff }
+func (w *endpointWatcher) recordSuccess() { w.backoff = minWatchBackoff }
 
-// takeDue reports whether to poll now, and notes the poll as sent.
-func (p *endpointPoller) takeDue(now time.Duration) bool {
-	if p.nextPoll > now {
+// startIfDue reports whether to request the list now. If so, it records the request as sent.
+func (w *endpointWatcher) startIfDue(now time.Duration) bool {
+	if w.nextRequestAt > now {
 		return false
 	}
-	p.nextPoll = never
+	w.nextRequestAt = never
 	return true
 }
 
-// onEndpointList applies the list. A draining or removed target gets no attempt from that moment on.
+// onEndpointList applies the list. From then on, draining and removed targets get no attempts.
 func (s *Scheduler) onEndpointList(list EndpointList) {
 	if list.Failed {
-		s.poller.recordFailure(s.now)
+		s.watcher.recordFailure(s.now)
 		return
 	}
-	s.poller.recordSuccess()
+	s.watcher.recordSuccess()
 	for _, entry := range list.Targets {
 		s.updateTarget(entry)
 	}
 	if list.Complete {
-		s.removeAbsent(list.Targets)
+		s.markAbsentRemoved(list.Targets)
 	}
 	s.assignTargets()
 }
@@ -76,22 +76,22 @@
 	t.Target = entry
 }
 
-// onTargetRestart resets what was learned of the target's former process.
+// onTargetRestart resets what was learned about the target's previous process.
 func (s *Scheduler) onTargetRestart(t *target) {
 	t.concurrencyLimit = recoveryConcurrency
 	t.consecutiveFailures = 0
 	t.smoothedLatency = 0
 	if s.slowStart.oneRequestPerWindow {
-		// Prevents: all initiators send what they have queued for the target at the moment of its start,
-		// and it is overloaded and fails. Each initiator waits for a random part of half a window, which
-		// spreads the first requests.
-		spread := float64(s.slowStart.Window / 2)
-		t.ejectedUntil = s.now + time.Duration(s.rng.Float64()*spread)
+		// A random delay of up to half a window spreads the first requests. Otherwise all initiators
+		// would send what they have queued for the target at the moment of its start, and overload it so
+		// that it fails.
+		maxDelay := float64(s.slowStart.Window / 2)
+		t.ejectedUntil = s.now + time.Duration(s.rng.Float64()*maxDelay)
 	}
 }
 
-// removeAbsent marks the targets that a complete list does not name.
-func (s *Scheduler) removeAbsent(listed []Target) {
+// markAbsentRemoved marks the targets that a complete list does not name as removed.
+func (s *Scheduler) markAbsentRemoved(listed []Target) {
 	present := map[string]bool{}
 	for _, entry := range listed {
 		present[entry.ID] = true
@@ -103,7 +103,7 @@
 	}
 }
 
-// assignTargets sets the target of each shard queue: the serving one that started last.
+// assignTargets sets the target of each shard queue: of the serving targets, the one that started last.
 func (s *Scheduler) assignTargets() {
 	for _, t := range s.targets {
 		if t.State == Serving && t.Shard >= 0 {
--- a/scheduler/endpoints_test.go
+++ b/scheduler/endpoints_test.go
@@ -23,33 +23,33 @@
 // TestEndpointPollerBacksOff fails five polls in a row, then has one succeed. The time to the next poll
 // must double with each failure, up to 8 s, and begin at 1 s again.
 func TestEndpointPollerBacksOff(t *testing.T) {
-	poller := newEndpointPoller(true)
+	poller := newEndpointWatcher(true)
 	now := time.Minute
-	if !poller.takeDue(now) || poller.takeDue(now) {
+	if !poller.startIfDue(now) || poller.startIfDue(now) {
 		t.Fatal("want one poll at the start")
 	}
 	for i, backoff := range []time.Duration{time.Second, 2 * time.Second, 4 * time.Second, 8 * time.Second, 8 * time.Second} {
 		poller.recordFailure(now)
-		if poller.takeDue(now + backoff - 1) {
+		if poller.startIfDue(now + backoff - 1) {
 			t.Errorf("poll %d is due before %v", i, backoff)
 		}
 		now += backoff
-		if !poller.takeDue(now) {
+		if !poller.startIfDue(now) {
 			t.Errorf("poll %d is not due after %v", i, backoff)
 		}
 	}
 	poller.recordSuccess()
 	poller.recordFailure(now)
-	if got := poller.nextPoll - now; got != time.Second {
+	if got := poller.nextRequestAt - now; got != time.Second {
 		t.Errorf("next poll in %v after a success and a failure, want 1s", got)
 	}
 }
 
 // TestEndpointPollerOff checks that no poll is sent where the endpoint list comes by itself.
 func TestEndpointPollerOff(t *testing.T) {
-	poller := newEndpointPoller(false)
+	poller := newEndpointWatcher(false)
 	poller.recordFailure(time.Second)
-	if poller.takeDue(time.Hour) {
+	if poller.startIfDue(time.Hour) {
 		t.Error("a poll is due")
 	}
 }
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Event is something that happened since the last step: one of the types of this file with an event method.
+// Event is something that happened since the last step: one of the types in this file with an event
+// method.
 type Event interface{ event() }
 
 // TargetState is the state of a target in the endpoint list.
@@ -14,7 +15,7 @@
 const (
 	// Serving targets accept requests.
 	Serving TargetState = iota
-	// Draining targets finish what they have and get nothing new.
+	// Draining targets finish the requests that they have and get no new ones.
 	Draining
 	// Removed targets are no longer in the endpoint list.
 	Removed
@@ -22,37 +23,37 @@
 
 var targetStateNames = [...]string{Serving: "SERVING", Draining: "DRAINING", Removed: "REMOVED"}
 
-// String returns the state's name in logs.
+// String returns the name of the state in logs.
 func (s TargetState) String() string { return targetStateNames[s] }
 
 // Target is an entry of the endpoint list.
 type Target struct {
 	ID        string
 	Zone      string // failure domain
-	Shard     int    // the one shard that it serves
+	Shard     int    // the only shard that it serves
 	State     TargetState
 	StartedAt time.Duration // time of its last start; 0: long ago
 }
 
-// EndpointList is the endpoint list, or a change of it.
+// EndpointList is the complete endpoint list, or a change to it.
 type EndpointList struct {
-	Complete bool // all targets are named; an absent one is removed
+	Complete bool // Targets names all targets; any other target is removed
 	Failed   bool // the list could not be fetched; Targets is empty
 	Targets  []Target
 }
 
-// Request is a new client request. The scheduler ends it exactly once: with Reject, with Fail, by an attempt
-// that is reported with AttemptEnded.Answered, or without a response by ClientClosed. A request whose ID is
-// that of one still known is ignored.
+// Request is a new client request. The scheduler ends it exactly once: with Reject, with Fail, after an
+// attempt that is reported with AttemptEnded.Answered, or without a response after ClientClosed. A
+// request with the ID of one that has not ended, or has an attempt in flight, is ignored.
 type Request struct {
 	ID         string
 	Class      string        // name of a Class
 	Plan       string        // name of a Plan
-	Volume     string        // unit of fair queuing
+	Volume     string        // fair queuing is between volumes
 	Extent     string        // piece of data that is read or written; may be empty
-	Shard      int           // shard of the data; -1: a new object, which any shard may take
-	Units      float64       // size
-	Initiators int           // number of initiators that carry requests of this volume
+	Shard      int           // shard that stores the data; -1: a new object, which any shard may store
+	Units      float64       // size of the request
+	Initiators int           // number of initiators that send requests of this volume
 	Timeout    time.Duration // how long the client waits for this request
 }
 
@@ -73,7 +74,7 @@
 	ConnectFailed
 	// ConnectionReset attempts lost their connection and may have been executed.
 	ConnectionReset
-	// Cancelled attempts were ended by the initiator for reasons of its own, and may have been executed.
+	// Cancelled attempts were ended by the initiator for its own reasons and may have been executed.
 	Cancelled
 	// NotSent attempts ended before their first byte.
 	NotSent
@@ -90,7 +91,7 @@
 	NotSent:          "NOT_SENT",
 }
 
-// String returns the status' name in logs.
+// String returns the name of the status in logs.
 func (s AttemptStatus) String() string {
 	if s < 0 || int(s) >= len(attemptStatusNames) {
 		return fmt.Sprintf("STATUS_%d", int(s))
@@ -103,26 +104,26 @@
 	return s != Rejected && s != ConnectFailed && s != NotSent
 }
 
-// mayStillRun reports whether the target may go on executing an attempt with this outcome.
+// mayStillRun reports whether the target may still be executing an attempt that ended with this outcome.
 func (s AttemptStatus) mayStillRun() bool {
 	return s == DeadlineExceeded || s == ConnectionReset || s == Cancelled
 }
 
-// LoadReport is a target's own report of its load. It may be late and noisy. A negative or NaN value is
-// absent.
+// LoadReport is a target's report of its own load. It may be delayed and noisy. A negative or NaN value
+// means that the value is absent.
 type LoadReport struct {
-	QueueDepth float64 // requests that wait at the target
+	QueueDepth float64 // requests waiting at the target
 	InFlight   float64 // requests that the target holds
 }
 
 // AttemptEnded reports the end of an attempt.
 type AttemptEnded struct {
 	RequestID   string
-	Attempt     int // number of the attempt within its request, from 0
+	Attempt     int // number of the attempt within its request, starting at 0
 	Target      string
 	Status      AttemptStatus
 	Latency     time.Duration // from the Send action to the end
-	Answered    bool          // no response is needed: the client has it, or has closed
+	Answered    bool          // no response is needed: the client has it or has closed its connection
 	LoadReport  *LoadReport   // nil: none
 	VolumeUsage int           // 1 + usage over all initiators, in % of the provisioned rate; 0: absent
 }
@@ -130,14 +131,14 @@
 // ResponseStarted reports that the response of the attempt in flight has begun to arrive.
 type ResponseStarted struct{ RequestID string }
 
-// ClientClosed reports that the client has closed its connection; no response is needed any more.
+// ClientClosed reports that the client has closed its connection, so it needs no response any more.
 type ClientClosed struct{ RequestID string }
 
-// Shutdown begins the graceful shutdown: each request, also one yet to arrive, must end within that time from
-// now.
+// Shutdown begins the graceful shutdown: each request, including those yet to arrive, must end within the
+// grace period.
 type Shutdown struct{ GracePeriod time.Duration }
 
-// Timer reports that the timer set by SetTimer is due.
+// Timer reports that the timer requested with SetTimer has fired.
 type Timer struct{}
 
 func (EndpointList) event()    {}
--- a/scheduler/givenup.go
+++ b/scheduler/givenup.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// givenUpRequests holds requests that were given up here, rejected or failed, until their client's
+// givenUpRequests holds the requests that were given up here, rejected or failed, until the client's
 // deadline, so that a client retry is recognized.
 type givenUpRequests struct {
-	byKey   map[clientRetryKey]*request // the latest of each key
+	byKey   map[clientRetryKey]*request // the latest request of each key
 	inOrder []*request                  // in the order in which they were given up
 }
 
@@ -13,13 +13,13 @@
 	return givenUpRequests{byKey: map[clientRetryKey]*request{}}
 }
 
-// find returns the request of which this one may be a client retry, or nil.
+// find returns the given-up request of which r may be a client retry, or nil.
 func (m *givenUpRequests) find(r *request) *request { return m.byKey[r.clientRetryKey()] }
 
-// remove drops the request of which this one is a client retry.
+// remove removes the given-up request of which r is a client retry.
 func (m *givenUpRequests) remove(r *request) { delete(m.byKey, r.clientRetryKey()) }
 
-// add records the request, and drops the oldest ones whose client no longer waits.
+// add records the request, and removes the oldest ones whose client no longer waits.
 func (m *givenUpRequests) add(r *request, now time.Duration) {
 	m.byKey[r.clientRetryKey()] = r
 	m.inOrder = append(m.inOrder, r)
--- a/scheduler/giveupheap.go
+++ b/scheduler/giveupheap.go
@@ -2,10 +2,11 @@
 
 import "container/heap"
 
-// giveUpHeap orders requests by giveUpAt, the time at which they are given up unless an attempt is in flight.
+// giveUpHeap orders requests by giveUpAt, the time at which they are given up unless an attempt is in
+// flight.
 type giveUpHeap []*request
 
-// earliest returns the request with the least giveUpAt, or nil.
+// earliest returns the request with the earliest giveUpAt, or nil.
 func (h giveUpHeap) earliest() *request {
 	if len(h) == 0 {
 		return nil
@@ -13,7 +14,7 @@
 	return h[0]
 }
 
-// add inserts the request, or moves it after a change of its giveUpAt.
+// add inserts the request, or restores its position after a change of its giveUpAt.
 func (h *giveUpHeap) add(r *request) {
 	if r.heapIndex >= 0 {
 		heap.Fix(h, r.heapIndex)
@@ -22,7 +23,7 @@
 	}
 }
 
-// remove takes the request out, if it is there.
+// remove removes the request, if present.
 func (h *giveUpHeap) remove(r *request) {
 	if r.heapIndex >= 0 {
 		heap.Remove(h, r.heapIndex)
@@ -32,8 +33,8 @@
 // Len implements heap.Interface.
 func (h giveUpHeap) Len() int { return len(h) }
 
-// Less implements heap.Interface. Equal times are ordered by ID, so that the same events give the same
-// actions.
+// Less implements heap.Interface. Requests with equal times are ordered by ID, so that the same events
+// produce the same actions.
 func (h giveUpHeap) Less(i, j int) bool {
 	if h[i].giveUpAt == h[j].giveUpAt {
 		return h[i].ID < h[j].ID
--- a/scheduler/idempotency.go
+++ b/scheduler/idempotency.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Whether a request may be sent again depends on its class, and on whether an attempt may have executed it.
-// The scheduler sends it again itself (a retry, see mayRetry and isInDedupScope), rejects it, which allows
-// the client to send it again (see isRepeatHarmless), or fails it:
+// Whether a request may be sent again depends on its class and on whether it may have been executed. The
+// scheduler sends it again itself (a retry, see mayRetry and isInDedupScope), rejects it, which allows the
+// client to send it again (see isRepeatSafe), or fails it:
 //
 //	class                         not executed   may have executed
 //	Idempotent                    retry, reject  retry, reject
@@ -12,9 +12,10 @@
 //	IdempotencyKey, zone, shard   retry, reject  retry within the dedup window and scope, fail
 //	NonIdempotent                 retry, reject  fail
 //
-// A retry is preferred while MaxAttempts and the request's giveUpAt allow it.
+// The scheduler prefers a retry as long as MaxAttempts and the request's giveUpAt allow it.
 
-// mayRetry reports whether another attempt of the request could be allowed, now or later.
+// mayRetry reports whether MaxAttempts and the class allow another attempt of the request. The target and
+// the retry budget are checked separately.
 func (s *Scheduler) mayRetry(r *request) bool {
 	if s.settings.MaxAttempts > 0 && r.attempts >= s.settings.MaxAttempts {
 		return false
@@ -31,26 +32,27 @@
 	return false
 }
 
-// isRepeatHarmless reports whether the client may send the request again, to any target and at any time.
-func (r *request) isRepeatHarmless() bool {
+// isRepeatSafe reports whether the client may send the request again, to any target and at any time.
+func (r *request) isRepeatSafe() bool {
 	if !r.mayHaveExecuted || r.class.Idempotency == Idempotent {
 		return true
 	}
 	return r.class.Idempotency == IdempotencyKey && r.class.DedupScope == DedupEverywhere
 }
 
-// needsDedup reports whether another attempt is harmless only where targets drop it as a repeat.
+// needsDedup reports whether another attempt is safe only at targets that discard it as a duplicate.
 func (r *request) needsDedup() bool {
 	return r.mayHaveExecuted && r.class.Idempotency == IdempotencyKey
 }
 
-// dedupEndsAt is when targets no longer drop repeats of a request that needs dedup.
+// dedupEndsAt is the time from which targets no longer discard duplicates of a request that needs
+// deduplication.
 func (r *request) dedupEndsAt() time.Duration {
 	return r.firstExecution.since + r.class.DedupWindow
 }
 
-// isInDedupScope reports whether the target may get another attempt: it drops repeats of the request, or none
-// of its attempts needs to be dropped.
+// isInDedupScope reports whether the target may get another attempt: it discards duplicates of the
+// request, or the request needs no deduplication.
 func (r *request) isInDedupScope(t *target) bool {
 	if !r.needsDedup() {
 		return true
--- a/scheduler/latency.go
+++ b/scheduler/latency.go
@@ -6,67 +6,70 @@
 )
 
 const (
-	// smoothingGain is the part of its difference from an average by which one response moves it.
+	// smoothingGain is the weight of a new response in a moving average.
 	smoothingGain = 0.1
-	// baseIncreaseDivisor divides the gain of a response slower than the base latency, so that the base
-	// latency tends to a low quantile.
+	// baseIncreaseDivisor divides the weight of a response slower than the base latency, so that the base
+	// latency converges to a low quantile.
 	baseIncreaseDivisor = 8
-	// latencyMemoryObjectives is for how many shortest objectives a response or a load report is believed.
-	// A response after a longer gap outweighs all before it; without one the estimate falls to the base
-	// latency.
-	latencyMemoryObjectives = 4
+	// latencyDecayObjectives is the time constant of the latency estimates, in shortest objectives. After
+	// a longer gap, a response outweighs all earlier ones. Without responses, the estimate falls to the
+	// base latency.
+	latencyDecayObjectives = 4
 	// silenceFactor is how many smoothed latencies may pass without a response before a target counts as
 	// silent.
 	silenceFactor = 4
-	// timeoutObjectives is the least timeout of an attempt, in latency objectives of its class.
-	timeoutObjectives = 4
-	// initialQueueingFactor is the queueing factor until it is learned: the target serves two requests at
-	// once.
+	// minTimeoutObjectives is the minimum timeout of an attempt, in latency objectives of its class.
+	minTimeoutObjectives = 4
+	// initialQueueingFactor is the queueing factor before it is learned. It corresponds to a target that
+	// serves two requests at once.
 	initialQueueingFactor = 0.5
-	// maxReportedLoad is the load, in requests, from which on a report is ignored as absurd, for callers that
-	// do not check; that of upstream is lower.
+	// maxReportedLoad is the load, in requests, from which on a report is ignored as implausible. It is
+	// for callers that do not check reports; the bound in package upstream is lower.
 	maxReportedLoad = 1e6
-	// minLatency keeps a division by a latency finite, in seconds.
+	// minLatency, in seconds, keeps divisions by a latency finite.
 	minLatency = 1e-6
 )
 
-// latencyMemory is the time constant of the latency estimates, in seconds.
-func (s *Scheduler) latencyMemory() float64 {
-	return latencyMemoryObjectives * s.shortestObjective.Seconds()
+// latencyTimeConstant is the time constant of the latency estimates, in seconds.
+func (s *Scheduler) latencyTimeConstant() float64 {
+	return latencyDecayObjectives * s.shortestObjective.Seconds()
 }
 
-// relativeSize is the latency of a request of that many units, relative to one of mean size: one half does
-// not depend on the size.
-func (s *Scheduler) relativeSize(units float64) float64 { return (1 + units/s.settings.MeanUnits) / 2 }
+// relativeLatency is the latency of a request of this size, relative to that of a request of mean size.
+// Half of the latency does not depend on the size.
+func (s *Scheduler) relativeLatency(units float64) float64 {
+	return (1 + units/s.settings.MeanUnits) / 2
+}
 
-// silenceTimeout is how long an attempt may be without response before its target counts as silent.
+// silenceTimeout is how long an attempt may remain without a response before its target counts as silent.
 func (s *Scheduler) silenceTimeout(t *target) time.Duration {
 	return max(s.shortestObjective, seconds(silenceFactor*t.smoothedLatency))
 }
 
-// attemptTimeout is the timeout of an attempt. It is long, since no other target has the data: an early
-// retry would only add load. The timeout frees the slot of an attempt whose response was lost.
+// attemptTimeout is the timeout of an attempt. It is long because no other target has the data, so an
+// early retry would only add load. It ends an attempt whose response was lost.
 func (s *Scheduler) attemptTimeout(t *target, r *request) time.Duration {
-	return max(timeoutObjectives*r.class.LatencyObjective, seconds(2*silenceFactor*t.smoothedLatency))
+	return max(minTimeoutObjectives*r.class.LatencyObjective, seconds(2*silenceFactor*t.smoothedLatency))
 }
 
-// expectedLatency is the latency to expect now of a request of mean size, in seconds: the base latency, and
-// on top of it the greater of what responses and load reports showed.
+// expectedLatency is the latency, in seconds, that a request of mean size would have now: the base
+// latency plus the greater of two delays, one observed in responses and one computed from the last load
+// report.
 //
-// Prevents: after one long response nothing is sent to the target any more, so that nothing corrects the
-// estimate. Both parts decay with time, so the estimate falls to the base latency.
+// Both delays decay over time, so the estimate falls to the base latency. Otherwise nothing would be sent
+// to the target after one long response, and no new response would correct the estimate.
 func (s *Scheduler) expectedLatency(t *target) float64 {
-	memory := s.latencyMemory()
-	observed := (t.smoothedLatency - t.baseLatency) * math.Exp(-(s.now-t.lastHeard).Seconds()/memory)
+	timeConstant := s.latencyTimeConstant()
+	observed := (t.smoothedLatency - t.baseLatency) * math.Exp(-(s.now-t.lastContact).Seconds()/timeConstant)
 	reported := t.baseLatency * s.queueingFactor * t.reportedLoad *
-		math.Exp(-(s.now-t.loadReportedAt).Seconds()/memory)
+		math.Exp(-(s.now-t.loadReportedAt).Seconds()/timeConstant)
 	return t.baseLatency + max(observed, reported)
 }
 
-// onLoadReport stores the target's reported load. A report with absent or absurd values changes nothing, nor
-// does one from a target without a measured latency. The load is the queue depth, or else the number in
-// flight: targets need not report both, both grow with the requests ahead of a new one, and queueingFactor is
-// learned from the value that is used.
+// onLoadReport records the target's load. A report with absent or implausible values is ignored, and so
+// is one from a target without a measured latency. The load is the queue depth or, if that is absent, the
+// number in flight. Targets need not report both; both grow with the requests ahead of a new one, and
+// queueingFactor is learned from whichever value is used.
 func (s *Scheduler) onLoadReport(t *target, report *LoadReport) {
 	if report == nil || !t.hasLatency() {
 		return
@@ -81,32 +84,33 @@
 	}
 }
 
-// hasLatency reports whether the target has responded yet: the latencies are 0 until then.
+// hasLatency reports whether the latencies have been measured. They are 0 until the first response.
 func (t *target) hasLatency() bool { return t.smoothedLatency > 0 }
 
-// recordLatency updates the target's latencies from a response. The latency is in seconds, for a request of
-// mean size; loadAtSend is the load that the target reported shortly before the attempt, or -1.
+// recordLatency updates the target's latencies after a response. The latency is in seconds and refers to
+// a request of mean size; loadAtSend is the load that the target had reported shortly before the attempt,
+// or -1.
 func (s *Scheduler) recordLatency(t *target, latency, loadAtSend float64) {
 	if !t.hasLatency() {
 		t.smoothedLatency = latency
 		t.baseLatency = latency
 	}
 	s.learnQueueingFactor(t, latency, loadAtSend)
-	gain := max(smoothingGain, 1-math.Exp(-(s.now-t.lastHeard).Seconds()/s.latencyMemory()))
+	gain := max(smoothingGain, 1-math.Exp(-(s.now-t.lastContact).Seconds()/s.latencyTimeConstant()))
 	if latency < t.baseLatency {
 		t.baseLatency += (latency - t.baseLatency) * gain
 	} else {
 		t.baseLatency += (latency - t.baseLatency) * smoothingGain / baseIncreaseDivisor
 	}
 	t.smoothedLatency += (latency - t.smoothedLatency) * gain
-	t.lastHeard = s.now
+	t.lastContact = s.now
 }
 
-// learnQueueingFactor learns, over all targets, which part of the base latency each request at a target
-// adds.
+// learnQueueingFactor learns, over all targets, the fraction of the base latency that each request at a
+// target adds to the latency.
 func (s *Scheduler) learnQueueingFactor(t *target, latency, loadAtSend float64) {
 	if loadAtSend > 0 && t.baseLatency > 0 {
-		perRequest := max(0, latency/t.baseLatency-1) / loadAtSend
-		s.queueingFactor += (perRequest - s.queueingFactor) * smoothingGain
+		delayPerRequest := max(0, latency/t.baseLatency-1) / loadAtSend
+		s.queueingFactor += (delayPerRequest - s.queueingFactor) * smoothingGain
 	}
 }
--- a/scheduler/ordering.go
+++ b/scheduler/ordering.go
@@ -5,10 +5,10 @@
 // serialQueue holds the requests for one extent that run one at a time, in order of arrival.
 type serialQueue struct {
 	requests    []*request
-	settleUntil time.Duration // no attempt before: the last one may still be running
+	settleUntil time.Duration // no attempt starts earlier, since the last one may still be running
 }
 
-// isSerialized reports whether the request shares a serial queue with others for its extent.
+// isSerialized reports whether the request must run in order with others for its extent.
 func (r *request) isSerialized() bool { return r.class.Serialized && r.Extent != "" }
 
 // joinSerialQueue adds the request to the serial queue of its extent, if it is serialized.
@@ -24,20 +24,22 @@
 	q.requests = append(q.requests, r)
 }
 
-// leaveSerialQueue removes the request, and an empty queue unless its settle time still runs.
+// leaveSerialQueue removes the request from its serial queue. It removes the queue if that is empty and
+// its settle time is over.
 func (s *Scheduler) leaveSerialQueue(r *request) {
 	q := s.serialQueues[r.Extent]
 	if q == nil || !r.isSerialized() {
 		return
 	}
-	q.requests = without(q.requests, r)
+	q.requests = removeRequest(q.requests, r)
 	if len(q.requests) == 0 && q.settleUntil <= s.now {
 		delete(s.serialQueues, r.Extent)
 	}
 }
 
-// orderAdmitAt keeps the requests of one serialized extent in order.
-func (s *Scheduler) orderAdmitAt(r *request) time.Duration {
+// serialAdmissionTime returns when the request may start, so that requests for a serialized extent run in
+// order.
+func (s *Scheduler) serialAdmissionTime(r *request) time.Duration {
 	q := s.serialQueues[r.Extent]
 	if q == nil || !r.isSerialized() {
 		return 0
@@ -50,8 +52,8 @@
 
 // settleExtent delays the next request for the extent after an attempt that may still be running.
 //
-// Prevents: an attempt times out here, the target goes on with it, and the next request for the extent
-// overtakes it. The settle time leaves the target time to finish.
+// An attempt can time out here while the target continues with it. The settle time lets the target
+// finish, so that the next request for the extent does not overtake it.
 func (s *Scheduler) settleExtent(r *request, status AttemptStatus) {
 	q := s.serialQueues[r.Extent]
 	if q == nil || !r.isSerialized() || !status.mayStillRun() {
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -3,19 +3,19 @@
 import "math"
 
 const (
-	// migrationFactor is how many times shorter the wait at another shard must be for a queued request to
-	// move.
+	// migrationFactor is how many times shorter the expected wait at another shard must be for a queued
+	// request to move there.
 	migrationFactor = 2
 	// slowStartWaitFactor multiplies the expected wait at a target in slow start.
 	slowStartWaitFactor = 4
 	// outlierPenaltyObjectives is added to the expected wait at an outlier or ejected target, in shortest
-	// objectives, so that any other target comes before it.
+	// objectives, so that any other target is preferred.
 	outlierPenaltyObjectives = 100
 )
 
-// selectQueue returns the queue of the request's shard, or for a new object the one with the least expected
-// wait. The search starts at a random queue, so that equal ones are used alike. While no shard is known it
-// is that of shard 0.
+// selectQueue returns the queue of the request's shard or, for a new object, the queue with the shortest
+// expected wait. The search starts at a random queue, so that equally good queues are used evenly. While
+// no shard is known, it returns the queue of shard 0.
 func (s *Scheduler) selectQueue(r *request) *shardQueue {
 	if r.Shard >= 0 || len(s.shardQueues) == 0 {
 		return s.shardQueueFor(max(r.Shard, 0))
@@ -33,7 +33,7 @@
 	return best
 }
 
-// expectedWait is how long a request newly put into the queue would take, in seconds.
+// expectedWait is the time, in seconds, until a request that joins the queue now would be served.
 func (s *Scheduler) expectedWait(q *shardQueue) float64 {
 	t := q.target
 	if t == nil {
@@ -41,9 +41,9 @@
 	}
 	latency := t.smoothedLatency
 	if latency == 0 {
-		// Prevents: each new object goes to one more target without a known latency, and takes up one of
-		// the few connections that a target holds. An unknown latency counts as a whole objective, so
-		// targets that have answered come first.
+		// An unknown latency counts as a whole objective, so that targets that have responded are
+		// preferred. Otherwise each new object would go to another target without a known latency, and
+		// take up one of the few connections that a target accepts.
 		latency = s.shortestObjective.Seconds()
 	}
 	wait := latency * (1 + float64(len(q.queued)+len(t.inFlight))/t.concurrencyLimit)
@@ -56,8 +56,9 @@
 	return wait
 }
 
-// migrateQueued moves queued new objects away from shards that have become much worse than the best. A
-// request keeps its tags: its units were charged to the volume, whose bucket all shards share, once.
+// migrateQueued moves queued new objects away from shards whose expected wait has become much longer than
+// that of the best shard. A request keeps its tags, because its units were already charged to the volume,
+// whose bucket is common to all shards.
 func (s *Scheduler) migrateQueued() {
 	for _, q := range s.shardQueues {
 		for i := 0; i < len(q.queued); i++ {
@@ -65,10 +66,10 @@
 			if r.Shard >= 0 || r.mayHaveExecuted {
 				continue
 			}
-			better := s.selectQueue(r)
-			if better != q && migrationFactor*s.expectedWait(better) < s.expectedWait(q) {
+			best := s.selectQueue(r)
+			if best != q && migrationFactor*s.expectedWait(best) < s.expectedWait(q) {
 				r.dequeue()
-				better.enqueue(r)
+				best.enqueue(r)
 				i--
 			}
 		}
--- a/scheduler/queue.go
+++ b/scheduler/queue.go
@@ -5,25 +5,26 @@
 	"time"
 )
 
-// shardQueue holds the requests that wait for one shard. Its tags move together.
+// shardQueue holds the requests that wait for one shard. A synchronization point shifts all their tags
+// together.
 type shardQueue struct {
 	shard         int
-	target        *target    // the target that serves the shard now; nil: none
-	queued        []*request // in order of objectiveAt
+	target        *target    // serves the shard now; nil: none
+	queued        []*request // in order of objectiveEndsAt
 	flows         []*flow
 	flowsByVolume map[*volume]*flow
-	// wakeAt is when queued requests that were not admitted are checked again; never: with the next event.
+	// wakeAt is when queued requests that were not admitted are checked again; never: at the next event.
 	wakeAt time.Duration
 }
 
-// flow is a volume's state at one shard queue.
+// flow is the state of a volume at one shard queue.
 type flow struct {
 	volume      *volume
-	maxStartTag time.Duration
-	queued      int
+	maxStartTag time.Duration // latest start tag that was assigned
+	queued      int           // number of its requests in the queue
 }
 
-// shardQueueFor returns the queue of a shard, and creates it if needed.
+// shardQueueFor returns the queue of a shard and creates it if needed.
 func (s *Scheduler) shardQueueFor(shard int) *shardQueue {
 	for _, q := range s.shardQueues {
 		if q.shard == shard {
@@ -35,7 +36,7 @@
 	return q
 }
 
-// flow returns the volume's flow, and creates it if needed.
+// flow returns the flow of the volume and creates it if needed.
 func (q *shardQueue) flow(v *volume) *flow {
 	f := q.flowsByVolume[v]
 	if f == nil {
@@ -46,18 +47,18 @@
 	return f
 }
 
-// enqueue adds the request, behind those whose objective ends at the same time.
+// enqueue inserts the request in order of objectiveEndsAt, after requests with the same value.
 func (q *shardQueue) enqueue(r *request) {
 	r.queue = q
 	at := len(q.queued)
-	for at > 0 && q.queued[at-1].objectiveAt > r.objectiveAt {
+	for at > 0 && q.queued[at-1].objectiveEndsAt > r.objectiveEndsAt {
 		at--
 	}
 	q.queued = slices.Insert(q.queued, at, r)
 	q.flow(r.volume).queued++
 }
 
-// dequeue removes the request from its queue, if it is there.
+// dequeue removes the request from its queue, if present.
 func (r *request) dequeue() {
 	q := r.queue
 	if i := slices.Index(q.queued, r); i >= 0 {
--- a/scheduler/ratelimit.go
+++ b/scheduler/ratelimit.go
@@ -2,9 +2,10 @@
 
 import "time"
 
-// rateLimitAdmitAt keeps a volume within this initiator's even part of its plan's limit. The bucket is
-// empty at first, since an initiator that was restarted does not know what it has charged before.
-func (s *Scheduler) rateLimitAdmitAt(r *request) time.Duration {
+// rateLimitAdmissionTime returns when the request may start, so that its volume stays within this
+// initiator's equal share of the plan's limit. The bucket is empty at first, since a restarted initiator
+// does not know what it has charged before.
+func (s *Scheduler) rateLimitAdmissionTime(r *request) time.Duration {
 	v := r.volume
 	if v.plan.Limit <= 0 || r.charged {
 		return 0
@@ -18,7 +19,7 @@
 	return s.now + seconds(missing*v.initiators/v.plan.Limit) + s.settings.Tick
 }
 
-// chargeRateLimit takes the request's units from the volume's limit, at its first attempt alone.
+// chargeRateLimit deducts the request's units from the volume's rate limit, at the first attempt only.
 func (r *request) chargeRateLimit() {
 	if r.charged {
 		return
--- a/scheduler/ratelimit_test.go
+++ b/scheduler/ratelimit_test.go
@@ -13,11 +13,11 @@
 	v := &volume{plan: &Plan{Limit: 10, BurstCapacity: 8}, initiators: 2}
 	v.limit.refilledAt = s.now
 	r := &request{Request: Request{Units: 2}, volume: v}
-	if got, want := s.rateLimitAdmitAt(r), s.now+400*ms+ms; got != want {
+	if got, want := s.rateLimitAdmissionTime(r), s.now+400*ms+ms; got != want {
 		t.Errorf("admitted at %v, want %v", got, want)
 	}
 	s.now += time.Minute
-	if got := s.rateLimitAdmitAt(r); got > s.now || v.limit.tokens != 4 {
+	if got := s.rateLimitAdmissionTime(r); got > s.now || v.limit.tokens != 4 {
 		t.Errorf("admitted at %v with %v tokens, want now with 4", got, v.limit.tokens)
 	}
 	r.chargeRateLimit()
--- a/scheduler/request.go
+++ b/scheduler/request.go
@@ -5,45 +5,45 @@
 	"time"
 )
 
-// request is a request that is queued or in flight. It is known until it has its response and no attempt is
-// in flight.
+// request is a queued or in-flight request. The scheduler keeps it until it needs no response any more
+// and no attempt is in flight.
 type request struct {
 	Request
 	class  *Class
 	volume *volume
 	queue  *shardQueue
 
-	firstArrival time.Duration // arrival of the first request, if this is a client retry; else its own
-	objectiveAt  time.Duration // end of the latency objective
-	deadline     time.Duration // when the client stops waiting for this request
-	giveUpAt     time.Duration // when it is given up, unless an attempt is in flight
-	heapIndex    int           // index in the giveUpHeap; -1: not there
+	firstArrival    time.Duration // arrival of the first request if this is a client retry, otherwise its own
+	objectiveEndsAt time.Duration // when its latency objective ends
+	deadline        time.Duration // when the client stops waiting for this request
+	giveUpAt        time.Duration // when it is given up unless an attempt is in flight
+	heapIndex       int           // index in the giveUpHeap; -1: not in the heap
 
 	startTag      time.Duration // see tags.go
 	finishTag     time.Duration
-	notBefore     time.Duration // backoff: no attempt before
+	notBefore     time.Duration // end of the retry backoff; no attempt starts earlier
 	pastObjective bool          // it can no longer be served within its objective
-	deprioritized bool          // its target cannot serve all in time, and this one has the least priority
+	deprioritized bool          // the target cannot serve all in time, and this one has the lowest priority
 
 	attempts   int
 	inFlight   *target       // target of the attempt in flight; nil: none
 	sentAt     time.Duration // start of the last attempt
-	loadAtSend float64       // load that the target reported shortly before the last attempt; -1: not known
-	charged    bool          // its units were taken from the volume's rate limit
-	answered   bool          // no response is needed: the client has it, or has closed
+	loadAtSend float64       // load that the target had reported shortly before the last attempt; -1: unknown
+	charged    bool          // its units have been taken from the volume's rate limit
+	answered   bool          // no response is needed: the client has it or has closed its connection
 
 	mayHaveExecuted bool
-	firstExecution  execution // where it may have been executed first
+	firstExecution  execution // the first attempt that may have been executed
 }
 
-// execution is where and since when a request may have been executed.
+// execution records where a request may have been executed, and when that attempt was sent.
 type execution struct {
 	zone  string
 	shard int
 	since time.Duration
 }
 
-// clientRetryKey is what a request and its client retries have in common.
+// clientRetryKey holds the properties that a request and its client retries have in common.
 type clientRetryKey struct {
 	class, volume, extent string
 	units                 float64
@@ -53,8 +53,7 @@
 	return clientRetryKey{class: r.Class, volume: r.Volume, extent: r.Extent, units: r.Units}
 }
 
-// recordExecution notes that the attempt, which ended with this status, may have been executed by the
-// target.
+// recordExecution records that the target may have executed the attempt that ended with this status.
 func (r *request) recordExecution(t *target, status AttemptStatus) {
 	if r.mayHaveExecuted || !status.MayHaveExecuted() {
 		return
@@ -63,8 +62,8 @@
 	r.firstExecution = execution{zone: t.Zone, shard: t.Shard, since: r.sentAt}
 }
 
-// without returns the list without the request.
-func without(list []*request, r *request) []*request {
+// removeRequest removes the request from the list, if present, and returns the list.
+func removeRequest(list []*request, r *request) []*request {
 	if i := slices.Index(list, r); i >= 0 {
 		return slices.Delete(list, i, i+1)
 	}
--- a/scheduler/retry.go
+++ b/scheduler/retry.go
@@ -3,23 +3,25 @@
 import "time"
 
 const (
-	// retryBudgetChecks is how often within the budget's window a waiting retry is checked again.
+	// retryBudgetChecks is how often a waiting retry is checked again within the budget's window.
 	retryBudgetChecks = 64
-	// retryBackoffDivisor divides the silence timeout: each attempt adds the quotient to the pause before the
-	// next.
+	// retryBackoffDivisor divides the silence timeout; each attempt adds the quotient to the backoff
+	// before the next.
 	retryBackoffDivisor = 8
-	// retryBudgetMarginTicks is by how many ticks the window is shorter for arrivals and longer for
-	// retries. Steps are up to a tick late: a request has arrived before its step, and a retry leaves after
-	// its step. With the margin the budget also holds by the times at which they arrive and leave.
+	// retryBudgetMarginTicks is the number of ticks by which the window is shorter for arrivals and
+	// longer for retries. Steps are up to one tick late: a request arrives before its step, and a retry
+	// is sent after its step. The margin ensures that the budget also holds for the actual times of
+	// arrival and sending.
 	retryBudgetMarginTicks = 2
 )
 
-// retryAdmitAt returns the time from which a retry may go to the target, or a time at which to ask again.
-func (s *Scheduler) retryAdmitAt(r *request, t *target) time.Duration {
+// retryAdmissionTime returns the time from which the retry may go to the target, or a time at which to
+// check again.
+func (s *Scheduler) retryAdmissionTime(r *request, t *target) time.Duration {
 	if !r.isInDedupScope(t) || !s.mayRetry(r) {
 		return never
 	}
-	return s.retryBudget.admitAt(s.now)
+	return s.retryBudget.admissionTime(s.now)
 }
 
 // retryBackoff is the pause after the request's last attempt.
@@ -27,7 +29,7 @@
 	return s.silenceTimeout(t) * time.Duration(r.attempts) / retryBackoffDivisor
 }
 
-// retryBudget counts the arrivals and the retries of this initiator within the budget's window.
+// retryBudget counts this initiator's arrivals and retries within the budget's window.
 type retryBudget struct {
 	RetryBudget
 	tick     time.Duration
@@ -37,21 +39,23 @@
 
 func (b *retryBudget) margin() time.Duration { return retryBudgetMarginTicks * b.tick }
 
-// recordArrival counts a request, also one that is rejected at once.
+// recordArrival counts a request, including one that is rejected at once.
 func (b *retryBudget) recordArrival(now time.Duration) {
 	b.arrivals = append(trimBefore(b.arrivals, now-b.Window), now)
 }
 
-// recordRetry counts a retry, when it is sent.
+// recordRetry counts a retry when it is sent.
 func (b *retryBudget) recordRetry(now time.Duration) {
 	b.retries = append(trimBefore(b.retries, now-b.Window-b.margin()), now)
 }
 
-// admitAt returns the time from which a retry is within the budget, or a time at which to ask again.
+// admissionTime returns the time from which a retry is within the budget, or a time at which to check
+// again.
 //
-// Prevents: responses are slow or lost, and the retries of all initiators keep the targets overloaded. The
-// budget bounds retries to a part of the requests that arrive, however many attempts fail.
-func (b *retryBudget) admitAt(now time.Duration) time.Duration {
+// The budget limits retries to a fraction of the requests that arrive, however many attempts fail.
+// Without it, the retries of all initiators would keep targets overloaded when responses are slow or
+// lost.
+func (b *retryBudget) admissionTime(now time.Duration) time.Duration {
 	if !b.Enabled {
 		return 0
 	}
@@ -63,7 +67,7 @@
 	return now + b.Window/retryBudgetChecks
 }
 
-// trimBefore drops the times before from.
+// trimBefore removes the times before from, and returns the others.
 func trimBefore(times []time.Duration, from time.Duration) []time.Duration {
 	first := 0
 	for first < len(times) && times[first] < from {
--- a/scheduler/retry_test.go
+++ b/scheduler/retry_test.go
@@ -52,16 +52,16 @@
 		budget.recordArrival(now)
 	}
 	for i := range 3 {
-		if at := budget.admitAt(now); at > now {
+		if at := budget.admissionTime(now); at > now {
 			t.Errorf("retry %d is admitted at %v, want now", i, at)
 		}
 		budget.recordRetry(now)
 	}
-	if at := budget.admitAt(now); at <= now {
+	if at := budget.admissionTime(now); at <= now {
 		t.Error("a fourth retry is admitted with 10 arrivals")
 	}
 	now += 10*time.Second + 3*ms
-	if at := budget.admitAt(now); at > now {
+	if at := budget.admissionTime(now); at > now {
 		t.Errorf("a retry is admitted at %v after the window, want now", at)
 	}
 	if len(budget.arrivals)+len(budget.retries) != 0 {
@@ -71,7 +71,7 @@
 	for range 100 {
 		budget.recordRetry(now)
 	}
-	if at := budget.admitAt(now); at != 0 {
+	if at := budget.admissionTime(now); at != 0 {
 		t.Errorf("a retry is admitted at %v without a budget, want 0", at)
 	}
 }
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -7,36 +7,36 @@
 )
 
 const (
-	// never is a time that no clock reaches.
+	// never is a time that the clock never reaches.
 	never = time.Duration(math.MaxInt64)
-	// maxSeconds bounds durations that are computed from an estimate.
+	// maxSeconds caps durations that are computed from estimates.
 	maxSeconds = 1e6
-	// minMeanUnits keeps a division by the mean size finite.
+	// minMeanUnits keeps divisions by the mean size finite.
 	minMeanUnits = 1e-3
 )
 
-// Scheduler decides for one initiator. It is not safe for concurrent use.
+// Scheduler makes the decisions of one initiator. It is not safe for concurrent use.
 type Scheduler struct {
 	settings Settings
 	classes  map[string]*Class
 	plans    map[string]*Plan
 	rng      *rand.Rand
 
-	// Derived from the settings.
-	shortestObjective time.Duration // least latency objective of the classes
-	highestPriority   float64       // greatest that a request can have, see priority
-	minConcurrency    float64       // least concurrency limit of a responding target
+	// Values derived from the settings.
+	shortestObjective time.Duration // shortest latency objective of all classes
+	highestPriority   float64       // highest priority that a request can have, see priority
+	minConcurrency    float64       // lower bound of the concurrency limit of a responding target
 
-	// The current step.
+	// State of the current step.
 	now      time.Duration
-	stall    time.Duration // for how long this process stood still before the step; 0: it did not
+	stall    time.Duration // how long the process was stalled before this step; 0: not at all
 	actions  []Action
-	admitted []*request // requests of the current queue that may go to its target now
+	admitted []*request // requests of the current queue that may be sent now
 
 	// Requests.
 	requests         map[string]*request
-	giveUps          giveUpHeap
-	shutdownDeadline time.Duration // no request may be open after it; never: no shutdown yet
+	pendingGiveUps   giveUpHeap
+	shutdownDeadline time.Duration // when all requests must have ended; never: no shutdown yet
 	givenUp          givenUpRequests
 	serialQueues     map[string]*serialQueue // by extent
 	shardQueues      []*shardQueue
@@ -45,17 +45,17 @@
 	// Targets.
 	targets        []*target
 	targetsByID    map[string]*target
-	queueingFactor float64 // part of the base latency that each request at a target adds; learned
+	queueingFactor float64 // fraction of the base latency that each request at a target adds; learned
 	slowStart      slowStart
 	retryBudget    retryBudget
-	poller         endpointPoller
+	watcher        endpointWatcher
 
 	timer     wakeTimer
 	lastSweep time.Duration
 }
 
-// New returns a scheduler, or a *SettingsError. The settings are copied. The seed is that of its random
-// decisions.
+// New returns a scheduler, or a *SettingsError if the settings are invalid. It copies the settings. The
+// seed determines the scheduler's random decisions.
 func New(settings Settings, seed uint64) (*Scheduler, error) {
 	if err := settings.validate(); err != nil {
 		return nil, err
@@ -78,14 +78,14 @@
 		queueingFactor:    initialQueueingFactor,
 		slowStart:         newSlowStart(&settings),
 		retryBudget:       retryBudget{RetryBudget: settings.RetryBudget, tick: settings.Tick},
-		poller:            newEndpointPoller(settings.WatchEndpoints),
+		watcher:           newEndpointWatcher(settings.WatchEndpoints),
 		timer:             wakeTimer{setFor: never},
 	}
 	s.indexClassesAndPlans()
 	return s, nil
 }
 
-// indexClassesAndPlans fills the maps by name, and what is derived from classes and plans.
+// indexClassesAndPlans fills the maps of classes and plans by name, and the values derived from them.
 func (s *Scheduler) indexClassesAndPlans() {
 	for i := range s.settings.Plans {
 		plan := &s.settings.Plans[i]
@@ -101,8 +101,9 @@
 	}
 }
 
-// Step takes the events up to now, in the order in which they happened, and returns what to do. Times must
-// not decrease from step to step. The slice is valid until the next Step.
+// Step applies the events since the last step, in the order in which they happened, and returns the
+// actions for the caller. The time must not decrease from step to step. The returned slice is valid until
+// the next Step.
 func (s *Scheduler) Step(now time.Duration, events []Event) []Action {
 	s.now = now
 	s.actions = s.actions[:0]
@@ -122,7 +123,7 @@
 		}
 	}
 	s.sweep()
-	if s.poller.takeDue(now) {
+	if s.watcher.startIfDue(now) {
 		s.emit(Action{Kind: WatchEndpoints})
 	}
 	s.setTimer()
@@ -145,15 +146,16 @@
 	case Shutdown:
 		s.onShutdown(event)
 	case Timer:
-		// Prevents: a timer fires a little early, since the caller rounds; nothing is due yet, no other timer
-		// is set, and the queued requests are never ended. Without a timer, this step requests another.
+		// A timer may fire slightly early because the caller rounds, so that nothing is due yet. With
+		// setFor reset, the end of this step requests another timer. Otherwise no timer would be set, and
+		// queued requests might never end.
 		s.timer.setFor = never
 	}
 }
 
 func (s *Scheduler) emit(action Action) { s.actions = append(s.actions, action) }
 
-// seconds turns seconds into a duration, bounded so that it cannot overflow.
+// seconds converts seconds to a duration, capped at maxSeconds so that it cannot overflow.
 func seconds(x float64) time.Duration {
 	return time.Duration(min(x, maxSeconds) * float64(time.Second))
 }
--- a/scheduler/selection.go
+++ b/scheduler/selection.go
@@ -3,27 +3,33 @@
 import "time"
 
 const (
-	// maxSequentialRun bounds the requests for one extent that leave ahead of their turn.
+	// maxSequentialRun is the maximum length of a sequential run: consecutive attempts for one extent,
+	// which leave ahead of their turn after the first.
 	maxSequentialRun = 6
 	// idleLatencyFactor is the multiple of the base latency up to which a target counts as idle.
 	idleLatencyFactor = 1.05
-	// busyTargetChecks is how often within the shortest objective a request that waits for a target with
-	// less load is checked again.
+	// busyTargetChecks is how often, within the shortest objective, a request that waits for lower load
+	// is checked again.
 	busyTargetChecks = 4
 )
 
-// candidates holds the best request of each kind among those that may leave now. Any of them may be nil.
+// candidates holds the best request of each kind among those that may be sent now; nil: none of that
+// kind.
 type candidates struct {
-	eligible      *request // least finish tag of those whose start tag is not after now
-	sequential    *request // the same, of those for the extent that was sent last
-	ahead         *request // least start tag of those whose start tag is after now
-	deprioritized *request // highest priority of the deprioritized ones
-	pastObjective *request // least finish tag of those past their objective
+	eligible      *request // least finish tag, of those with a start tag not after now
+	sequential    *request // least finish tag, of the eligible ones for the extent of the last attempt
+	nextEligible  *request // least start tag, of those with a start tag after now
+	deprioritized *request // highest priority, of the deprioritized ones
+	pastObjective *request // least finish tag, of those past their objective
 }
 
-// selectNext returns the request that leaves next, or nil: the eligible one of least finish tag, or one
-// that continues a sequential run; at a synchronization point the next to become eligible; then, if the
-// target has nothing in flight, a deprioritized one; then, if the target is idle, one past its objective.
+// selectNext returns the request to send next, or nil. In order of preference:
+//
+//   - the eligible request of a sequential run, even beyond the concurrency limit
+//   - the eligible request with the least finish tag
+//   - the next request to become eligible, which makes this a synchronization point
+//   - a deprioritized request, if the target has nothing in flight here
+//   - a request past its objective, if the target is idle
 func (s *Scheduler) selectNext(q *shardQueue, hasCapacity bool) *request {
 	t := q.target
 	s.collectAdmitted(q)
@@ -36,9 +42,9 @@
 		return nil
 	case best.eligible != nil:
 		return best.eligible
-	case best.ahead != nil:
-		s.resynchronize(q, best.ahead.startTag-s.now)
-		return best.ahead
+	case best.nextEligible != nil:
+		s.resynchronize(q, best.nextEligible.startTag-s.now)
+		return best.nextEligible
 	case best.deprioritized != nil && hasNothingInFlight:
 		return best.deprioritized
 	case best.pastObjective != nil && s.isIdle(t):
@@ -47,13 +53,13 @@
 	return nil
 }
 
-// isIdle reports whether the target has nothing in flight here, and no more load from others than an idle
-// one.
+// isIdle reports whether the target has nothing in flight here, and no more load from other initiators
+// than an idle target.
 func (s *Scheduler) isIdle(t *target) bool {
 	return len(t.inFlight) == 0 && s.expectedLatency(t) < idleLatencyFactor*t.baseLatency
 }
 
-// findCandidates picks the best request of each kind from s.admitted.
+// findCandidates finds the best request of each kind in s.admitted.
 func (s *Scheduler) findCandidates(t *target) candidates {
 	var best candidates
 	for _, r := range s.admitted {
@@ -65,7 +71,7 @@
 				best.deprioritized = r
 			}
 		case r.startTag > s.now:
-			best.ahead = earlierStart(best.ahead, r)
+			best.nextEligible = earlierStart(best.nextEligible, r)
 		default:
 			best.eligible = earlierFinish(best.eligible, r)
 			if r.Extent != "" && r.Extent == t.lastExtent && r.attempts == 0 {
@@ -76,7 +82,7 @@
 	return best
 }
 
-// earlierFinish returns the request with the lesser finish tag, and best if they are equal.
+// earlierFinish returns the request with the earlier finish tag, or best if they are equal.
 func earlierFinish(best, r *request) *request {
 	if best == nil || r.finishTag < best.finishTag {
 		return r
@@ -84,7 +90,8 @@
 	return best
 }
 
-// earlierStart returns the request with the lesser start tag, then finish tag, and best if both are equal.
+// earlierStart returns the request with the earlier start tag, or the earlier finish tag if these are
+// equal, or best if both are equal.
 func earlierStart(best, r *request) *request {
 	if best == nil || r.startTag < best.startTag {
 		return r
@@ -95,24 +102,24 @@
 	return best
 }
 
-// collectAdmitted fills s.admitted with the queue's requests that may go to its target now, and marks those
-// that are past their objective or deprioritized. It sets the queue's wakeAt for the others.
+// collectAdmitted fills s.admitted with the queue's requests that may be sent now, and marks those that
+// are past their objective or deprioritized. For the others it sets the queue's wakeAt.
 func (s *Scheduler) collectAdmitted(q *shardQueue) {
 	t := q.target
 	s.admitted = s.admitted[:0]
 	work := s.newWorkEstimate(t)
-	for _, r := range q.queued { // in order of objectiveAt
-		if at := s.admitAt(r, q); at > s.now {
+	for _, r := range q.queued { // in order of objectiveEndsAt
+		if at := s.admissionTime(r, q); at > s.now {
 			q.wakeAt = min(q.wakeAt, at)
 			continue
 		}
 		r.deprioritized = false
-		s.checkObjective(r, t)
+		s.markPastObjective(r, t)
 		if r.pastObjective {
 			s.admitted = append(s.admitted, r)
 			continue
 		}
-		if s.waitsForLessLoad(r, t, work.latency) {
+		if s.mustWaitForLowerLoad(r, t, work.latency) {
 			q.wakeAt = min(q.wakeAt, s.now+s.shortestObjective/busyTargetChecks)
 			continue
 		}
@@ -121,20 +128,21 @@
 	}
 }
 
-// checkObjective marks a request that cannot be served within its objective even at the base latency.
-func (s *Scheduler) checkObjective(r *request, t *target) {
-	if r.pastObjective || s.now+seconds(t.baseLatency*s.relativeSize(r.Units)) <= r.objectiveAt {
+// markPastObjective marks the request if it cannot be served within its objective even at the base
+// latency, and refunds its tokens.
+func (s *Scheduler) markPastObjective(r *request, t *target) {
+	if r.pastObjective || s.now+seconds(t.baseLatency*s.relativeLatency(r.Units)) <= r.objectiveEndsAt {
 		return
 	}
 	r.pastObjective = true
 	t.lastPressure = s.now
-	s.refundTag(r)
+	s.refundTokens(r)
 }
 
-// workEstimate is what the target would have to do to serve the requests counted so far.
+// workEstimate is the work that the target needs to do for the requests counted so far.
 type workEstimate struct {
 	latency        float64 // expected latency of a request of mean size, in seconds
-	secondsPerUnit float64 // time that each unit adds
+	secondsPerUnit float64 // time that each unit takes
 	units          float64
 }
 
@@ -146,34 +154,35 @@
 	}
 }
 
-// deprioritizeExcess counts the request as work. While it cannot be served within its objective behind the
-// others, the one of least priority among them is deprioritized.
+// deprioritizeExcess adds the request to the work. As long as the request cannot be served within its
+// objective after the rest of the work, the lowest-priority request in the work is deprioritized.
 //
-// Prevents: under overload, earliest deadline first serves each request just too late. With the excess set
-// aside, the others are served in time.
+// Otherwise, under overload, sending the earliest deadline first would serve each request just too late.
+// Without the excess, the remaining requests are served in time.
 func (s *Scheduler) deprioritizeExcess(r *request, t *target, work *workEstimate) {
 	work.units += r.Units
-	for s.servedAt(r, work) > r.objectiveAt && !r.deprioritized {
-		least := s.leastPriority(r)
-		least.deprioritized = true
+	for s.expectedCompletion(r, work) > r.objectiveEndsAt && !r.deprioritized {
+		lowest := s.lowestPriority(r)
+		lowest.deprioritized = true
 		t.lastPressure = s.now
-		work.units -= least.Units
+		work.units -= lowest.Units
 	}
 }
 
-// servedAt is when the request would be served behind the other work.
-func (s *Scheduler) servedAt(r *request, work *workEstimate) time.Duration {
-	alone := s.now + seconds(work.latency*s.relativeSize(r.Units))
-	return alone + seconds((work.units-r.Units)*work.secondsPerUnit)
+// expectedCompletion is when the request would be served after the rest of the work.
+func (s *Scheduler) expectedCompletion(r *request, work *workEstimate) time.Duration {
+	withoutQueue := s.now + seconds(work.latency*s.relativeLatency(r.Units))
+	return withoutQueue + seconds((work.units-r.Units)*work.secondsPerUnit)
 }
 
-// leastPriority returns the request of least priority that counts as work: r, or an admitted one below it.
-func (s *Scheduler) leastPriority(r *request) *request {
-	least := r
+// lowestPriority returns the lowest-priority request that counts as work: r, or an admitted one with a
+// lower priority.
+func (s *Scheduler) lowestPriority(r *request) *request {
+	lowest := r
 	for _, other := range s.admitted {
-		if !other.pastObjective && !other.deprioritized && s.priority(other) < s.priority(least) {
-			least = other
+		if !other.pastObjective && !other.deprioritized && s.priority(other) < s.priority(lowest) {
+			lowest = other
 		}
 	}
-	return least
+	return lowest
 }
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -155,12 +155,12 @@
 	start := time.Minute
 	started := &target{Target: Target{StartedAt: start}}
 	started.recentlySent.add(start, 5)
-	if at := policy.admitAt(start, started, 1); at <= start {
+	if at := policy.admissionTime(start, started, 1); at <= start {
 		t.Error("a sixth unit is admitted at the start")
 	}
 	end := start + 10*time.Second
 	started.recentlySent.add(end, 1000)
-	if at := policy.admitAt(end, started, 1); at > end {
+	if at := policy.admissionTime(end, started, 1); at > end {
 		t.Errorf("admitted at %v after the slow start, want now", at)
 	}
 }
--- a/scheduler/sweep.go
+++ b/scheduler/sweep.go
@@ -6,11 +6,12 @@
 	"time"
 )
 
-// idleStateObjectives is for how many shortest objectives idle state is retained.
+// idleStateObjectives is the minimum time between sweeps, in shortest objectives. State that was idle for
+// that long is removed.
 const idleStateObjectives = 60
 
-// sweep removes idle state periodically, so that memory does not grow with the volumes, extents and targets
-// that were ever seen. A volume that is removed starts afresh, as after a synchronization point.
+// sweep removes idle state periodically, so that memory does not grow with the number of volumes, extents
+// and targets ever seen. A removed volume starts with a full bucket, as after a synchronization point.
 func (s *Scheduler) sweep() {
 	if s.now-s.lastSweep <= idleStateObjectives*s.shortestObjective {
 		return
@@ -25,7 +26,8 @@
 	s.lastSweep = s.now
 }
 
-// sweepShardQueues removes the flows of idle volumes, and the empty queues of shards that no target has.
+// sweepShardQueues removes the flows of idle volumes, and the empty queues of shards that no target
+// serves.
 func (s *Scheduler) sweepShardQueues(since time.Duration) {
 	for _, q := range s.shardQueues {
 		q.flows = slices.DeleteFunc(q.flows, func(f *flow) bool {
@@ -42,10 +44,10 @@
 	})
 }
 
-// sweepTargets removes the targets that left the endpoint list.
+// sweepTargets removes the targets that are no longer in the endpoint list.
 func (s *Scheduler) sweepTargets(since time.Duration) {
 	s.targets = slices.DeleteFunc(s.targets, func(t *target) bool {
-		isGone := t.State == Removed && len(t.inFlight) == 0 && t.lastHeard < since
+		isGone := t.State == Removed && len(t.inFlight) == 0 && t.lastContact < since
 		if isGone {
 			delete(s.targetsByID, t.ID)
 		}
--- a/scheduler/sweep_test.go
+++ b/scheduler/sweep_test.go
@@ -25,7 +25,7 @@
 			"retries":           len(s.retryBudget.retries),
 			"given up":          len(s.givenUp.byKey),
 			"given up in order": len(s.givenUp.inOrder),
-			"give-up heap":      len(s.giveUps),
+			"give-up heap":      len(s.pendingGiveUps),
 		} {
 			if size > 10 {
 				t.Errorf("retry budget %v: %d %s kept", hasBudget, size, name)
--- a/scheduler/tags.go
+++ b/scheduler/tags.go
@@ -2,24 +2,27 @@
 
 import "time"
 
-// The terms of redemptive fair queuing (RFQ) as published:
+// Terms of redemptive fair queuing (RFQ), as in the paper:
 //
-//   - rho is the rate at which a volume's token bucket fills, in units per second; sigma is the bucket's
-//     depth in units.
-//   - The start tag of a request is the time from which it is eligible: its volume then is within its rate.
-//   - The finish tag is the order in which eligible requests leave: the start tag plus the latency objective.
+//   - rho is the rate at which the token bucket of a volume fills, in units per second. sigma is the depth of
+//     the bucket, in units.
+//   - The start tag of a request is the time from which it is eligible, which means that its volume is
+//     within its rate.
+//   - The finish tag is the start tag plus the latency objective. Eligible requests are sent in order of
+//     their finish tags.
 //   - A synchronization point is a moment at which a target has capacity and no request for it is eligible.
-//     All tags of the shard shift to an earlier time by the least gap, so that the use of spare capacity is
-//     not held against a volume later.
+//     All tags of the shard then shift to an earlier time by the smallest gap, so that a volume is not
+//     penalized later for its use of spare capacity.
 
-// rho is the volume's rate times the part of its service that this initiator does, in units per second.
+// rho is the volume's provisioned rate times this initiator's share of its service, in units per second.
 func (s *Scheduler) rho(v *volume) float64 {
 	return max(v.plan.ProvisionedRate*s.localShare(v), minRate)
 }
 
-// sigma is the volume's bucket depth: one second of its rate, and one request of the largest size, without
-// which a bucket of a slow volume could never hold such a request. The rate is an even part, not that of rho:
-// a burst may arrive here before the measured share shows it.
+// sigma is the depth of the volume's bucket: one second of its rate plus one request of the largest size,
+// since otherwise the bucket of a slow volume could never hold such a request. The rate is divided
+// equally among the initiators, unlike that of rho: a burst may arrive here before the measured share
+// reflects it.
 func (s *Scheduler) sigma(v *volume) float64 {
 	return max(v.plan.Reservation, v.plan.ProvisionedRate)/v.initiators +
 		max(s.settings.MaxUnits, s.settings.MeanUnits)
@@ -40,13 +43,13 @@
 		r.startTag = max(f.maxStartTag, s.now) + seconds(r.Units/rho)
 	}
 	f.maxStartTag = r.startTag
-	r.finishTag = r.startTag + (r.objectiveAt - s.now)
+	r.finishTag = r.startTag + (r.objectiveEndsAt - s.now)
 	v.bucket.tokens -= r.Units
 }
 
-// refundTag returns what a request took from its volume's bucket, since it cannot be served within its
-// objective, and shifts the tags of the volume's later requests to an earlier time.
-func (s *Scheduler) refundTag(r *request) {
+// refundTokens returns the request's units to its volume's bucket because it cannot be served within its
+// objective, and shifts the tags of the volume's later requests in the queue to an earlier time.
+func (s *Scheduler) refundTokens(r *request) {
 	refund := seconds(r.Units / s.rho(r.volume))
 	r.volume.bucket.tokens += r.Units
 	for _, other := range r.queue.queued {
@@ -57,9 +60,10 @@
 	r.queue.flow(r.volume).maxStartTag -= refund
 }
 
-// resynchronize is a synchronization point of the queue: all its tags shift to an earlier time by the gap,
-// and its volumes with nothing queued or in flight at this initiator get a full bucket. The maxStartTag of
-// a flow with nothing queued stays: none of its requests was shifted.
+// resynchronize performs a synchronization point of the queue: it shifts all its tags to an earlier time
+// by the gap, and fills the buckets of those of its volumes that have nothing queued or in flight at this
+// initiator. The maxStartTag of a flow with nothing queued stays the same, since none of its requests was
+// shifted.
 func (s *Scheduler) resynchronize(q *shardQueue, gap time.Duration) {
 	for _, r := range q.queued {
 		r.shiftTags(gap)
--- a/scheduler/timer.go
+++ b/scheduler/timer.go
@@ -2,18 +2,19 @@
 
 import "time"
 
-// timersPerObjective is how many timers fit in the shortest objective, so that a stall of the process
-// shows.
+// timersPerObjective is the minimum number of timers per shortest objective. Without frequent timers, a
+// stall of the process would go unnoticed.
 const timersPerObjective = 8
 
-// wakeTimer is the timer requested from the caller.
+// wakeTimer is the state of the timer that the caller was asked to set.
 type wakeTimer struct {
-	setFor     time.Duration // never: no timer is set
-	nextWorkAt time.Duration // when something is due, if no event but a Timer arrives before
+	setFor     time.Duration // when it is due; never: no timer is set
+	nextWorkAt time.Duration // when the next work is due, unless an event other than a Timer arrives earlier
 }
 
-// measureStall notes how late the timer is: this process stood still for that long, and the events of this
-// step have waited here rather than at a target.
+// measureStall measures by how much this step is later than the timer. If it is much later, the process
+// was stalled for that time, and the events of this step have waited in the process rather than at a
+// target.
 func (s *Scheduler) measureStall() {
 	s.stall = 0
 	late := s.now - s.timer.setFor
@@ -26,8 +27,8 @@
 	}
 }
 
-// setTimer requests a Timer event when something is due, and several times within the shortest objective in
-// any case, so that a stall shows.
+// setTimer requests a Timer event for the next work, or earlier so that there are several timers per
+// shortest objective and a stall is noticed.
 func (s *Scheduler) setTimer() {
 	s.timer.nextWorkAt = s.nextWorkAt()
 	next := min(s.timer.nextWorkAt, s.now+s.shortestObjective/timersPerObjective)
@@ -37,10 +38,11 @@
 	}
 }
 
-// nextWorkAt returns when the next poll, the next request to give up or the next dispatch is due.
+// nextWorkAt returns when the next request for the endpoint list, the next request to give up or the next
+// dispatch is due.
 func (s *Scheduler) nextWorkAt() time.Duration {
-	next := s.poller.nextPoll
-	if r := s.giveUps.earliest(); r != nil {
+	next := s.watcher.nextRequestAt
+	if r := s.pendingGiveUps.earliest(); r != nil {
 		next = min(next, r.giveUpAt)
 	}
 	for _, q := range s.shardQueues {
--- a/scheduler/timer_test.go
+++ b/scheduler/timer_test.go
@@ -54,7 +54,7 @@
 		request := testRequest("c", "v", 1)
 		request.Timeout -= 300 * ms // the client sent it 300 ms ago
 		h.step(request, AttemptEnded{RequestID: "b", Status: Succeeded, Latency: 600 * ms, Answered: true})
-		if got := h.scheduler.requests["c"].objectiveAt - h.now; got != c.wantObjective {
+		if got := h.scheduler.requests["c"].objectiveEndsAt - h.now; got != c.wantObjective {
 			t.Errorf("%s: objective in %v, want %v", c.name, got, c.wantObjective)
 		}
 		if got := h.target().smoothedLatency > 0.06; got != c.wantLatencyKept {
