--- a/scheduler/completion_test.go
+++ b/scheduler/completion_test.go
@@ -18,10 +18,11 @@
 	}
 }
 
-// TestRequestWithoutAttemptIsRejectedByHalfTimeout queues a request that cannot be sent. A client that is
-// held back until its timeout has no time for a retry, so it must be rejected by half of it.
+// TestRequestWithoutAttemptIsRejectedByHalfTimeout queues a request that cannot be sent. It must be
+// rejected by half of its timeout, because a client that waits for the whole timeout has no time left for
+// a retry.
 func TestRequestWithoutAttemptIsRejectedByHalfTimeout(t *testing.T) {
-	h := newHarness(t, testSettings(), servingTarget(testTarget, 1)) // no target has shard 0
+	h := newHarness(t, testSettings(), servingTarget(testTarget, 1)) // no target serves shard 0
 	request := testRequest("a", "v", 1)
 	request.Timeout = time.Second
 	h.step(request)
@@ -31,8 +32,8 @@
 	}
 }
 
-// TestRequestAfterAttemptHasWholeTimeout has a target reject an attempt and then drain. The request was
-// sent, so it keeps its whole timeout for a retry, and is rejected at the end of it.
+// TestRequestAfterAttemptHasWholeTimeout has a target reject an attempt and then drain. Since the request
+// was sent, it must keep its whole timeout for a retry, and be rejected at the end of it.
 func TestRequestAfterAttemptHasWholeTimeout(t *testing.T) {
 	h := newHarness(t, testSettings(), servingTarget(testTarget, 0))
 	h.step(testRequest("a", "v", 1))
@@ -40,7 +41,7 @@
 	h.step(EndpointList{Targets: []Target{{ID: testTarget, State: Draining}}})
 	h.advance(1900 * ms)
 	if len(h.responses) != 0 {
-		t.Fatalf("responses %v early", h.responses)
+		t.Fatalf("responses %v before the end of the timeout, want none", h.responses)
 	}
 	h.advance(100 * ms)
 	if len(h.responses) != 1 || h.responses[0].Kind != Reject {
@@ -48,9 +49,9 @@
 	}
 }
 
-// TestUnsentAttemptIsRejectedByHalfTimeout has attempts that found no connection, or were not sent. They do
-// not count as sent: the request is rejected by half of its timeout.
-func TestUnsentAttemptIsRejectedByHalfTimeout(t *testing.T) {
+// TestRequestWithUnsentAttemptIsRejectedByHalfTimeout ends attempts that got no connection or were not
+// sent. They must not count as sent: the request must be rejected by half of its timeout.
+func TestRequestWithUnsentAttemptIsRejectedByHalfTimeout(t *testing.T) {
 	for _, status := range []AttemptStatus{ConnectFailed, NotSent} {
 		h := newHarness(t, testSettings(), servingTarget(testTarget, 0))
 		h.step(testRequest("a", "v", 1))
@@ -63,9 +64,9 @@
 	}
 }
 
-// TestLongAttemptIsAnsweredOnce has a target reject an attempt that was in flight past half of the timeout.
-// The request has the rest of its timeout, and then exactly one response.
-func TestLongAttemptIsAnsweredOnce(t *testing.T) {
+// TestRequestWithLongAttemptHasOneResponse has a target reject an attempt that was in flight past half of
+// the timeout. The request must keep the rest of its timeout, and then get exactly one response.
+func TestRequestWithLongAttemptHasOneResponse(t *testing.T) {
 	h := newHarness(t, testSettings(), servingTarget(testTarget, 0))
 	h.step(testRequest("a", "v", 1))
 	h.advance(1500 * ms)
@@ -73,7 +74,7 @@
 	h.step(EndpointList{Targets: []Target{{ID: testTarget, State: Draining}}})
 	h.advance(400 * ms)
 	if len(h.responses) != 0 {
-		t.Errorf("responses %v with time left", h.responses)
+		t.Errorf("responses %v before the end of the timeout, want none", h.responses)
 	}
 	h.advance(200 * ms)
 	if len(h.responses) != 1 {
@@ -81,21 +82,22 @@
 	}
 }
 
-// TestShutdownMovesDeadlines shuts down within 0.5 s while requests have 2 s left. A queued request, one
-// that arrives later and one whose attempt is cancelled must each have one response by then.
-func TestShutdownMovesDeadlines(t *testing.T) {
+// TestShutdownShortensDeadlines begins a shutdown with a grace period of 0.5 s while requests have 2 s
+// left. A queued request, one that arrives later and one whose attempt is cancelled must each get one
+// response by then.
+func TestShutdownShortensDeadlines(t *testing.T) {
 	h := newHarness(t, testSettings(), servingTarget(testTarget, 0))
 	h.step(testRequest("sent", "v", 1))
 	queued := testRequest("queued", "v", 1)
-	queued.Shard = 1 // no target has it
+	queued.Shard = 1 // no target serves it
 	h.step(queued)
 	h.advance(100 * ms)
 	shutdownAt := h.now
 	h.step(Shutdown{GracePeriod: 500 * ms})
-	late := testRequest("late", "v", 1)
-	late.Shard = 1
+	afterShutdown := testRequest("late", "v", 1)
+	afterShutdown.Shard = 1
 	h.advance(400 * ms)
-	h.step(late)
+	h.step(afterShutdown)
 	h.advance(100 * ms)
 	h.endAttempt("sent", Cancelled, 600*ms)
 	h.advance(5 * ms)
@@ -104,18 +106,18 @@
 		ended[a.RequestID] = true
 	}
 	if !ended["queued"] || !ended["late"] || !ended["sent"] || len(h.responses) != 3 {
-		t.Errorf("responses %v after %v, want one for each of three", h.responses, h.now-shutdownAt)
+		t.Errorf("responses %v within %v, want one for each of three requests", h.responses, h.now-shutdownAt)
 	}
 }
 
-// TestRequestAfterShutdownIsNotSent has a request arrive when the time of a shutdown is just over, and later. Failure: it is
-// queued with a deadline in the past, gets one tick until it is given up, and may be sent in it, for a response that comes too
-// late.
+// TestRequestAfterShutdownIsNotSent has a request arrive at the end of the grace period of a shutdown,
+// and later. It must not be queued with a deadline in the past: it would be given up one tick later, and
+// might be sent in between although its response comes too late.
 func TestRequestAfterShutdownIsNotSent(t *testing.T) {
-	const within = 500 * ms
-	for _, after := range []time.Duration{within, within + ms, 2 * within} {
+	const gracePeriod = 500 * ms
+	for _, after := range []time.Duration{gracePeriod, gracePeriod + ms, 2 * gracePeriod} {
 		h := newHarness(t, testSettings(), servingTarget(testTarget, 0))
-		h.step(Shutdown{GracePeriod: within})
+		h.step(Shutdown{GracePeriod: gracePeriod})
 		h.now += after
 		h.step(testRequest("a", "v", 1))
 		if len(h.sends) != 0 || len(h.responses) != 1 || h.responses[0].Kind != Reject {
@@ -124,8 +126,9 @@
 	}
 }
 
-// TestRetryAfterIsNotNegative gives a request up that is past its objective, before and after its deadline. Failure: a result
-// that comes after the deadline makes the advice to the client a time in the past.
+// TestRetryAfterIsNotNegative computes the Retry-After of a request past its objective, before and after
+// its deadline. An attempt can end after the deadline, and the advice to the client must not be a time in
+// the past then.
 func TestRetryAfterIsNotNegative(t *testing.T) {
 	h := newHarness(t, testSettings())
 	for left, want := range map[time.Duration]time.Duration{300 * ms: 300 * ms, -50 * ms: 0} {
--- a/scheduler/endpoints_test.go
+++ b/scheduler/endpoints_test.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// TestDrainingTargetGetsNoAttempt has a target drain while a request is queued for its shard. The draining
-// target must get no attempt, and its successor gets the request.
+// TestDrainingTargetGetsNoAttempt has a target drain while a request is queued for its shard. The
+// draining target must get no attempt, and its successor must get the request.
 func TestDrainingTargetGetsNoAttempt(t *testing.T) {
 	h := newHarness(t, testSettings(), servingTarget("old", 0))
 	h.step(EndpointList{Targets: []Target{{ID: "old", State: Draining}}}, testRequest("a", "v", 1))
 	h.advance(50 * ms)
 	if len(h.sends) != 0 {
-		t.Fatalf("sent to a draining target: %v", h.sends)
+		t.Fatalf("sends %v to a draining target, want none", h.sends)
 	}
 	h.step(EndpointList{Targets: []Target{servingTarget("new", 0)}})
 	if len(h.sends) != 1 || h.sends[0].Target != "new" {
@@ -20,42 +20,46 @@
 	}
 }
 
-// TestEndpointPollerBacksOff fails five polls in a row, then has one succeed. The time to the next poll
-// must double with each failure, up to 8 s, and begin at 1 s again.
-func TestEndpointPollerBacksOff(t *testing.T) {
-	poller := newEndpointWatcher(true)
+// TestEndpointWatcherBacksOff has five consecutive requests for the endpoint list fail, and then one
+// succeed. The time to the next request must double with each failure, up to 8 s, and begin at 1 s again
+// after the success.
+func TestEndpointWatcherBacksOff(t *testing.T) {
+	watcher := newEndpointWatcher(true)
 	now := time.Minute
-	if !poller.startIfDue(now) || poller.startIfDue(now) {
-		t.Fatal("want one poll at the start")
+	if !watcher.startIfDue(now) || watcher.startIfDue(now) {
+		t.Fatal("want one request at the start")
 	}
-	for i, backoff := range []time.Duration{time.Second, 2 * time.Second, 4 * time.Second, 8 * time.Second, 8 * time.Second} {
-		poller.recordFailure(now)
-		if poller.startIfDue(now + backoff - 1) {
-			t.Errorf("poll %d is due before %v", i, backoff)
+	for i, backoff := range []time.Duration{
+		time.Second, 2 * time.Second, 4 * time.Second, 8 * time.Second, 8 * time.Second,
+	} {
+		watcher.recordFailure(now)
+		if watcher.startIfDue(now + backoff - 1) {
+			t.Errorf("request %d is due before %v", i, backoff)
 		}
 		now += backoff
-		if !poller.startIfDue(now) {
-			t.Errorf("poll %d is not due after %v", i, backoff)
+		if !watcher.startIfDue(now) {
+			t.Errorf("request %d is not due after %v", i, backoff)
 		}
 	}
-	poller.recordSuccess()
-	poller.recordFailure(now)
-	if got := poller.nextRequestAt - now; got != time.Second {
-		t.Errorf("next poll in %v after a success and a failure, want 1s", got)
+	watcher.recordSuccess()
+	watcher.recordFailure(now)
+	if got := watcher.nextRequestAt - now; got != time.Second {
+		t.Errorf("next request in %v after a success and a failure, want 1s", got)
 	}
 }
 
-// TestEndpointPollerOff checks that no poll is sent where the endpoint list comes by itself.
-func TestEndpointPollerOff(t *testing.T) {
-	poller := newEndpointWatcher(false)
-	poller.recordFailure(time.Second)
-	if poller.startIfDue(time.Hour) {
-		t.Error("a poll is due")
+// TestEndpointWatcherDisabled checks that no request is sent if the caller watches the endpoint list on
+// its own.
+func TestEndpointWatcherDisabled(t *testing.T) {
+	watcher := newEndpointWatcher(false)
+	watcher.recordFailure(time.Second)
+	if watcher.startIfDue(time.Hour) {
+		t.Error("a request is due, want none")
 	}
 }
 
-// TestLatestStartServesShard lists two serving targets of one shard, as when a target moves. The one that
-// started last serves the shard.
+// TestLatestStartServesShard lists two serving targets of one shard, as happens while a shard moves to
+// another target. The one that started last must get the requests.
 func TestLatestStartServesShard(t *testing.T) {
 	older := Target{ID: "older", StartedAt: 100 * ms}
 	newer := Target{ID: "newer", StartedAt: 200 * ms}
@@ -63,7 +67,7 @@
 		h := newHarness(t, testSettings(), targets...)
 		h.step(testRequest("a", "v", 1))
 		if len(h.sends) != 1 || h.sends[0].Target != "newer" {
-			t.Errorf("listed %v: sends %v, want one to the newer target", targets, h.sends)
+			t.Errorf("endpoint list %v: sends %v, want one to the newer target", targets, h.sends)
 		}
 	}
 }
--- a/scheduler/givenup_test.go
+++ b/scheduler/givenup_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// TestShortTimeoutIsNoClientRetry has all clients use a tenth of their usual timeout. If a short timeout made
-// a request a late client retry, each would wait until it is rejected. They must be sent.
-func TestShortTimeoutIsNoClientRetry(t *testing.T) {
+// TestShortTimeoutIsNotAClientRetry has all clients use a tenth of their usual timeout. All requests must
+// be sent. If a short timeout made a request a late client retry, each would wait until it is rejected.
+func TestShortTimeoutIsNotAClientRetry(t *testing.T) {
 	h := newHarness(t, testSettings(), servingTarget(testTarget, 0))
 	h.step(testRequest("full", "v", 1))
 	h.now += 20 * ms
@@ -23,13 +23,13 @@
 		}
 	}
 	if got := len(h.sends); got < 25 {
-		t.Fatalf("%d of 41 requests sent", got)
+		t.Fatalf("%d of 41 requests sent, want at least 25", got)
 	}
 }
 
-// TestClientRetryPastObjectiveIsRejectedAtOnce has a client retry after a rejection, when the objective of
-// the first request has passed. The client retry must take nothing from the volume's bucket, and be rejected
-// at once with the advice to wait until the client's deadline.
+// TestClientRetryPastObjectiveIsRejectedAtOnce sends a client retry after a rejection, when the objective
+// of the first request has passed. The client retry must take nothing from the volume's bucket, and must
+// be rejected at once with the advice to wait until the client's deadline.
 func TestClientRetryPastObjectiveIsRejectedAtOnce(t *testing.T) {
 	h := newHarness(t, testSettings(), servingTarget(testTarget, 1))
 	request := testRequest("a", "v", 3)
@@ -43,35 +43,36 @@
 	request.Timeout = 900 * ms
 	actions := h.step(request)
 	if len(h.responses) != 2 || h.responses[1].Kind != Reject || h.responses[1].RetryAfter != 900*ms {
-		t.Fatalf("client retry: %v, want it rejected at once with a Retry-After of 900ms", actions)
+		t.Fatalf("actions %v for the client retry, want a rejection at once with a Retry-After of 900ms", actions)
 	}
 	if after := h.scheduler.volumes["v"].bucket.tokens; after != before {
-		t.Errorf("the client retry moved the bucket from %v to %v", before, after)
+		t.Errorf("the client retry changed the bucket from %v to %v tokens", before, after)
 	}
 }
 
-// TestGivenUpRequestsAreForgotten checks that a request that was given up is known by its key until its
-// client's deadline, and that an older one of the same key does not remove a newer.
-func TestGivenUpRequestsAreForgotten(t *testing.T) {
+// TestGivenUpRequestsExpire checks that a given-up request is found by its key until its client's
+// deadline, and that the expiry of an older request does not remove a newer one with the same key.
+func TestGivenUpRequestsExpire(t *testing.T) {
 	class := &Class{Deadline: time.Second}
-	givenUpAt := func(id, extent string, at time.Duration) *request {
+	newGivenUp := func(id, extent string, at time.Duration) *request {
 		return &request{Request: Request{ID: id, Extent: extent}, class: class, firstArrival: at}
 	}
-	memory := newGivenUpRequests()
-	older := givenUpAt("older", "x", 0)
-	newer := givenUpAt("newer", "x", 900*ms)
-	memory.add(older, 0)
-	memory.add(newer, 900*ms)
-	memory.add(givenUpAt("other", "y", 1100*ms), 1100*ms)
-	if got := memory.find(givenUpAt("retry", "x", 0)); got != newer {
+	givenUp := newGivenUpRequests()
+	older := newGivenUp("older", "x", 0)
+	newer := newGivenUp("newer", "x", 900*ms)
+	givenUp.add(older, 0)
+	givenUp.add(newer, 900*ms)
+	givenUp.add(newGivenUp("other", "y", 1100*ms), 1100*ms)
+	if got := givenUp.find(newGivenUp("retry", "x", 0)); got != newer {
 		t.Errorf("found %v, want the newer request", got)
 	}
-	memory.add(givenUpAt("last", "z", 3*time.Second), 3*time.Second)
-	if len(memory.byKey) != 1 || len(memory.inOrder) != 1 {
-		t.Errorf("%d keys and %d requests kept, want the last one", len(memory.byKey), len(memory.inOrder))
+	givenUp.add(newGivenUp("last", "z", 3*time.Second), 3*time.Second)
+	if len(givenUp.byKey) != 1 || len(givenUp.inOrder) != 1 {
+		t.Errorf("%d keys and %d requests kept, want only the last request",
+			len(givenUp.byKey), len(givenUp.inOrder))
 	}
-	memory.remove(givenUpAt("retry", "z", 0))
-	if len(memory.byKey) != 0 {
+	givenUp.remove(newGivenUp("retry", "z", 0))
+	if len(givenUp.byKey) != 0 {
 		t.Error("a removed request is still found")
 	}
 }
--- a/scheduler/giveupheap_test.go
+++ b/scheduler/giveupheap_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// TestGiveUpHeap checks the order of giveUpAt, also after a change, and that equal times are ordered by ID.
+// TestGiveUpHeap checks that requests are ordered by giveUpAt, also after a change of it, and by ID if
+// the times are equal.
 func TestGiveUpHeap(t *testing.T) {
 	var giveUps giveUpHeap
 	requests := map[string]*request{}
--- a/scheduler/harness_test.go
+++ b/scheduler/harness_test.go
@@ -7,10 +7,11 @@
 
 const ms = time.Millisecond
 
-// testTarget is the ID of the target in tests with one target.
+// testTarget is the ID of the target in tests with a single target.
 const testTarget = "n"
 
-// testSettings returns settings with one idempotent class, one plan of 10 units per second and no rules.
+// testSettings returns settings with one idempotent class, one plan of 10 units per second, and all rules
+// disabled.
 func testSettings() Settings {
 	return Settings{
 		Initiators:        1,
@@ -34,7 +35,7 @@
 	attempts  map[string]int // by request ID
 }
 
-// newHarness returns a harness whose scheduler has received the targets as its endpoint list.
+// newHarness returns a harness whose scheduler has received the targets as its complete endpoint list.
 func newHarness(t *testing.T, settings Settings, targets ...Target) *harness {
 	t.Helper()
 	return newSeededHarness(t, settings, 1, targets...)
@@ -51,7 +52,7 @@
 	return h
 }
 
-// step passes the events to the scheduler now, and returns its actions.
+// step passes the events to the scheduler at the current time and returns its actions.
 func (h *harness) step(events ...Event) []Action {
 	actions := h.scheduler.Step(h.now, events)
 	for _, action := range actions {
@@ -66,7 +67,7 @@
 	return actions
 }
 
-// advance lets the time pass, with a Timer event every 5 ms.
+// advance moves the time forward, with a Timer event every 5 ms.
 func (h *harness) advance(d time.Duration) {
 	for end := h.now + d; h.now < end; {
 		h.now += 5 * ms
@@ -85,7 +86,7 @@
 	})
 }
 
-// sentIDs returns the request of each attempt, in order.
+// sentIDs returns the request IDs of all attempts, in the order sent.
 func (h *harness) sentIDs() []string {
 	var ids []string
 	for _, action := range h.sends {
@@ -94,7 +95,7 @@
 	return ids
 }
 
-// target returns what the scheduler knows of testTarget.
+// target returns the scheduler's state of testTarget.
 func (h *harness) target() *target { return h.scheduler.targetsByID[testTarget] }
 
 func testRequest(id, volume string, units float64) Request {
--- a/scheduler/invariants_test.go
+++ b/scheduler/invariants_test.go
@@ -7,17 +7,18 @@
 	"time"
 )
 
-// simulationSteps is the number of steps of a simulation; no request arrives in the last quietSteps, so
-// that all can end.
+// A simulation has simulationSteps steps. No request arrives in the last quietSteps of them, so that all
+// requests can end.
 const (
 	simulationSteps = 6000
 	quietSteps      = 1500
 )
 
-// minActions is the least number of actions of a simulation, so that the rules are checked on many.
+// minActions is the minimum number of actions of a simulation, so that the rules are checked often
+// enough.
 const minActions = 1000
 
-// settingsMask says which rules and classes the settings of a simulation have.
+// settingsMask selects the rules and classes in the settings of a simulation.
 type settingsMask int
 
 const (
@@ -29,10 +30,12 @@
 	settingsMasks // number of masks
 )
 
-// String names what the mask turns on.
+// String lists what the mask enables.
 func (m settingsMask) String() string {
 	names := []string{}
-	for i, name := range []string{"serialized extents", "retry budget", "rate limit", "slow start", "dedup everywhere"} {
+	for i, name := range []string{
+		"serialized extents", "retry budget", "rate limit", "slow start", "dedup everywhere",
+	} {
 		if m&(1<<i) != 0 {
 			names = append(names, name)
 		}
@@ -41,7 +44,7 @@
 }
 
 // TestRulesHold checks the seven rules of doc.go over random event sequences, with all combinations of
-// settings, and that the same events give the same actions.
+// settings, and that the same events produce the same actions.
 func TestRulesHold(t *testing.T) {
 	for mask := range settingsMasks {
 		for seed := range uint64(3) {
@@ -53,23 +56,23 @@
 			}
 			result.checkActions(t, fmt.Sprintf("%v, seed %d", mask, seed))
 			if seed == 0 && !slices.Equal(simulate(seed, mask).actions, result.actions) {
-				t.Errorf("%v: the same events gave other actions", mask)
+				t.Errorf("%v: the same events produced different actions", mask)
 			}
 		}
 	}
 }
 
-// simulationResult is what one simulation showed.
+// simulationResult is the outcome of one simulation.
 type simulationResult struct {
-	violations []string // rules that were broken
+	violations []string // descriptions of the violated rules
 	actions    []Action // in order
 }
 
-// checkActions checks that the simulation had many actions, and some of each kind.
+// checkActions checks that the simulation had at least minActions actions, and some of each kind.
 func (r *simulationResult) checkActions(t *testing.T, name string) {
 	t.Helper()
 	if len(r.actions) < minActions {
-		t.Errorf("%s: %d actions, want %d or more", name, len(r.actions), minActions)
+		t.Errorf("%s: %d actions, want at least %d", name, len(r.actions), minActions)
 	}
 	for _, kind := range []ActionKind{Send, Reject, Fail, SetTimer} {
 		isOfKind := func(action Action) bool { return action.Kind == kind }
@@ -169,7 +172,7 @@
 	return classes
 }
 
-// simulate plays one seeded sequence of events.
+// simulate runs one random event sequence, which the seed determines.
 func simulate(seed uint64, mask settingsMask) simulationResult {
 	sim := newSimulation(seed, mask)
 	var actions []Action
--- a/scheduler/latency_test.go
+++ b/scheduler/latency_test.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// TestLongResponseIsForgotten checks that the expected latency falls to the base latency with time. Otherwise,
-// after one long response, all requests would count as past their objective, nothing would be sent, and
-// nothing would correct the estimate.
-func TestLongResponseIsForgotten(t *testing.T) {
+// TestExpectedLatencyFallsAfterSlowResponse checks that the expected latency falls to the base latency
+// over time. Otherwise, after one slow response, all requests would count as past their objective,
+// nothing would be sent, and no new response would correct the estimate.
+func TestExpectedLatencyFallsAfterSlowResponse(t *testing.T) {
 	h := newHarness(t, testSettings(), servingTarget(testTarget, 0))
 	for i := range 5 {
 		id := fmt.Sprint("a", i)
@@ -21,35 +21,36 @@
 	h.step(testRequest("slow", "v", 1))
 	h.now += 5 * time.Second
 	h.endAttempt("slow", Succeeded, 5*time.Second)
-	h.now += 10 * time.Second // several times the memory of the estimate
+	h.now += 10 * time.Second // several time constants of the estimate
 	h.step(testRequest("next", "v", 1))
 	if got := h.sentIDs(); got[len(got)-1] != "next" {
-		t.Fatalf("sent %v; want the next request sent at once", got)
+		t.Fatalf("sent %v, want the next request sent at once", got)
 	}
 	if h.scheduler.requests["next"].pastObjective {
 		t.Fatal("the next request counts as past its objective")
 	}
 }
 
-// TestResponseAfterGapOutweighsOldOnes checks an initiator with a response every ten seconds: its estimate must
-// follow the last one, not an average over minutes.
-func TestResponseAfterGapOutweighsOldOnes(t *testing.T) {
+// TestResponseAfterGapOutweighsEarlierOnes has an initiator receive a response every ten seconds. Its
+// estimate must follow the last response, not an average over minutes.
+func TestResponseAfterGapOutweighsEarlierOnes(t *testing.T) {
 	h := newHarness(t, testSettings(), servingTarget(testTarget, 0))
-	for i, took := range []time.Duration{50 * ms, 50 * ms, 600 * ms} {
+	for i, latency := range []time.Duration{50 * ms, 50 * ms, 600 * ms} {
 		id := fmt.Sprintf("a%d", i)
 		h.advance(10 * time.Second)
 		h.step(testRequest(id, "v", 1))
-		h.advance(took)
-		h.endAttempt(id, Succeeded, took)
+		h.advance(latency)
+		h.endAttempt(id, Succeeded, latency)
 	}
 	if got := h.scheduler.expectedLatency(h.target()); got < 0.5 {
-		t.Fatalf("%.2f s expected after one response in 0.6 s, long after the others", got)
+		t.Fatalf("expected latency %.2f s after a response in 0.6 s, long after the others; want at least 0.5 s",
+			got)
 	}
 }
 
-// TestAbsurdLoadReportsAreIgnored sends load reports with absent, negative, huge and undefined values, also
-// before the first response. They must not change the estimate.
-func TestAbsurdLoadReportsAreIgnored(t *testing.T) {
+// TestImplausibleLoadReportsAreIgnored sends load reports with absent, negative, huge, infinite and NaN
+// values, from the first response on. They must not change the estimate.
+func TestImplausibleLoadReportsAreIgnored(t *testing.T) {
 	for _, report := range []*LoadReport{
 		nil,
 		{QueueDepth: -1, InFlight: -1},
@@ -72,18 +73,19 @@
 			})
 		}
 		if got := h.scheduler.expectedLatency(h.target()); got < 0.039 || got > 0.041 {
-			t.Errorf("%+v: %v s expected, want the 40 ms of the responses", report, got)
+			t.Errorf("%+v: expected latency %v s, want the 40 ms of the responses", report, got)
 		}
 		if len(h.sends) != 3 {
-			t.Errorf("%+v: %d of 3 sent", report, len(h.sends))
+			t.Errorf("%+v: %d of 3 requests sent", report, len(h.sends))
 		}
 	}
 }
 
-// TestTimeoutBeforeFirstResponse has an attempt with a short timeout end before the target's first response, which then comes
-// after 40 ms. Failure: the smoothed latency, which is 0 as long as nothing was heard, is raised from 0 by the timeout; the base
-// latency stays at 0, every response looks slow beside it, and the concurrency limit falls to its minimum.
-func TestTimeoutBeforeFirstResponse(t *testing.T) {
+// TestTimeoutBeforeFirstResponseIsNotMeasured has an attempt with a short timeout end before the target's
+// first response, which then comes after 40 ms. The timeout must not raise the smoothed latency, which is
+// 0 before the first response. Otherwise the base latency would stay at 0, every response would look slow
+// in comparison, and the concurrency limit would fall to its minimum.
+func TestTimeoutBeforeFirstResponseIsNotMeasured(t *testing.T) {
 	h := newHarness(t, testSettings(), servingTarget(testTarget, 0))
 	h.step(testRequest("a", "v", 1))
 	h.now += 30 * ms
@@ -98,7 +100,7 @@
 	}
 	target := h.target()
 	if target.baseLatency < 0.039 || target.baseLatency > 0.041 || target.concurrencyLimit < initialConcurrency {
-		t.Errorf("base latency %v s, concurrency limit %v; want 0.04 s and %v at least",
+		t.Errorf("base latency %v s, concurrency limit %v; want 0.04 s and at least %v",
 			target.baseLatency, target.concurrencyLimit, initialConcurrency)
 	}
 }
--- a/scheduler/ordering_test.go
+++ b/scheduler/ordering_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// TestSerializedExtentSettles has the first of two writes to one extent time out: the target may still
-// execute it. The second write must leave only when the first has ended and the settle time is over.
+// TestSerializedExtentSettles has the first of two writes to one extent lose its connection, so that the
+// target may still be executing it. The second write must be sent only after the first has ended and the
+// settle time has passed.
 func TestSerializedExtentSettles(t *testing.T) {
 	settings := testSettings()
 	settings.Classes[0].Serialized = true
@@ -20,12 +21,12 @@
 	h.step(first, second)
 	h.advance(50 * ms)
 	if got := h.sentIDs(); !slices.Equal(got, []string{"first"}) {
-		t.Fatalf("sent %v, want the first write alone", got)
+		t.Fatalf("sent %v, want only the first write", got)
 	}
 	h.endAttempt("first", ConnectionReset, 50*ms)
 	h.advance(90 * ms)
 	if len(h.sends) != 1 {
-		t.Fatalf("sent %v within the settle time", h.sentIDs())
+		t.Fatalf("sent %v within the settle time, want only the first write", h.sentIDs())
 	}
 	h.advance(200 * ms)
 	if got := h.sentIDs(); !slices.Equal(got, []string{"first", "second"}) {
--- a/scheduler/placement_test.go
+++ b/scheduler/placement_test.go
@@ -5,12 +5,13 @@
 	"testing"
 )
 
-// TestNewObjectsStayWithKnownTargets checks that new objects go to targets that have answered, until those
-// would take longer than an objective. Otherwise each new object would go to one more target, and take up one
-// of the few connections that a target holds.
+// TestNewObjectsStayWithKnownTargets checks that new objects go to targets that have responded, as long
+// as the expected wait there is less than an objective. Otherwise each new object would go to another
+// target, and take up one of the few connections that a target accepts.
 func TestNewObjectsStayWithKnownTargets(t *testing.T) {
 	h := newHarness(t, testSettings(),
-		servingTarget("a", 0), servingTarget("b", 1), servingTarget("c", 2), servingTarget("d", 3), servingTarget("e", 4))
+		servingTarget("a", 0), servingTarget("b", 1), servingTarget("c", 2),
+		servingTarget("d", 3), servingTarget("e", 4))
 	newObject := func(id string) Request {
 		request := testRequest(id, "v", 1)
 		request.Shard = -1
@@ -26,7 +27,7 @@
 		used[h.sends[len(h.sends)-1].Target] = true
 	}
 	if len(used) != 1 {
-		t.Fatalf("new objects went to %v while one target answered at once", used)
+		t.Fatalf("new objects went to %v while one target responded quickly", used)
 	}
 	for i := range 100 {
 		h.step(newObject(fmt.Sprint("x", i)))
@@ -35,6 +36,6 @@
 		used[action.Target] = true
 	}
 	if len(used) < 2 {
-		t.Error("a hundred new objects at once went to one target")
+		t.Error("a hundred new objects at once all went to one target")
 	}
 }
--- a/scheduler/priority_test.go
+++ b/scheduler/priority_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// TestLowPriorityWaitsForLessLoad checks that a low-priority request waits while its target reports load.
-// Otherwise each of tens of initiators would send one to a target where it has nothing in flight itself, and
-// requests of high priority would wait behind those of all.
-func TestLowPriorityWaitsForLessLoad(t *testing.T) {
+// TestLowPriorityWaitsForLowerLoad checks that a low-priority request waits while its target reports
+// load. Otherwise each of tens of initiators would send one to a target where it has nothing in flight
+// itself, and high-priority requests would wait behind all of these.
+func TestLowPriorityWaitsForLowerLoad(t *testing.T) {
 	settings := testSettings()
 	settings.Classes[0].PriorityWeight = 1
 	settings.Plans[0].PriorityFactor = 1
@@ -17,12 +17,12 @@
 	for _, c := range []struct {
 		name         string
 		reportedLoad float64
-		age          time.Duration // of the report
+		age          time.Duration // age of the report
 		wantSent     int
 	}{
-		{"the target is idle: both leave", 0, 10 * ms, 3},
-		{"others wait there: only the one of high priority", 5, 10 * ms, 2},
-		{"the report is old: both leave", 5, 10 * time.Second, 3},
+		{"idle target: both are sent", 0, 10 * ms, 3},
+		{"loaded target: only the high-priority request is sent", 5, 10 * ms, 2},
+		{"old report: both are sent", 5, 10 * time.Second, 3},
 	} {
 		h := newHarness(t, settings, servingTarget(testTarget, 0))
 		h.step(testRequest("earlier", "v", 1))
--- a/scheduler/ratelimit_test.go
+++ b/scheduler/ratelimit_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestRateLimitIsShared checks one of two initiators with a limit of 10 units per second and a burst of 8:
-// its bucket is empty at first, fills by 5 units per second, and holds 4.
+// TestRateLimitIsShared checks one of two initiators with a limit of 10 units per second and a burst
+// capacity of 8. Its bucket must be empty at first, fill at 5 units per second, and hold at most 4.
 func TestRateLimitIsShared(t *testing.T) {
 	h := newHarness(t, testSettings())
 	s := h.scheduler
@@ -18,7 +18,7 @@
 	}
 	s.now += time.Minute
 	if got := s.rateLimitAdmissionTime(r); got > s.now || v.limit.tokens != 4 {
-		t.Errorf("admitted at %v with %v tokens, want now with 4", got, v.limit.tokens)
+		t.Errorf("admitted at %v with %v tokens, want now and 4 tokens", got, v.limit.tokens)
 	}
 	r.chargeRateLimit()
 	r.chargeRateLimit()
--- a/scheduler/retry_test.go
+++ b/scheduler/retry_test.go
@@ -6,9 +6,10 @@
 	"time"
 )
 
-// TestRetryStaysWithinDedupWindow checks retries of a request that may have been executed. After its dedup
-// window targets no longer drop a repeat, and it would be executed twice. A retry must carry the time within which its first byte must leave, and a request
-// that waits past the window must be answered then, not at its deadline.
+// TestRetryStaysWithinDedupWindow checks the retries of a request that may have been executed. After the
+// dedup window, targets no longer discard a duplicate, so the request would be executed twice. Each retry
+// must carry the time within which its first byte must be sent, and a request that is still queued at the
+// end of the window must get its response then, not at its deadline.
 func TestRetryStaysWithinDedupWindow(t *testing.T) {
 	settings := testSettings()
 	settings.Classes[0].Idempotency = IdempotencyKey
@@ -21,11 +22,11 @@
 	h.endAttempt("b", ConnectionReset, 50*ms)
 	h.advance(200 * ms)
 	if len(h.sends) < 3 || h.sends[0].StartWithin != 0 {
-		t.Fatalf("sends %+v, want two first attempts without a bound, and a retry", h.sends)
+		t.Fatalf("sends %+v, want two first attempts without StartWithin and at least one retry", h.sends)
 	}
 	for i, retry := range h.sends[2:] {
 		if retry.StartWithin <= 0 || retry.StartWithin > 450*ms {
-			t.Errorf("retry %d may start within %v", i, retry.StartWithin)
+			t.Errorf("retry %d has StartWithin %v, want more than 0 and at most 450ms", i, retry.StartWithin)
 		}
 	}
 	h.step(EndpointList{Targets: []Target{{ID: testTarget, State: Draining}}})
@@ -36,11 +37,11 @@
 		h.advance(5 * ms)
 	}
 	if took := h.now - start; len(h.responses) != 2 || took > 550*ms {
-		t.Errorf("%d answered after %v, want both when the window has passed", len(h.responses), took)
+		t.Errorf("%d responses after %v, want both at the end of the window", len(h.responses), took)
 	}
 }
 
-// TestRetryBudget checks the bound on retries: a minimum of 2 and a tenth of the requests that arrived,
+// TestRetryBudget checks the limit of retries: a minimum of 2 plus a tenth of the requests that arrived,
 // within 10 s.
 func TestRetryBudget(t *testing.T) {
 	budget := retryBudget{
@@ -58,7 +59,7 @@
 		budget.recordRetry(now)
 	}
 	if at := budget.admissionTime(now); at <= now {
-		t.Error("a fourth retry is admitted with 10 arrivals")
+		t.Error("a fourth retry is admitted after 10 arrivals")
 	}
 	now += 10*time.Second + 3*ms
 	if at := budget.admissionTime(now); at > now {
@@ -72,11 +73,12 @@
 		budget.recordRetry(now)
 	}
 	if at := budget.admissionTime(now); at != 0 {
-		t.Errorf("a retry is admitted at %v without a budget, want 0", at)
+		t.Errorf("a retry is admitted at %v with the budget disabled, want 0", at)
 	}
 }
 
-// TestDedupScope checks where a request that may have been executed in zone a on shard 1 may be repeated.
+// TestDedupScope checks which targets may get another attempt of a request that may have been executed in
+// zone a on shard 1.
 func TestDedupScope(t *testing.T) {
 	same := &target{Target: Target{Zone: "a", Shard: 1}}
 	otherShard := &target{Target: Target{Zone: "a", Shard: 2}}
--- a/scheduler/rulechecks_test.go
+++ b/scheduler/rulechecks_test.go
@@ -6,16 +6,18 @@
 	"time"
 )
 
-// The checks of the seven rules that doc.go lists. They count by themselves, from events and actions alone.
+// Checks of the seven rules that doc.go lists. They rely on events and actions only, not on the state of the
+// scheduler.
 
-// tolerance allows for rounding, in units.
+// tolerance, in units, allows for rounding errors.
 const tolerance = 1e-6
 
 func (s *simulation) violation(format string, args ...any) {
 	s.violations = append(s.violations, fmt.Sprintf("%v: ", s.now)+fmt.Sprintf(format, args...))
 }
 
-// dropEnded removes the requests that are over, and checks rule 1 for those past their deadline.
+// dropEnded removes the requests that have ended and have no attempt in flight. It checks rule 1 for
+// requests past their deadline.
 func (s *simulation) dropEnded() {
 	s.open = slices.DeleteFunc(s.open, func(r *observedRequest) bool {
 		if !r.ended && s.now > r.deadline+8*ms {
@@ -36,11 +38,11 @@
 	}
 	r := s.requests[action.RequestID]
 	if r == nil {
-		s.violation("action for unknown request %s", action.RequestID)
+		s.violation("action for the unknown request %s", action.RequestID)
 		return
 	}
 	if r.ended {
-		s.violation("rule 1: action %d for %s after its end", action.Kind, r.ID)
+		s.violation("rule 1: action of kind %d for %s after its end", action.Kind, r.ID)
 		return
 	}
 	if action.Kind == Send {
@@ -54,7 +56,7 @@
 	}
 }
 
-// checkRejection checks rule 2 for a response that invites the client to a retry.
+// checkRejection checks rule 2 for a rejection, which allows the client to send the request again.
 func (s *simulation) checkRejection(r *observedRequest) {
 	if r.firstExecution() == nil {
 		return
@@ -62,17 +64,17 @@
 	switch r.class.Idempotency {
 	case IdempotencyKey:
 		if r.class.DedupScope != DedupEverywhere {
-			s.violation("rule 2: %s rejected though it may have been executed", r.ID)
+			s.violation("rule 2: %s rejected although it may have been executed", r.ID)
 		}
 	case NonIdempotent:
-		s.violation("rule 2: non-idempotent %s rejected though it may have been executed", r.ID)
+		s.violation("rule 2: non-idempotent %s rejected although it may have been executed", r.ID)
 	}
 }
 
 func (s *simulation) checkSend(r *observedRequest, send Action) {
 	t, isKnown := s.targets[send.Target]
 	if !isKnown {
-		s.violation("sent to unknown target %s", send.Target)
+		s.violation("sent to the unknown target %s", send.Target)
 	}
 	if s.notServing[send.Target] {
 		s.violation("rule 3: sent to %s, which is draining or removed", send.Target)
@@ -84,7 +86,7 @@
 	s.checkRateLimit(r)
 }
 
-// checkRepeat checks rule 2 for an attempt at the target.
+// checkRepeat checks rule 2 for a new attempt at the target.
 func (s *simulation) checkRepeat(r *observedRequest, t Target) {
 	if r.isInFlight() {
 		s.violation("rule 2: two attempts of %s in flight", r.ID)
@@ -105,8 +107,8 @@
 	}
 }
 
-// checkSlowStart checks rule 4. What the target did serve within the window shows that it can serve as
-// much.
+// checkSlowStart checks rule 4. What the target has served within the window shows that it can serve as
+// much again.
 func (s *simulation) checkSlowStart(r *observedRequest, t Target) {
 	slowStart := s.settings.SlowStart
 	age := s.now - t.StartedAt
@@ -117,10 +119,12 @@
 	windowStart := s.now - slowStart.Window
 	sent := sumAfter(s.slowStart[t.ID], windowStart, t.StartedAt)
 	served := sumAfter(s.served[t.ID], windowStart, 0)
-	capacity := slowStart.InitialCapacity + (1-slowStart.InitialCapacity)*age.Seconds()/slowStart.Duration.Seconds()
-	evenPart := slowStart.Budget / float64(s.settings.Initiators) * capacity / slowStart.InitialCapacity
-	if sent > evenPart+served+tolerance {
-		s.violation("rule 4: %v units to %s in slow start, which can serve %v for this initiator", sent, t.ID, evenPart+served)
+	capacity := slowStart.InitialCapacity +
+		(1-slowStart.InitialCapacity)*age.Seconds()/slowStart.Duration.Seconds()
+	equalShare := slowStart.Budget / float64(s.settings.Initiators) * capacity / slowStart.InitialCapacity
+	if sent > equalShare+served+tolerance {
+		s.violation("rule 4: %v units sent to %s in slow start, which can serve %v for this initiator",
+			sent, t.ID, equalShare+served)
 	}
 }
 
@@ -134,7 +138,7 @@
 			break
 		}
 		if !earlier.ended || earlier.isInFlight() {
-			s.violation("rule 5: %s sent before %s of its extent is over", r.ID, earlier.ID)
+			s.violation("rule 5: %s sent before the end of %s for the same extent", r.ID, earlier.ID)
 		}
 	}
 	for _, other := range s.serialized[r.Extent] {
@@ -161,11 +165,11 @@
 		return count
 	}
 	if countWithinWindow(s.retries) > budget.Minimum+budget.Ratio*countWithinWindow(s.arrivals) {
-		s.violation("rule 6: retry of %s beyond the budget", r.ID)
+		s.violation("rule 6: retry of %s exceeds the budget", r.ID)
 	}
 }
 
-// checkRateLimit checks rule 7 with a bucket that is full at the start of the clock.
+// checkRateLimit checks rule 7 with a bucket that is full at time 0.
 func (s *simulation) checkRateLimit(r *observedRequest) {
 	isPlan := func(plan Plan) bool { return plan.Name == r.Plan }
 	plan := s.settings.Plans[slices.IndexFunc(s.settings.Plans, isPlan)]
@@ -183,6 +187,6 @@
 		refilledAt = charge.at
 	}
 	if tokens < -tolerance {
-		s.violation("rule 7: volume %s is %v units beyond its part of the limit", r.Volume, -tokens)
+		s.violation("rule 7: volume %s exceeds its share of the limit by %v units", r.Volume, -tokens)
 	}
 }
--- a/scheduler/selection_test.go
+++ b/scheduler/selection_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// TestOverloadDeprioritizesLeastWeight queues three requests of which the target can serve one within its
-// objective. With the earliest finish tag first, each would be served just too late. The one of the
-// greatest weight must leave, though it was queued last.
-func TestOverloadDeprioritizesLeastWeight(t *testing.T) {
+// TestOverloadDeprioritizesLowestWeight queues three requests of which the target can serve only one
+// within its objective. The one with the highest weight must be sent, although it was queued last. If the
+// earliest finish tag always came first, each request would be served just too late.
+func TestOverloadDeprioritizesLowestWeight(t *testing.T) {
 	settings := testSettings()
 	settings.Classes[0].PriorityWeight = 1
 	settings.Classes = append(settings.Classes, Class{
--- a/scheduler/settings_test.go
+++ b/scheduler/settings_test.go
@@ -5,16 +5,16 @@
 	"testing"
 )
 
-// TestNewRejectsBadSettings checks that New names the setting that no scheduler can run with.
-func TestNewRejectsBadSettings(t *testing.T) {
-	for name, spoil := range map[string]func(*Settings){
+// TestNewRejectsInvalidSettings checks that the error of New names the invalid setting.
+func TestNewRejectsInvalidSettings(t *testing.T) {
+	for name, invalidate := range map[string]func(*Settings){
 		"no class":                func(s *Settings) { s.Classes = nil },
 		"no plan":                 func(s *Settings) { s.Plans = nil },
 		"no initiator":            func(s *Settings) { s.Initiators = 0 },
 		"class without objective": func(s *Settings) { s.Classes[0].LatencyObjective = 0 },
 	} {
 		settings := testSettings()
-		spoil(&settings)
+		invalidate(&settings)
 		_, err := New(settings, 1)
 		var settingsError *SettingsError
 		if !errors.As(err, &settingsError) || settingsError.Field == "" {
@@ -23,7 +23,7 @@
 	}
 }
 
-// TestSettingsAreCopied checks that a caller may reuse the slices of its settings.
+// TestSettingsAreCopied checks that changes to the slices of the caller do not affect the scheduler.
 func TestSettingsAreCopied(t *testing.T) {
 	settings := testSettings()
 	h := newHarness(t, settings, servingTarget(testTarget, 0))
@@ -31,6 +31,6 @@
 	settings.Plans[0].ProvisionedRate = 0
 	h.step(testRequest("a", "v", 1))
 	if h.scheduler.classes["get"].LatencyObjective != 400*ms || h.scheduler.plans["std"].ProvisionedRate != 10 {
-		t.Fatal("the settings changed with the caller's slices")
+		t.Fatal("the scheduler's settings changed with the caller's slices")
 	}
 }
--- a/scheduler/share_test.go
+++ b/scheduler/share_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestLocalShare checks the part of a volume's service that one of four initiators takes to be its own,
-// with a usage report each second.
+// TestLocalShare checks the share of one of four initiators in the service of a volume, with a usage
+// report every second.
 func TestLocalShare(t *testing.T) {
 	const now = time.Minute
 	for _, c := range []struct {
@@ -15,11 +15,19 @@
 		usage serviceRates
 		want  float64
 	}{
-		{"nothing known: an even part", serviceRates{}, 0.25},
-		{"measured", serviceRates{local: 6, localAt: now, global: 10, globalAt: now}, 0.6},
-		{"half of an even part at least", serviceRates{local: 0.1, localAt: now, global: 10, globalAt: now}, 0.125},
-		{"all of it at most", serviceRates{local: 30, localAt: now, global: 10, globalAt: now}, 1},
-		{"old report: an even part", serviceRates{local: 6, localAt: now, global: 10, globalAt: now - 5*time.Second}, 0.25},
+		{"no report: an equal share", serviceRates{}, 0.25},
+		{"recent report: the measured share", serviceRates{local: 6, localAt: now, global: 10, globalAt: now}, 0.6},
+		{
+			"at least half of an equal share",
+			serviceRates{local: 0.1, localAt: now, global: 10, globalAt: now},
+			0.125,
+		},
+		{"at most everything", serviceRates{local: 30, localAt: now, global: 10, globalAt: now}, 1},
+		{
+			"old report: an equal share",
+			serviceRates{local: 6, localAt: now, global: 10, globalAt: now - 5*time.Second},
+			0.25,
+		},
 	} {
 		h := newHarness(t, testSettings())
 		h.scheduler.now = now
@@ -30,8 +38,8 @@
 	}
 }
 
-// TestServiceRatesDecay checks that the local rate falls to 1/e in two periods, and that the first usage
-// report is taken as it is.
+// TestServiceRatesDecay checks that the local rate falls to 1/e within two periods, and that the first
+// usage report sets the global rate.
 func TestServiceRatesDecay(t *testing.T) {
 	var usage serviceRates
 	usage.recordLocal(0, time.Second, 8)
--- a/scheduler/simulation_test.go
+++ b/scheduler/simulation_test.go
@@ -11,14 +11,14 @@
 // statusInFlight is the status of an attempt that has not ended.
 const statusInFlight AttemptStatus = -1
 
-// observedRequest is what the simulation knows of a request, from events and actions alone.
+// observedRequest is what the simulation knows about a request, from events and actions only.
 type observedRequest struct {
 	Request
 	class         Class
 	deadline      time.Duration
 	attempts      []observedAttempt
 	ended         bool
-	mayStillRunAt time.Duration // end of the last attempt that may still be running; 0: none
+	mayStillRunAt time.Duration // end of the last attempt that may still be running at its target; 0: none
 }
 
 type observedAttempt struct {
@@ -31,7 +31,8 @@
 	return len(r.attempts) > 0 && r.attempts[len(r.attempts)-1].status == statusInFlight
 }
 
-// firstExecution returns the first attempt that may have been executed, or nil. One in flight counts.
+// firstExecution returns the first attempt that may have been executed, or nil. An attempt in flight
+// counts.
 func (r *observedRequest) firstExecution() *observedAttempt {
 	for i := range r.attempts {
 		switch r.attempts[i].status {
@@ -43,8 +44,8 @@
 	return nil
 }
 
-// simulation plays random legal events into one scheduler and checks the seven rules by its own counting.
-// It has no model of a target: the outcomes of attempts and their times are drawn at random.
+// simulation passes random valid events to one scheduler and checks the seven rules. It does not model
+// targets: the outcomes of attempts and their times are random.
 type simulation struct {
 	rng       *rand.Rand
 	settings  Settings
@@ -53,19 +54,19 @@
 	timers    []time.Duration
 
 	targets    map[string]Target
-	notServing map[string]bool // targets that were listed as draining or removed, or not listed
+	notServing map[string]bool // targets listed as draining or removed, or missing from a complete list
 
-	requests   map[string]*observedRequest
-	open       []*observedRequest            // not ended, or with an attempt in flight
-	serialized map[string][]*observedRequest // by extent, in order of arrival
-	serial     int                           // of the last request
+	requests     map[string]*observedRequest
+	open         []*observedRequest            // not ended or with an attempt in flight
+	serialized   map[string][]*observedRequest // by extent, in order of arrival
+	requestCount int                           // number of requests so far
 
-	// What the rules count.
+	// Counted by the checks of the rules.
 	arrivals  []time.Duration
 	retries   []time.Duration
-	slowStart map[string]unitHistory // sent to a target in slow start, by target
+	slowStart map[string]unitHistory // sent to targets in slow start, by target
 	served    map[string]unitHistory // by target
-	charged   map[string]unitHistory // first attempts by volume
+	charged   map[string]unitHistory // first attempts, by volume
 
 	violations []string
 }
@@ -91,24 +92,24 @@
 	}
 }
 
-// chance returns true with this probability.
-func (s *simulation) chance(probability float64) bool { return s.rng.Float64() < probability }
+// randomBool returns true with the given probability.
+func (s *simulation) randomBool(probability float64) bool { return s.rng.Float64() < probability }
 
-// nextEvents draws the events of one step.
+// nextEvents generates the events of one step.
 func (s *simulation) nextEvents(step int) []Event {
 	failureRates := []float64{0.05, 0.5, 0.95}
 	events := s.endAttempts(failureRates[step/700%len(failureRates)])
-	if s.chance(0.01) || step == 0 {
+	if s.randomBool(0.01) || step == 0 {
 		events = append(events, s.nextEndpointList())
 	}
-	for step < simulationSteps-quietSteps && s.chance(0.25) {
+	for step < simulationSteps-quietSteps && s.randomBool(0.25) {
 		events = append(events, s.nextRequest())
 	}
-	if r := s.anyOpen(); r != nil && s.chance(0.01) && !r.ended {
+	if r := s.randomOpen(); r != nil && s.randomBool(0.01) && !r.ended {
 		r.ended = true
 		events = append(events, ClientClosed{RequestID: r.ID})
 	}
-	if s.chance(0.02) && len(s.open) > 0 {
+	if s.randomBool(0.02) && len(s.open) > 0 {
 		events = append(events, s.staleEvents()...)
 	}
 	if s.takeDueTimers() {
@@ -117,8 +118,8 @@
 	return events
 }
 
-// staleEvents returns events that the scheduler must ignore: an early timer, an attempt that was never
-// sent, and the end of an unknown request.
+// staleEvents returns events that the scheduler must ignore: an early timer, the end of an attempt that
+// was never sent, and the end of an unknown request.
 func (s *simulation) staleEvents() []Event {
 	id := s.open[s.rng.IntN(len(s.open))].ID
 	return []Event{
@@ -128,7 +129,7 @@
 	}
 }
 
-func (s *simulation) anyOpen() *observedRequest {
+func (s *simulation) randomOpen() *observedRequest {
 	if len(s.open) == 0 {
 		return nil
 	}
@@ -142,26 +143,26 @@
 	return hasDue
 }
 
-// nextEndpointList draws a failure, or a list with one changed target, and records it.
+// nextEndpointList generates and records a failure, or a list with one changed target.
 func (s *simulation) nextEndpointList() EndpointList {
-	if s.chance(0.1) {
+	if s.randomBool(0.1) {
 		return EndpointList{Failed: true}
 	}
-	list := EndpointList{Complete: s.chance(0.3)}
+	list := EndpointList{Complete: s.randomBool(0.3)}
 	changed := s.nextTarget()
 	list.Targets = []Target{changed}
 	if list.Complete {
 		for _, id := range slices.Sorted(maps.Keys(s.targets)) {
-			if id != changed.ID && s.chance(0.8) {
+			if id != changed.ID && s.randomBool(0.8) {
 				list.Targets = append(list.Targets, s.targets[id])
 			}
 		}
 	}
-	s.noteEndpointList(list)
+	s.recordEndpointList(list)
 	return list
 }
 
-// nextTarget draws a change of one of eight targets, which share four shards in two zones.
+// nextTarget generates a change of one of eight targets, which serve four shards in two zones.
 func (s *simulation) nextTarget() Target {
 	number := s.rng.IntN(8)
 	id := fmt.Sprintf("n%d", number)
@@ -170,13 +171,13 @@
 	t.Shard = number % 4
 	t.Zone = []string{"a", "b"}[number/4]
 	t.State = TargetState(s.rng.IntN(3))
-	if t.State == Serving && s.chance(0.5) {
+	if t.State == Serving && s.randomBool(0.5) {
 		t.StartedAt = s.now - time.Duration(s.rng.IntN(500))*ms
 	}
 	return t
 }
 
-func (s *simulation) noteEndpointList(list EndpointList) {
+func (s *simulation) recordEndpointList(list EndpointList) {
 	listed := map[string]bool{}
 	for _, t := range list.Targets {
 		s.targets[t.ID] = t
@@ -191,11 +192,11 @@
 }
 
 func (s *simulation) nextRequest() Request {
-	s.serial++
+	s.requestCount++
 	class := s.settings.Classes[s.rng.IntN(len(s.settings.Classes))]
 	volume := s.rng.IntN(6)
 	request := Request{
-		ID:         fmt.Sprintf("r%d", s.serial),
+		ID:         fmt.Sprintf("r%d", s.requestCount),
 		Class:      class.Name,
 		Plan:       s.settings.Plans[volume%2].Name,
 		Volume:     fmt.Sprintf("v%d", volume),
@@ -215,7 +216,7 @@
 	return request
 }
 
-// endAttempts ends some of the attempts in flight, and all whose timeout is over.
+// endAttempts ends some of the attempts in flight, and all whose timeout has passed.
 func (s *simulation) endAttempts(failureRate float64) []Event {
 	var events []Event
 	for _, r := range s.open {
@@ -225,11 +226,11 @@
 		number := len(r.attempts) - 1
 		attempt := &r.attempts[number]
 		hasTimedOut := s.now >= min(attempt.sentAt+attempt.Timeout, r.deadline)
-		if !hasTimedOut && !s.chance(0.1) {
+		if !hasTimedOut && !s.randomBool(0.1) {
 			continue
 		}
 		attempt.status = s.nextStatus(hasTimedOut, failureRate)
-		s.noteStatus(r, attempt)
+		s.recordStatus(r, attempt)
 		events = append(events, AttemptEnded{
 			RequestID:   r.ID,
 			Attempt:     number,
@@ -247,14 +248,14 @@
 	if hasTimedOut {
 		return DeadlineExceeded
 	}
-	if !s.chance(failureRate) {
+	if !s.randomBool(failureRate) {
 		return Succeeded
 	}
 	failures := []AttemptStatus{Errored, Rejected, ConnectFailed, ConnectionReset, Cancelled, NotSent}
 	return failures[s.rng.IntN(len(failures))]
 }
 
-func (s *simulation) noteStatus(r *observedRequest, attempt *observedAttempt) {
+func (s *simulation) recordStatus(r *observedRequest, attempt *observedAttempt) {
 	switch attempt.status {
 	case DeadlineExceeded, ConnectionReset, Cancelled:
 		r.mayStillRunAt = s.now
@@ -268,7 +269,7 @@
 	histories[key] = append(histories[key], unitSample{at: now, units: units})
 }
 
-// sumAfter returns the units of the samples after that time, and not before the earliest.
+// sumAfter returns the sum of the samples that are later than after and not earlier than earliest.
 func sumAfter(history unitHistory, after, earliest time.Duration) float64 {
 	sum := 0.0
 	for _, sample := range history {
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -8,9 +8,10 @@
 	"time"
 )
 
-// TestSlowStartSendsOneRequestPerWindow has hundreds of initiators: the even part of the slow-start budget is
-// less than one request. Without a rule for that, nothing would reach a restarted target until the end of its
-// slow start. Each initiator must send its first request soon, at a random time, and then one a window.
+// TestSlowStartSendsOneRequestPerWindow has hundreds of initiators, so that an equal share of the
+// slow-start budget is less than one request. Without a rule for that, nothing would be sent to a
+// restarted target until the end of its slow start. Each initiator must send its first request soon, at a
+// random time, and then one per window.
 func TestSlowStartSendsOneRequestPerWindow(t *testing.T) {
 	settings := testSettings()
 	settings.Initiators = 200
@@ -25,23 +26,24 @@
 	for seed := range uint64(20) {
 		sent := sendsToSilentTargetInSlowStart(t, settings, seed)
 		if len(sent) == 0 || sent[0] == 0 || sent[0] > settings.SlowStart.Window/2+50*ms {
-			t.Errorf("seed %d: requests sent %v after the start was listed", seed, sent)
+			t.Errorf("seed %d: requests sent %v after the start was listed, want the first within half a window",
+				seed, sent)
 			continue
 		}
 		starts[sent[0].Round(100*ms)] = true
 		for i := 1; i < len(sent); i++ {
-			if sent[i]-sent[i-1] < time.Second-20*ms { // observed once in 15 ms
-				t.Errorf("seed %d: two requests to a silent target in slow start within a window", seed)
+			if sent[i]-sent[i-1] < time.Second-20*ms { // the send times are sampled every 15 ms
+				t.Errorf("seed %d: two requests sent to a silent target in slow start within one window", seed)
 			}
 		}
 	}
 	if len(starts) < 4 {
-		t.Errorf("all initiators start at the same times: %v", starts)
+		t.Errorf("first requests sent at %v, want at least 4 different times", starts)
 	}
 }
 
-// sendsToSilentTargetInSlowStart has a request arrive each 15 ms for a target that has started a second ago and
-// does not respond. It returns the times of the attempts since the start was listed.
+// sendsToSilentTargetInSlowStart has a request arrive every 15 ms for a target that started a second ago
+// and does not respond. It returns the times of the attempts, relative to when the start was listed.
 func sendsToSilentTargetInSlowStart(t *testing.T, settings Settings, seed uint64) []time.Duration {
 	t.Helper()
 	h := newSeededHarness(t, settings, seed)
@@ -60,9 +62,9 @@
 	return sent
 }
 
-// TestOneRequestPerWindowFollowsResponses has a target in slow start answer. It must get more than one request
-// a window from an initiator of many, but never more than half the overload factor times what it answered
-// within the window.
+// TestOneRequestPerWindowFollowsResponses has a target in slow start respond to one of many initiators.
+// The target must get more than one request per window, but never more than half the overload factor
+// times the number of responses within the window.
 func TestOneRequestPerWindowFollowsResponses(t *testing.T) {
 	settings := testSettings()
 	settings.Initiators = 200
@@ -75,9 +77,9 @@
 	}
 	h := newHarness(t, settings, servingTarget(testTarget, 0))
 	h.step(EndpointList{Targets: []Target{{ID: testTarget, StartedAt: h.now}}})
-	n := h.target()
+	state := h.target()
 	var sent, answered []time.Duration
-	since := func(times []time.Duration) int {
+	countWithinWindow := func(times []time.Duration) int {
 		return len(trimBefore(times, h.now-settings.SlowStart.Window))
 	}
 	for i := 0; h.now < 12*time.Second; i++ {
@@ -85,24 +87,25 @@
 		h.step(testRequest(fmt.Sprint("r", i), "v", 1))
 		if len(h.sends) > before {
 			sent = append(sent, h.now)
-			if got, limit := since(sent), max(1, 2*since(answered)); got > limit {
-				t.Fatalf("%d sent within the window to a target that answered %d", got, since(answered))
+			if got, limit := countWithinWindow(sent), max(1, 2*countWithinWindow(answered)); got > limit {
+				t.Fatalf("%d requests sent within the window to a target that responded to %d",
+					got, countWithinWindow(answered))
 			}
 		}
 		h.advance(20 * ms)
-		for _, r := range slices.Clone(n.inFlight) {
+		for _, r := range slices.Clone(state.inFlight) {
 			h.endAttempt(r.ID, Succeeded, 20*ms)
 			answered = append(answered, h.now)
 		}
 	}
 	if len(answered) < 40 {
-		t.Errorf("%d answered during the slow start, want far more than one a window", len(answered))
+		t.Errorf("%d responses during slow start, want at least 40", len(answered))
 	}
 }
 
-// TestSlowStartBudgetGrows checks the budget of one of two initiators: 10 units of 20 at the start of a
-// target with a fifth of its capacity, five times as many at the end of its slow start, and more by what the
-// target has served.
+// TestSlowStartBudgetGrows checks the budget of one of two initiators: 10 of 20 units at the start of a
+// target with a fifth of its capacity, five times as much at the end of its slow start, and more with the
+// units that the target has served.
 func TestSlowStartBudgetGrows(t *testing.T) {
 	policy := newSlowStart(&Settings{
 		Initiators: 2,
@@ -123,7 +126,7 @@
 		{0, 0, 10},
 		{5 * time.Second, 0, 30},
 		{10 * time.Second, 0, 50},
-		{0, 2, 10},    // three quarters of the budget and what was served are still less
+		{0, 2, 10},    // three quarters of the budget plus the served units are less than the budget
 		{0, 10, 17.5}, // three quarters of the budget and what was served
 	} {
 		if got := policy.budget(c.age, c.served); math.Abs(got-c.want) > 1e-9 {
@@ -132,8 +135,8 @@
 	}
 }
 
-// TestOneRequestPerWindowBudget checks that one of many initiators sends half the overload factor times what
-// the target has served.
+// TestOneRequestPerWindowBudget checks that the budget of one of many initiators is half the overload
+// factor times the units that the target has served.
 func TestOneRequestPerWindowBudget(t *testing.T) {
 	policy := newSlowStart(&Settings{
 		Initiators: 100,
@@ -141,11 +144,12 @@
 		SlowStart:  SlowStart{Budget: 20, InitialCapacity: 0.2, Duration: 10 * time.Second, OverloadFactor: 4},
 	})
 	if got := policy.budget(time.Second, 3); !policy.oneRequestPerWindow || got != 6 {
-		t.Errorf("one request per window %v, budget %v after 3 units served, want 6", policy.oneRequestPerWindow, got)
+		t.Errorf("oneRequestPerWindow %v, budget %v after 3 units served; want true and 6",
+			policy.oneRequestPerWindow, got)
 	}
 }
 
-// TestSlowStartEnds checks that a target is bounded only during its slow start.
+// TestSlowStartEnds checks that the limit applies only during the slow start of a target.
 func TestSlowStartEnds(t *testing.T) {
 	policy := newSlowStart(&Settings{
 		Initiators: 1,
@@ -153,19 +157,19 @@
 		SlowStart:  SlowStart{Budget: 5, InitialCapacity: 0.5, Duration: 10 * time.Second, Window: time.Second},
 	})
 	start := time.Minute
-	started := &target{Target: Target{StartedAt: start}}
-	started.recentlySent.add(start, 5)
-	if at := policy.admissionTime(start, started, 1); at <= start {
-		t.Error("a sixth unit is admitted at the start")
+	restarted := &target{Target: Target{StartedAt: start}}
+	restarted.recentlySent.add(start, 5)
+	if at := policy.admissionTime(start, restarted, 1); at <= start {
+		t.Error("a sixth unit is admitted at the start of the target")
 	}
 	end := start + 10*time.Second
-	started.recentlySent.add(end, 1000)
-	if at := policy.admissionTime(end, started, 1); at > end {
+	restarted.recentlySent.add(end, 1000)
+	if at := policy.admissionTime(end, restarted, 1); at > end {
 		t.Errorf("admitted at %v after the slow start, want now", at)
 	}
 }
 
-// TestUnitHistory checks that old samples are dropped and the others summed.
+// TestUnitHistory checks that sumSince removes old samples and sums the others.
 func TestUnitHistory(t *testing.T) {
 	var history unitHistory
 	for i := range 5 {
--- a/scheduler/sweep_test.go
+++ b/scheduler/sweep_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestStateIsBounded plays hours in which volumes, extents and targets come and go. What is kept of them
-// must not grow with their number.
+// TestStateIsBounded simulates hours in which volumes, extents and targets come and go. The state that is
+// kept must not grow with their number.
 func TestStateIsBounded(t *testing.T) {
 	for _, hasBudget := range []bool{false, true} {
 		settings := testSettings()
@@ -16,7 +16,7 @@
 		settings.SettleTime = 100 * ms
 		h := newHarness(t, settings, servingTarget("n0", 0))
 		for i := range 4000 {
-			h.playChurn(i)
+			h.simulateChurn(i)
 		}
 		s := h.scheduler
 		for name, size := range map[string]int{
@@ -46,12 +46,12 @@
 	}
 }
 
-// playChurn plays five seconds with one request of a new volume and a new extent, and each tenth time with
-// a new target in place of the last. Each second attempt loses its connection.
-func (h *harness) playChurn(i int) {
+// simulateChurn simulates five seconds with one request of a new volume for a new extent. Every tenth
+// call replaces the target with a new one. Every second attempt loses its connection.
+func (h *harness) simulateChurn(i int) {
 	if i%10 == 0 {
-		only := Target{ID: fmt.Sprintf("n%d", i), StartedAt: h.now - time.Hour}
-		h.step(EndpointList{Complete: true, Targets: []Target{only}})
+		successor := Target{ID: fmt.Sprintf("n%d", i), StartedAt: h.now - time.Hour}
+		h.step(EndpointList{Complete: true, Targets: []Target{successor}})
 	}
 	request := testRequest(fmt.Sprintf("r%d", i), fmt.Sprintf("v%d", i), 1)
 	request.Extent = fmt.Sprintf("k%d", i)
--- a/scheduler/timer_test.go
+++ b/scheduler/timer_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// TestEarlyTimerSetsAnother has each timer fire a nanosecond before the time that it was set for, so that
-// nothing is due yet. If no other timer were set then, a queued request would never be ended.
-func TestEarlyTimerSetsAnother(t *testing.T) {
-	h := newHarness(t, testSettings()) // no target: queued until it is given up
+// TestEarlyTimerIsSetAgain has each timer fire a nanosecond early, so that nothing is due yet. If no
+// other timer were set then, a queued request would never end.
+func TestEarlyTimerIsSetAgain(t *testing.T) {
+	h := newHarness(t, testSettings()) // no target: the request is queued until it is given up
 	request := testRequest("a", "v", 1)
 	h.step(request)
 	for end := h.now + request.Timeout; h.now < end; {
@@ -24,21 +24,21 @@
 		h.now += after - time.Nanosecond
 	}
 	if len(h.responses) != 1 {
-		t.Fatalf("no response by %v; the timers ended", h.now)
+		t.Fatalf("no response by %v, want one", h.now)
 	}
 }
 
-// TestStallIsNotTheTargetsLatency checks a step after this process stood still. A request that arrived
-// meanwhile has spent a part of its objective here, and the time of a response that waited here must not count
+// TestStallIsNotMeasuredAsLatency checks a step after the process was stalled. A request that arrived
+// meanwhile has used up a part of its objective here. The time that a response waited here must not count
 // as the target's latency.
-func TestStallIsNotTheTargetsLatency(t *testing.T) {
+func TestStallIsNotMeasuredAsLatency(t *testing.T) {
 	for _, c := range []struct {
-		name            string
-		stalls          bool
-		wantObjective   time.Duration // from the arrival
-		wantLatencyKept bool          // the latency of the response is believed
+		name                string
+		stalls              bool
+		wantObjective       time.Duration // from the arrival
+		wantLatencyMeasured bool          // the latency of the response is measured
 	}{
-		{"timers in time", false, 400 * ms, true},
+		{"timers on time", false, 400 * ms, true},
 		{"stall", true, 100 * ms, false},
 	} {
 		h := newHarness(t, testSettings(), servingTarget(testTarget, 0))
@@ -57,8 +57,8 @@
 		if got := h.scheduler.requests["c"].objectiveEndsAt - h.now; got != c.wantObjective {
 			t.Errorf("%s: objective in %v, want %v", c.name, got, c.wantObjective)
 		}
-		if got := h.target().smoothedLatency > 0.06; got != c.wantLatencyKept {
-			t.Errorf("%s: latency kept %v, want %v", c.name, got, c.wantLatencyKept)
+		if got := h.target().smoothedLatency > 0.06; got != c.wantLatencyMeasured {
+			t.Errorf("%s: latency measured: %v, want %v", c.name, got, c.wantLatencyMeasured)
 		}
 	}
 }
--- a/scheduler/volume_test.go
+++ b/scheduler/volume_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// TestTokenBucket checks that a bucket keeps what was earned up to its capacity.
+// TestTokenBucket checks that a bucket keeps the earned tokens up to its capacity.
 func TestTokenBucket(t *testing.T) {
 	bucket := tokenBucket{tokens: 1, refilledAt: time.Second}
 	now := 3 * time.Second
@@ -18,6 +18,6 @@
 	}
 	bucket.refill(now, 100, 10)
 	if bucket.tokens != 10 {
-		t.Errorf("%v tokens beyond the capacity of 10", bucket.tokens)
+		t.Errorf("%v tokens in a bucket with a capacity of 10", bucket.tokens)
 	}
 }
