--- a/scheduler/givenup_test.go
+++ b/scheduler/givenup_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// TestShortTimeoutIsNotAClientRetry has all clients use a tenth of their usual timeout. All requests must
-// be sent. If a short timeout made a request a late client retry, each would wait until it is rejected.
+// TestShortTimeoutIsNotAClientRetry has all clients use a tenth of their usual timeout. At least 25 of
+// the 41 requests must be sent. If a short timeout made a request a late client retry, each would wait
+// until it is rejected.
 func TestShortTimeoutIsNotAClientRetry(t *testing.T) {
 	h := newHarness(t, testSettings(), servingTarget(testTarget, 0))
 	h.step(testRequest("full", "v", 1))
--- a/scheduler/latency.go
+++ b/scheduler/latency.go
@@ -12,8 +12,8 @@
 	// latency converges to a low quantile.
 	baseIncreaseDivisor = 8
 	// latencyDecayObjectives is the time constant of the latency estimates, in shortest objectives. After
-	// a longer gap, a response outweighs all earlier ones. Without responses, the estimate falls to the
-	// base latency.
+	// a gap longer than that, a response outweighs all earlier ones. Without responses, the estimate
+	// falls to the base latency.
 	latencyDecayObjectives = 4
 	// silenceFactor is how many smoothed latencies may pass without a response before a target counts as
 	// silent.
@@ -66,10 +66,10 @@
 	return t.baseLatency + max(observed, reported)
 }
 
-// onLoadReport records the target's load. A report with absent or implausible values is ignored, and so
-// is one from a target without a measured latency. The load is the queue depth or, if that is absent, the
-// number in flight. Targets need not report both; both grow with the requests ahead of a new one, and
-// queueingFactor is learned from whichever value is used.
+// onLoadReport records the target's load. The load is the queue depth or, if that is absent, the number
+// in flight. Targets need not report both; both grow with the requests ahead of a new one, and
+// queueingFactor is learned from whichever value is used. A report whose load is absent or implausible is
+// ignored, and so is one from a target without a measured latency.
 func (s *Scheduler) onLoadReport(t *target, report *LoadReport) {
 	if report == nil || !t.hasLatency() {
 		return
--- a/scheduler/ordering.go
+++ b/scheduler/ordering.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// serialAdmissionTime returns when the request may start, so that requests for a serialized extent run in
-// order.
+// serialAdmissionTime returns the time from which the request may start, so that requests for a
+// serialized extent run in order. It is never as long as an earlier request for the extent has not ended.
 func (s *Scheduler) serialAdmissionTime(r *request) time.Duration {
 	q := s.serialQueues[r.Extent]
 	if q == nil || !r.isSerialized() {
--- a/scheduler/outlier.go
+++ b/scheduler/outlier.go
@@ -19,8 +19,8 @@
 )
 
 // isOutlier reports whether the target had several failures without a success in between, or is silent:
-// an attempt has had no response for the silence timeout, and the target has shown no other sign of life
-// since that attempt was sent. An outlier gets one attempt at a time.
+// an attempt has had no response for the silence timeout, and lastContact is not after the time at which
+// that attempt was sent. An outlier gets one attempt at a time.
 func (s *Scheduler) isOutlier(t *target) bool {
 	if t.consecutiveFailures >= outlierFailures {
 		return true
--- a/scheduler/selection.go
+++ b/scheduler/selection.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	// maxSequentialRun is the maximum length of a sequential run: consecutive attempts for one extent,
-	// which leave ahead of their turn after the first.
+	// maxSequentialRun is the maximum length of a sequential run: consecutive attempts for one extent.
+	// All but the first may be sent before requests with an earlier finish tag.
 	maxSequentialRun = 6
 	// idleLatencyFactor is the multiple of the base latency up to which a target counts as idle.
 	idleLatencyFactor = 1.05
@@ -16,11 +16,11 @@
 // candidates holds the best request of each kind among those that may be sent now; nil: none of that
 // kind.
 type candidates struct {
-	eligible      *request // least finish tag, of those with a start tag not after now
-	sequential    *request // least finish tag, of the eligible ones for the extent of the last attempt
-	nextEligible  *request // least start tag, of those with a start tag after now
-	deprioritized *request // highest priority, of the deprioritized ones
-	pastObjective *request // least finish tag, of those past their objective
+	eligible      *request // least finish tag among those with a start tag not after now
+	sequential    *request // least finish tag among the eligible ones for the extent of the last attempt
+	nextEligible  *request // least start tag among those with a start tag after now
+	deprioritized *request // highest priority among the deprioritized ones
+	pastObjective *request // least finish tag among those past their objective
 }
 
 // selectNext returns the request to send next, or nil. In order of preference:
--- a/scheduler/selection_test.go
+++ b/scheduler/selection_test.go
@@ -27,6 +27,6 @@
 	urgent.Class = "urgent"
 	h.step(testRequest("first", "v", 1), testRequest("second", "w", 1), urgent)
 	if got := h.sentIDs(); len(got) != 2 || got[1] != "urgent" {
-		t.Fatalf("sent %v, want the urgent one of three of which one can be served in time", got)
+		t.Fatalf("sent %v, want the earlier request and then the urgent one", got)
 	}
 }
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -127,7 +127,7 @@
 		{5 * time.Second, 0, 30},
 		{10 * time.Second, 0, 50},
 		{0, 2, 10},    // three quarters of the budget plus the served units are less than the budget
-		{0, 10, 17.5}, // three quarters of the budget and what was served
+		{0, 10, 17.5}, // three quarters of the budget plus the served units
 	} {
 		if got := policy.budget(c.age, c.served); math.Abs(got-c.want) > 1e-9 {
 			t.Errorf("age %v, %v units served: budget %v, want %v", c.age, c.served, got, c.want)
--- a/scheduler/sweep.go
+++ b/scheduler/sweep.go
@@ -39,8 +39,8 @@
 		})
 	}
 	s.shardQueues = slices.DeleteFunc(s.shardQueues, func(q *shardQueue) bool {
-		hasShard := func(t *target) bool { return t.Shard == q.shard }
-		return len(q.queued)+len(q.flows) == 0 && !slices.ContainsFunc(s.targets, hasShard)
+		servesShard := func(t *target) bool { return t.Shard == q.shard }
+		return len(q.queued)+len(q.flows) == 0 && !slices.ContainsFunc(s.targets, servesShard)
 	})
 }
 
--- a/scheduler/tags.go
+++ b/scheduler/tags.go
@@ -61,7 +61,7 @@
 }
 
 // resynchronize performs a synchronization point of the queue: it shifts all its tags to an earlier time
-// by the gap, and fills the buckets of those of its volumes that have nothing queued or in flight at this
+// by the gap, and fills the buckets of its volumes that have nothing queued or in flight at this
 // initiator. The maxStartTag of a flow with nothing queued stays the same, since none of its requests was
 // shifted.
 func (s *Scheduler) resynchronize(q *shardQueue, gap time.Duration) {
