--- a/scheduler/givenup_test.go
+++ b/scheduler/givenup_test.go
@@ -44,7 +44,8 @@
 	request.Timeout = 900 * ms
 	actions := h.step(request)
 	if len(h.responses) != 2 || h.responses[1].Kind != Reject || h.responses[1].RetryAfter != 900*ms {
-		t.Fatalf("actions %v for the client retry, want a rejection at once with a Retry-After of 900ms", actions)
+		t.Fatalf("actions %v for the client retry, want a rejection at once with a Retry-After of 900ms",
+			actions)
 	}
 	if after := h.scheduler.volumes["v"].bucket.tokens; after != before {
 		t.Errorf("the client retry changed the bucket from %v to %v tokens", before, after)
--- a/scheduler/latency_test.go
+++ b/scheduler/latency_test.go
@@ -43,8 +43,7 @@
 		h.endAttempt(id, Succeeded, latency)
 	}
 	if got := h.scheduler.expectedLatency(h.target()); got < 0.5 {
-		t.Fatalf("expected latency %.2f s after a response in 0.6 s, long after the others; want at least 0.5 s",
-			got)
+		t.Fatalf("expected latency %.2f s after a long gap and a response in 0.6 s, want at least 0.5 s", got)
 	}
 }
 
@@ -99,7 +98,8 @@
 		h.endAttempt(id, Succeeded, 40*ms)
 	}
 	target := h.target()
-	if target.baseLatency < 0.039 || target.baseLatency > 0.041 || target.concurrencyLimit < initialConcurrency {
+	if target.baseLatency < 0.039 || target.baseLatency > 0.041 ||
+		target.concurrencyLimit < initialConcurrency {
 		t.Errorf("base latency %v s, concurrency limit %v; want 0.04 s and at least %v",
 			target.baseLatency, target.concurrencyLimit, initialConcurrency)
 	}
--- a/scheduler/retry_test.go
+++ b/scheduler/retry_test.go
@@ -66,7 +66,8 @@
 		t.Errorf("a retry is admitted at %v after the window, want now", at)
 	}
 	if len(budget.arrivals)+len(budget.retries) != 0 {
-		t.Errorf("%d arrivals and %d retries kept after the window", len(budget.arrivals), len(budget.retries))
+		t.Errorf("%d arrivals and %d retries kept after the window",
+			len(budget.arrivals), len(budget.retries))
 	}
 	budget.Enabled = false
 	for range 100 {
--- a/scheduler/rulechecks_test.go
+++ b/scheduler/rulechecks_test.go
@@ -47,7 +47,8 @@
 	}
 	if action.Kind == Send {
 		s.checkSend(r, action)
-		r.attempts = append(r.attempts, observedAttempt{Action: action, sentAt: s.now, status: statusInFlight})
+		r.attempts = append(r.attempts,
+			observedAttempt{Action: action, sentAt: s.now, status: statusInFlight})
 		return
 	}
 	r.ended = true
--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -56,7 +56,7 @@
 
 // SlowStart limits the load of a recently started target.
 type SlowStart struct {
-	Budget          float64       // units that a target serves within Window at its start, over all initiators
+	Budget          float64       // units that a target serves within Window at its start, for all initiators
 	InitialCapacity float64       // fraction of its full capacity that a target has at its start, 0 to 1
 	Duration        time.Duration // time from the start until the target has its full capacity
 	Window          time.Duration // period over which units are counted; 0: no limit
--- a/scheduler/settings_test.go
+++ b/scheduler/settings_test.go
@@ -30,7 +30,8 @@
 	settings.Classes[0].LatencyObjective = 0
 	settings.Plans[0].ProvisionedRate = 0
 	h.step(testRequest("a", "v", 1))
-	if h.scheduler.classes["get"].LatencyObjective != 400*ms || h.scheduler.plans["std"].ProvisionedRate != 10 {
+	if h.scheduler.classes["get"].LatencyObjective != 400*ms ||
+		h.scheduler.plans["std"].ProvisionedRate != 10 {
 		t.Fatal("the scheduler's settings changed with the caller's slices")
 	}
 }
--- a/scheduler/share_test.go
+++ b/scheduler/share_test.go
@@ -16,7 +16,11 @@
 		want  float64
 	}{
 		{"no report: an equal share", serviceRates{}, 0.25},
-		{"recent report: the measured share", serviceRates{local: 6, localAt: now, global: 10, globalAt: now}, 0.6},
+		{
+			"recent report: the measured share",
+			serviceRates{local: 6, localAt: now, global: 10, globalAt: now},
+			0.6,
+		},
 		{
 			"at least half of an equal share",
 			serviceRates{local: 0.1, localAt: now, global: 10, globalAt: now},
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -26,14 +26,15 @@
 	for seed := range uint64(20) {
 		sent := sendsToSilentTargetInSlowStart(t, settings, seed)
 		if len(sent) == 0 || sent[0] == 0 || sent[0] > settings.SlowStart.Window/2+50*ms {
-			t.Errorf("seed %d: requests sent %v after the start was listed, want the first within half a window",
+			t.Errorf("seed %d: requests sent %v after the listing, want the first within half a window",
 				seed, sent)
 			continue
 		}
 		starts[sent[0].Round(100*ms)] = true
 		for i := 1; i < len(sent); i++ {
 			if sent[i]-sent[i-1] < time.Second-20*ms { // the send times are sampled every 15 ms
-				t.Errorf("seed %d: two requests sent to a silent target in slow start within one window", seed)
+				t.Errorf("seed %d: two requests sent to a silent target in slow start within one window",
+					seed)
 			}
 		}
 	}
@@ -141,7 +142,12 @@
 	policy := newSlowStart(&Settings{
 		Initiators: 100,
 		MeanUnits:  1,
-		SlowStart:  SlowStart{Budget: 20, InitialCapacity: 0.2, Duration: 10 * time.Second, OverloadFactor: 4},
+		SlowStart: SlowStart{
+			Budget:          20,
+			InitialCapacity: 0.2,
+			Duration:        10 * time.Second,
+			OverloadFactor:  4,
+		},
 	})
 	if got := policy.budget(time.Second, 3); !policy.oneRequestPerWindow || got != 6 {
 		t.Errorf("oneRequestPerWindow %v, budget %v after 3 units served; want true and 6",
@@ -154,7 +160,12 @@
 	policy := newSlowStart(&Settings{
 		Initiators: 1,
 		MeanUnits:  1,
-		SlowStart:  SlowStart{Budget: 5, InitialCapacity: 0.5, Duration: 10 * time.Second, Window: time.Second},
+		SlowStart: SlowStart{
+			Budget:          5,
+			InitialCapacity: 0.5,
+			Duration:        10 * time.Second,
+			Window:          time.Second,
+		},
 	})
 	start := time.Minute
 	restarted := &target{Target: Target{StartedAt: start}}
--- a/scheduler/target.go
+++ b/scheduler/target.go
@@ -8,9 +8,11 @@
 	inFlight []*request
 
 	// Latencies are in seconds and refer to a request of mean size.
-	smoothedLatency float64       // moving average; 0: no response yet
-	baseLatency     float64       // low quantile: the latency under little load
-	lastContact     time.Duration // last response, or failure other than a timeout; at first, when it was listed
+	smoothedLatency float64 // moving average; 0: no response yet
+	baseLatency     float64 // low quantile: the latency under little load
+	// lastContact is the time of the last response, or of the last failure other than a timeout. At first
+	// it is the time at which the target was listed.
+	lastContact time.Duration
 
 	reportedLoad   float64 // number of requests, from its last load report; -1: none yet
 	loadReportedAt time.Duration
