--- a/internal/clienthttp/accept.go
+++ b/internal/clienthttp/accept.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	// minAcceptBackoff and maxAcceptBackoff bound the pause after a failed accept, which doubles with each in a row.
-	// Connections that the kernel has accepted wait meanwhile.
+	// minAcceptBackoff and maxAcceptBackoff bound the pause after a failed accept, which doubles with each failure in a
+	// row. Meanwhile, connections whose handshake is complete wait in the accept queue.
 	minAcceptBackoff = time.Millisecond
 	maxAcceptBackoff = 20 * time.Millisecond
-	// acceptLogInterval is the least time between two log lines about a failed accept.
+	// acceptLogInterval is the minimum time between two log lines about failed accepts.
 	acceptLogInterval = time.Second
 )
 
-// transientAcceptErrors are the errors of accept, as accept(2) documents them, that pass by themselves: errors of the
-// connection that would have been accepted or of the network, and lack of resources. All others are permanent errors of the
-// listener itself.
+// transientAcceptErrors are the errors of accept that pass by themselves, as accept(2) documents them: errors of the
+// network or of the connection that would have been accepted, and lack of resources. All others are permanent errors of
+// the listener.
 var transientAcceptErrors = []syscall.Errno{
 	syscall.ECONNABORTED, syscall.ECONNRESET, syscall.EINTR, syscall.EAGAIN, syscall.ETIMEDOUT, syscall.EPERM,
 	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENOSR,
@@ -34,17 +34,18 @@
 	return errors.As(err, &errno) && slices.Contains(transientAcceptErrors, errno)
 }
 
-// listener adds accepted connections to the table, and retries a failed accept with backoff. One goroutine calls Accept.
+// listener adds accepted connections to the table, and retries a failed accept with backoff. Only one goroutine calls
+// Accept.
 //
-// Prevents the end of the process, and with it of all requests in flight, on a transient error of accept, because net/http,
-// which ends the server on each error that the net package does not call temporary, gets to see permanent errors alone.
+// net/http stops the server on every accept error that the net package does not call temporary, which would end the
+// process and all requests in flight. This listener hides transient errors from net/http and returns only permanent ones.
 type listener struct {
 	net.Listener
-	table           *connTable
-	failureLoggedAt time.Time // zero: none was logged
+	table               *connTable
+	lastFailureLoggedAt time.Time // zero: none was logged
 }
 
-// Accept implements net.Listener. Its error is permanent, and ends the server.
+// Accept implements net.Listener. An error that it returns is permanent and stops the server.
 func (l *listener) Accept() (net.Conn, error) {
 	backoff := minAcceptBackoff
 	for {
@@ -66,9 +67,9 @@
 }
 
 func (l *listener) logFailure(err error) {
-	if !l.failureLoggedAt.IsZero() && time.Since(l.failureLoggedAt) < acceptLogInterval {
+	if !l.lastFailureLoggedAt.IsZero() && time.Since(l.lastFailureLoggedAt) < acceptLogInterval {
 		return
 	}
-	l.failureLoggedAt = time.Now()
+	l.lastFailureLoggedAt = time.Now()
 	l.table.log.Warn("accept failed", slog.String("reason", "ACCEPT_FAILED"), slog.Any("error", err))
 }
--- a/internal/clienthttp/accept_test.go
+++ b/internal/clienthttp/accept_test.go
@@ -14,15 +14,15 @@
 // failingListener fails with each of its errors, and with EMFILE until a time, before it accepts.
 type failingListener struct {
 	net.Listener
-	mutex      sync.Mutex
-	errnos     []syscall.Errno
-	emfileTill time.Time
+	mutex       sync.Mutex
+	errnos      []syscall.Errno
+	emfileUntil time.Time
 }
 
 func (l *failingListener) Accept() (net.Conn, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if time.Now().Before(l.emfileTill) {
+	if time.Now().Before(l.emfileUntil) {
 		l.errnos = append(l.errnos, syscall.EMFILE)
 	}
 	if len(l.errnos) == 0 {
@@ -79,7 +79,7 @@
 	l := listen(t)
 	addr := l.Addr().String()
 	d := newFakeDispatcher()
-	serve(t, newTestServer(d, maxTestConns), &failingListener{Listener: l, emfileTill: time.Now().Add(failsFor)})
+	serve(t, newTestServer(d, maxTestConns), &failingListener{Listener: l, emfileUntil: time.Now().Add(failsFor)})
 
 	queued := dial(t, addr)
 	sentAt := time.Now()
@@ -88,7 +88,7 @@
 	if late := call.ReceivedAt.Sub(sentAt); late > failsFor/10 {
 		t.Errorf("the request counts as received %v after it was sent", late)
 	}
-	call.Respond(servedX)
+	call.Respond(servedResponse)
 
 	// Once the accept queue is empty, a request counts as received when it is read.
 	time.Sleep(failsFor)
@@ -99,29 +99,29 @@
 	if call.ReceivedAt.Before(sentAt) {
 		t.Errorf("the request counts as received %v before it was sent", sentAt.Sub(call.ReceivedAt))
 	}
-	call.Respond(servedX)
+	call.Respond(servedResponse)
 }
 
-// heldUpListener holds each accept up before it begins, as a busy machine may.
-type heldUpListener struct {
+// slowListener holds each accept up before it begins, as a busy machine may.
+type slowListener struct {
 	net.Listener
-	heldUpFor time.Duration
+	delay time.Duration
 }
 
-func (l heldUpListener) Accept() (net.Conn, error) {
-	time.Sleep(l.heldUpFor)
+func (l slowListener) Accept() (net.Conn, error) {
+	time.Sleep(l.delay)
 	return l.Listener.Accept()
 }
 
-// TestRequestInAcceptQueueCountsAsReceivedWhileAcceptIsHeldUp has accept fail as above, and then holds it up for 2 ms for each
+// TestRequestInAcceptQueueCountsAsReceivedWhileAcceptIsSlow has accept fail as above, and then holds it up for 2 ms for each
 // connection. Failure: an accept that took a while was held to have found the queue empty, and the requests that were still
 // in it counted as received when they were read.
-func TestRequestInAcceptQueueCountsAsReceivedWhileAcceptIsHeldUp(t *testing.T) {
+func TestRequestInAcceptQueueCountsAsReceivedWhileAcceptIsSlow(t *testing.T) {
 	const failsFor = 300 * time.Millisecond
 	l := listen(t)
 	d := newFakeDispatcher()
-	failing := &failingListener{Listener: l, emfileTill: time.Now().Add(failsFor)}
-	serve(t, newTestServer(d, maxTestConns), heldUpListener{failing, 2 * time.Millisecond})
+	failing := &failingListener{Listener: l, emfileUntil: time.Now().Add(failsFor)}
+	serve(t, newTestServer(d, maxTestConns), slowListener{failing, 2 * time.Millisecond})
 	sentAt := map[string]time.Time{}
 	for _, id := range []string{"id1", "id2", "id3"} {
 		conn := dial(t, l.Addr().String())
@@ -133,18 +133,18 @@
 		if late := call.ReceivedAt.Sub(sentAt[call.ClientRequestID]); late > failsFor/10 {
 			t.Errorf("%s counts as received %v after it was sent", call.ClientRequestID, late)
 		}
-		call.Respond(servedX)
+		call.Respond(servedResponse)
 	}
 }
 
-// failingAfterWait waits in its first accept, and then fails.
-type failingAfterWait struct {
+// lateFailingListener waits in its first accept, and then fails.
+type lateFailingListener struct {
 	net.Listener
 	wait time.Duration
 	once sync.Once
 }
 
-func (l *failingAfterWait) Accept() (conn net.Conn, err error) {
+func (l *lateFailingListener) Accept() (conn net.Conn, err error) {
 	l.once.Do(func() {
 		time.Sleep(l.wait)
 		err = &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", syscall.ECONNABORTED)}
@@ -161,7 +161,7 @@
 	const waits = 300 * time.Millisecond
 	l := listen(t)
 	d := newFakeDispatcher()
-	serve(t, newTestServer(d, maxTestConns), &failingAfterWait{Listener: l, wait: waits})
+	serve(t, newTestServer(d, maxTestConns), &lateFailingListener{Listener: l, wait: waits})
 	time.Sleep(waits / 2)
 	conn := dial(t, l.Addr().String())
 	sentAt := time.Now()
@@ -170,5 +170,5 @@
 	if call.ReceivedAt.Before(sentAt) {
 		t.Errorf("the request counts as received %v before it was sent", sentAt.Sub(call.ReceivedAt))
 	}
-	call.Respond(servedX)
+	call.Respond(servedResponse)
 }
--- a/internal/clienthttp/conn_test.go
+++ b/internal/clienthttp/conn_test.go
@@ -44,19 +44,19 @@
 					t.Errorf("request %d counts as received %v after it was sent", i, late)
 				}
 				time.Sleep(inFlightFor)
-				call.Respond(servedX)
+				call.Respond(servedResponse)
 			}
 		})
 	}
 }
 
-// beforeRead runs a function before bytes are read that have arrived.
-type beforeRead struct {
+// beforeReadHook runs a function before bytes are read that have arrived.
+type beforeReadHook struct {
 	syscall.RawConn
 	run func()
 }
 
-func (r beforeRead) Read(f func(uintptr) bool) error {
+func (r beforeReadHook) Read(f func(uintptr) bool) error {
 	r.run()
 	return r.RawConn.Read(f)
 }
@@ -68,7 +68,7 @@
 // process goes on; its target is told more time than the client has left, and its response may come after its client's
 // timeout. The log has an age of 10 µs.
 func TestRequestCountsAsReceivedWhenItArrived(t *testing.T) {
-	const heldUpFor = 150 * time.Millisecond
+	const readDelay = 150 * time.Millisecond
 	const idleFor = 100 * time.Millisecond
 	const bodySize = 10_000
 	longPut := fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", validPutHead, bodySize, strings.Repeat("x", bodySize))
@@ -78,8 +78,8 @@
 			conn := newClientConn(accepted)
 			rawConn := conn.rawConn
 			for _, state := range []string{"new", "idle"} {
-				conn.rawConn = beforeRead{rawConn, func() {
-					time.Sleep(heldUpFor)
+				conn.rawConn = beforeReadHook{rawConn, func() {
+					time.Sleep(readDelay)
 					conn.rawConn = rawConn
 				}}
 				sentAt := time.Now()
@@ -92,8 +92,8 @@
 					received += n
 				}
 				arrivedAfter := conn.requestArrival().Sub(sentAt)
-				if arrivedAfter < 0 || arrivedAfter > heldUpFor/2 {
-					t.Errorf("%s: counts as received %v after it was sent, with the process held up for %v", state, arrivedAfter, heldUpFor)
+				if arrivedAfter < 0 || arrivedAfter > readDelay/2 {
+					t.Errorf("%s: counts as received %v after it was sent, with the process held up for %v", state, arrivedAfter, readDelay)
 				}
 				conn.state.Store(stateResponded)
 				conn.beginNextRequest()
@@ -137,13 +137,13 @@
 	}
 }
 
-// afterRead runs a function once bytes have been read, before the reader gets to see them.
-type afterRead struct {
+// afterReadHook runs a function once bytes have been read, before the reader gets to see them.
+type afterReadHook struct {
 	syscall.RawConn
 	run func()
 }
 
-func (r afterRead) Read(f func(uintptr) bool) error {
+func (r afterReadHook) Read(f func(uintptr) bool) error {
 	err := r.RawConn.Read(f)
 	r.run()
 	return err
@@ -161,15 +161,15 @@
 	rawConn := c.rawConn
 
 	closed := false
-	c.rawConn = afterRead{rawConn, func() { closed = evictLocked(table, c, stateIdle) }}
+	c.rawConn = afterReadHook{rawConn, func() { closed = lockAndEvict(table, c, stateIdle) }}
 	send(client, "G")
 	if n, err := c.Read(make([]byte, 8)); n != 1 || err != nil || closed {
 		t.Errorf("read %d, %v; closed over it: %v", n, err, closed)
 	}
 
 	c.state.Store(stateIdle)
-	c.rawConn = afterRead{rawConn, func() {}}
-	if !evictLocked(table, c, stateIdle) {
+	c.rawConn = afterReadHook{rawConn, func() {}}
+	if !lockAndEvict(table, c, stateIdle) {
 		t.Error("an idle connection was not closed")
 	}
 	if n, err := c.Read(make([]byte, 8)); n != 0 || !errors.Is(err, net.ErrClosed) {
@@ -177,13 +177,13 @@
 	}
 }
 
-// pausedRead stops a read when it has begun, before it takes any byte.
-type pausedRead struct {
+// pausedRawConn stops a read when it has begun, before it takes any byte.
+type pausedRawConn struct {
 	syscall.RawConn
 	begun, resume chan bool
 }
 
-func (r pausedRead) Read(f func(uintptr) bool) error {
+func (r pausedRawConn) Read(f func(uintptr) bool) error {
 	return r.RawConn.Read(func(fd uintptr) bool {
 		r.begun <- true
 		<-r.resume
@@ -197,7 +197,7 @@
 	_, accepted := connPair(t)
 	table := newConnTable(8, 8, slog.New(slog.DiscardHandler))
 	c := table.add(accepted)
-	read := pausedRead{c.rawConn, make(chan bool), make(chan bool)}
+	read := pausedRawConn{c.rawConn, make(chan bool), make(chan bool)}
 	c.rawConn = read
 	readEnded := make(chan error, 1)
 	closed := make(chan bool, 1)
@@ -206,7 +206,7 @@
 		readEnded <- err
 	}()
 	<-read.begun
-	go func() { closed <- evictLocked(table, c, stateIdle) }()
+	go func() { closed <- lockAndEvict(table, c, stateIdle) }()
 	for c.state.Load() != stateClosed {
 		time.Sleep(time.Millisecond)
 	}
@@ -221,12 +221,12 @@
 	}
 }
 
-// readAfterDeadline is a socket whose reads find their deadline over, as after the process was held up.
-type readAfterDeadline struct {
+// expiredRawConn is a socket whose reads find their deadline over, as after the process was held up.
+type expiredRawConn struct {
 	syscall.RawConn
 }
 
-func (readAfterDeadline) Read(func(uintptr) bool) error {
+func (expiredRawConn) Read(func(uintptr) bool) error {
 	return os.ErrDeadlineExceeded
 }
 
@@ -247,7 +247,7 @@
 		t.Run(name, func(t *testing.T) {
 			client, accepted := connPair(t)
 			conn := newClientConn(accepted)
-			conn.rawConn = readAfterDeadline{conn.rawConn}
+			conn.rawConn = expiredRawConn{conn.rawConn}
 			send(client, c.sent)
 			if c.sent != "" {
 				awaitUnread(t, accepted)
--- a/internal/clienthttp/connread.go
+++ b/internal/clienthttp/connread.go
@@ -12,98 +12,98 @@
 	"dapplegate/internal/socket"
 )
 
-// readAheadSize is the size, in bytes, of the read that follows a background read which found the next request.
+// readAheadSize is the size, in bytes, of the read that follows a background read which received the start of a request.
 const readAheadSize = 4 << 10
 
-// arrival is when bytes that were read in one step had arrived at this machine.
-type arrival struct {
-	last     time.Time // when the last of them had
-	earliest time.Time // when the first of them had, at the earliest
+// arrivalTimes tells when the bytes that one step read arrived at this machine.
+type arrivalTimes struct {
+	lastByte           time.Time // when the last byte arrived
+	firstByteNotBefore time.Time // the earliest time at which the first byte can have arrived
 }
 
-// Read implements net.Conn. It gives bytes of one request at a time.
+// Read implements net.Conn. It returns bytes of one request at a time.
 func (c *clientConn) Read(buffer []byte) (int, error) {
 	n, err := c.read(buffer)
 	if err != nil {
-		c.noteCloseReason(c.readFailureReason(err))
+		c.recordCloseReason(c.readFailureReason(err))
 	}
 	return n, err
 }
 
 func (c *clientConn) read(buffer []byte) (int, error) {
 	if len(c.readAhead) > 0 {
-		return c.takeReadAhead(buffer)
+		return c.readFromReadAhead(buffer)
 	}
-	n, waited, err := c.readUnread(buffer)
+	n, waited, err := c.readConn(buffer)
 	if n == 0 {
 		return 0, err
 	}
-	filled := n == len(buffer)
+	bufferFull := n == len(buffer)
 	if c.isBackgroundRead(buffer) {
-		c.markCloseUndetected()
-		filled = c.readFurther()
+		c.markCloseDetectionLost()
+		bufferFull = c.readAheadAvailable()
 	}
-	c.readAheadArrival = c.arrivalOf(waited, filled)
-	taken := c.give(buffer[:n], c.readAheadArrival, true)
+	c.readAheadArrival = c.estimateArrival(waited, bufferFull)
+	taken := c.deliver(buffer[:n], c.readAheadArrival, true)
 	if taken < n {
 		c.readAhead = bytes.Clone(buffer[taken:n])
 	}
 	return taken, err
 }
 
-// takeReadAhead gives net/http bytes that were read before.
-func (c *clientConn) takeReadAhead(buffer []byte) (int, error) {
+// readFromReadAhead passes bytes that were read ahead to net/http.
+func (c *clientConn) readFromReadAhead(buffer []byte) (int, error) {
 	if c.state.Load() == stateClosed {
 		return 0, net.ErrClosed
 	}
 	if c.isBackgroundRead(buffer) {
-		c.markCloseUndetected()
+		c.markCloseDetectionLost()
 	}
 	n := copy(buffer, c.readAhead)
-	taken := c.give(buffer[:n], c.readAheadArrival, n == len(c.readAhead))
+	taken := c.deliver(buffer[:n], c.readAheadArrival, n == len(c.readAhead))
 	c.readAhead = c.readAhead[taken:]
 	if len(c.readAhead) == 0 {
-		c.readAhead = nil // frees the buffer
+		c.readAhead = nil // releases the buffer
 	}
 	return taken, nil
 }
 
-// give passes bytes on to net/http, up to the end of the current request, and returns how many that are. areLast is whether
-// they include the last of those that arrived.
-func (c *clientConn) give(data []byte, arrived arrival, areLast bool) (taken int) {
+// deliver passes bytes to net/http up to the end of the current request, and returns how many that is. includesLast is
+// whether data ends with the last byte that has arrived.
+func (c *clientConn) deliver(data []byte, arrived arrivalTimes, includesLast bool) (taken int) {
 	taken, complete := c.scanner.scan(data)
 	if !complete {
 		return taken
 	}
-	c.arrivedAt = arrived.earliest
-	if areLast && taken == len(data) {
-		c.arrivedAt = arrived.last
+	c.requestArrivedAt = arrived.firstByteNotBefore
+	if includesLast && taken == len(data) {
+		c.requestArrivedAt = arrived.lastByte
 	}
-	c.awaitsResponse = true
+	c.responsePending = true
 	c.state.CompareAndSwap(stateReceiving, stateReceived)
 	return taken
 }
 
-// isBackgroundRead reports whether the next read is one by which net/http detects that the client closes: it was given the
-// whole request, and reads a single byte.
+// isBackgroundRead reports whether the next read is one by which net/http detects that the client closes. Such a read
+// follows a complete request and asks for a single byte.
 func (c *clientConn) isBackgroundRead(buffer []byte) bool {
-	return c.awaitsResponse && len(buffer) == 1
+	return c.responsePending && len(buffer) == 1
 }
 
-// markCloseUndetected records that a background read got a byte. With it net/http stops its background reads, and the handler
-// has to detect a close by itself.
-func (c *clientConn) markCloseUndetected() {
-	if c.closeUndetected != nil {
-		c.closeUndetectedOnce.Do(func() { close(c.closeUndetected) })
+// markCloseDetectionLost records that a background read received a byte. net/http then stops its background reads, and
+// the handler has to detect a close by itself.
+func (c *clientConn) markCloseDetectionLost() {
+	if c.closeDetectionLost != nil {
+		c.closeDetectionLostOnce.Do(func() { close(c.closeDetectionLost) })
 	}
 }
 
-// readFurther reads ahead what is there of the next request, whose first byte a background read got. filled is whether more
-// may be unread.
+// readAheadAvailable reads ahead the available bytes of the next request, after a background read received its first
+// byte. bufferFull is whether more may be unread.
 //
-// Prevents a request that waits behind another from counting as received later than it arrived, because the arrival of the
-// bytes is known only until others follow them.
-func (c *clientConn) readFurther() (filled bool) {
+// When bytes arrived is known only until others follow them. Without reading ahead, a request that waits behind another
+// would count as received later than it arrived.
+func (c *clientConn) readAheadAvailable() (bufferFull bool) {
 	if c.rawConn == nil {
 		return false
 	}
@@ -112,23 +112,23 @@
 	var err error
 	controlError := c.rawConn.Control(func(fd uintptr) { n, err = c.readAvailable(int(fd), buffer) })
 	if controlError != nil || err != nil || n == 0 {
-		return false // the next read finds the same
+		return false // the next read has the same result
 	}
 	c.readAhead = buffer[:n]
 	return n == len(buffer)
 }
 
-// readUnread reads bytes that nobody has read yet, and waits for them if there are none. It reports whether it had to wait.
-func (c *clientConn) readUnread(buffer []byte) (n int, waited bool, err error) {
+// readConn reads new bytes from the connection, and waits for them if there are none. It reports whether it had to wait.
+func (c *clientConn) readConn(buffer []byte) (n int, waited bool, err error) {
 	if c.rawConn != nil {
 		return c.readSocket(buffer)
 	}
 	n, err = c.Conn.Read(buffer)
-	c.noteBytesRead(n)
+	c.recordBytesRead(n)
 	return n, true, err
 }
 
-// readSocket waits for bytes and reads them, and reports whether it had to wait.
+// readSocket waits for bytes on the socket and reads them. It reports whether it had to wait.
 func (c *clientConn) readSocket(buffer []byte) (n int, waited bool, err error) {
 	waitError := c.rawConn.Read(func(fd uintptr) (done bool) {
 		n, err = c.readAvailable(int(fd), buffer)
@@ -144,43 +144,43 @@
 		n, err = c.readAtDeadline(buffer, waitError)
 	case waitError != nil:
 		n, err = 0, waitError
-		if waited { // net/http has ended its background read, which found nothing until now
+		if waited { // net/http has ended its background read, and nothing had arrived until now
 			c.unreadSince = time.Now()
 		}
 	}
 	return n, waited, err
 }
 
-// arrivalOf returns when the bytes had arrived that were just read. waited is whether nothing was there when the read began,
-// and filled whether the buffer was, so that more may be unread.
+// estimateArrival returns when the bytes that were just read arrived. waited is whether nothing was available when the
+// read began, and bufferFull whether the read filled its buffer, so that more may be unread.
 //
-// Prevents a request that waited in the accept queue, behind another request or for the process from counting as received when
-// it was read, while its client's timeout was running: the kernel tells how long ago the last bytes arrived. Where it does
-// not, or they came just now, a request that may have waited behind another counts as received when it could have
-// arrived at the earliest.
-func (c *clientConn) arrivalOf(waited, filled bool) arrival {
+// A request may have waited in the accept queue, behind another request or for the process to run. Its client's timeout
+// was running meanwhile, so the request must not count as received only when it was read. The kernel tells how long ago
+// the last bytes arrived. Where it does not, or they arrived just now, a request that may have waited behind another
+// counts as received at the earliest time at which it can have arrived.
+func (c *clientConn) estimateArrival(waited, bufferFull bool) arrivalTimes {
 	now := time.Now()
 	mayHaveWaited := !waited && !c.unreadSince.IsZero()
-	arrived := arrival{last: now, earliest: now}
+	arrived := arrivalTimes{lastByte: now, firstByteNotBefore: now}
 	if mayHaveWaited {
-		arrived.last = c.unreadSince
+		arrived.lastByte = c.unreadSince
 	}
-	if unreadFor := c.unreadFor(); unreadFor > 0 {
-		arrived.last = latest(c.unreadSince, now.Add(-unreadFor))
+	if sinceLastData := c.sinceLastData(); sinceLastData > 0 {
+		arrived.lastByte = latest(c.unreadSince, now.Add(-sinceLastData))
 	}
-	arrived.earliest = arrived.last
+	arrived.firstByteNotBefore = arrived.lastByte
 	if mayHaveWaited {
-		arrived.earliest = c.unreadSince
+		arrived.firstByteNotBefore = c.unreadSince
 	}
 	c.unreadSince = now
-	if filled {
-		c.unreadSince = arrived.last
+	if bufferFull {
+		c.unreadSince = arrived.lastByte
 	}
 	return arrived
 }
 
-// unreadFor returns how long ago the last bytes arrived at this machine; 0: just now, or not known.
-func (c *clientConn) unreadFor() time.Duration {
+// sinceLastData returns how long ago the last bytes arrived at this machine; 0: just now, or unknown.
+func (c *clientConn) sinceLastData() time.Duration {
 	if c.rawConn == nil {
 		return 0
 	}
@@ -195,11 +195,11 @@
 	return b
 }
 
-// readAtDeadline reads what has arrived by the time at which a read is to end, or closes an idle connection on which
-// nothing has.
+// readAtDeadline is called when the deadline of a read has passed. It reads the bytes that have arrived. If there are
+// none and the connection is idle, it shuts the connection down.
 //
-// Prevents a close over a request that arrived in time while the process was held up past the deadline, in which case the
-// client would see its connection end without a response, because the check for bytes and the close are one step.
+// If the process is delayed past the deadline, a request may still have arrived in time. The check for bytes and the
+// close are one step, so that the connection of such a request is not closed without a response.
 func (c *clientConn) readAtDeadline(buffer []byte, deadlineError error) (n int, err error) {
 	if c.state.Load() == stateIdle {
 		reason := c.readFailureReason(deadlineError)
@@ -207,7 +207,7 @@
 		closed := c.closeIfNothingUnread(stateIdle)
 		c.readMutex.Unlock()
 		if closed {
-			c.noteCloseReason(reason)
+			c.recordCloseReason(reason)
 			return 0, deadlineError
 		}
 	}
@@ -223,8 +223,8 @@
 
 // readAvailable reads without waiting, and returns syscall.EAGAIN if there is nothing to read.
 //
-// Prevents a close as idle over a request that has just been read from the socket, which would get no response, because the
-// read and the change of state are one step under readMutex.
+// The read and the change of state are one step under readMutex. Otherwise the connection could be closed as idle just
+// after a request has been read from the socket, and that request would get no response.
 func (c *clientConn) readAvailable(fd int, buffer []byte) (int, error) {
 	c.readMutex.Lock()
 	defer c.readMutex.Unlock()
@@ -243,6 +243,6 @@
 	case n == 0 && len(buffer) > 0:
 		return 0, io.EOF
 	}
-	c.noteBytesRead(n)
+	c.recordBytesRead(n)
 	return n, nil
 }
--- a/internal/clienthttp/connstate.go
+++ b/internal/clienthttp/connstate.go
@@ -2,8 +2,8 @@
 
 import "sync/atomic"
 
-// connState is what a client connection is doing. These are all its transitions; each is a compare-and-swap, so that a
-// connection is never closed to make room once the handler has claimed a request on it:
+// connState is the state of a client connection. The table lists all transitions. Each is a compare-and-swap, so that a
+// connection is never evicted once the handler has claimed a request on it:
 //
 //	from       to         made by     when
 //	idle       receiving  reader      bytes of a request have been read
@@ -11,34 +11,36 @@
 //	received   inFlight   handler     it claims the request
 //	receiving  inFlight   handler     the same, for a malformed request of which not all has been read
 //	inFlight   responded  handler     it has written the response
-//	inFlight   malformed  handler     the request is malformed; what is left of it is read and discarded
+//	inFlight   malformed  handler     the request is malformed; the rest of it is read and discarded
 //	responded  idle       state hook  net/http has finished the response, and nothing of a further request has been read
 //	responded  receiving  state hook  the same, and bytes of a further request have been read ahead
 //	idle       closed     table       eviction, keep-alive timeout or shutdown, if nothing is unread
-//	receiving  closed     table       the same, or a request that takes too long, if nothing is unread
-//	received   closed     table       a request whose handler has not claimed it for long, if nothing is unread
-//	malformed  closed     table       eviction or shutdown, whatever is unread
-//	idle       closed     reader      the deadline of a read is over, and nothing is unread
+//	receiving  closed     table       the same, or the request takes too long, if nothing is unread
+//	received   closed     table       the handler has not claimed the request for too long, if nothing is unread
+//	malformed  closed     table       eviction or shutdown, even if bytes are unread
+//	idle       closed     reader      the deadline of a read has passed, and nothing is unread
 //
-// The reader is the goroutine that reads from the connection, the state hook is connTable.onConnState. If net/http responds
-// by itself, without the handler, the hook leads from the state of then to the next request. The one exception to the
-// compare-and-swaps is a new connection far over the limit: it is stored as closed before anything is read from it.
+// The reader is the goroutine that reads from the connection; the state hook is connTable.onConnState. If net/http
+// responds without calling the handler, the state hook makes the transition from whatever state the connection is in. A
+// new connection far over the limit is the one exception to the compare-and-swaps: its state is stored as closed before
+// anything is read.
 type connState int32
 
 const (
-	// stateIdle: net/http waits for a request, and no byte of one has been read.
+	// stateIdle: net/http waits for a request, and no byte of it has been read.
 	stateIdle connState = iota
 	// stateReceiving: part of a request has been read.
 	stateReceiving
 	// stateReceived: net/http has been given all of a request, and the handler has not claimed it yet.
 	stateReceived
-	// stateInFlight: the handler has a request that has no response yet.
+	// stateInFlight: the handler has claimed the request and not responded to it yet.
 	stateInFlight
-	// stateResponded: the handler has written the response, and net/http has not finished with the request.
+	// stateResponded: the handler has written the response, and net/http has not finished the request.
 	stateResponded
-	// stateMalformed: the request was malformed and has its response; what is left of it is discarded, and none follows.
+	// stateMalformed: the response to a malformed request has been sent, the rest of the request is discarded, and no
+	// further request is served.
 	stateMalformed
-	// stateClosed: closed by this side; nothing that is read from it counts any more.
+	// stateClosed: closed by this side; whatever is read later is ignored.
 	stateClosed
 )
 
@@ -52,12 +54,12 @@
 	stateClosed:    "CLOSED",
 }
 
-// String returns the state's name in logs.
+// String returns the name of the state in logs.
 func (s connState) String() string {
 	return connStateNames[s]
 }
 
-// atomicConnState holds a connState for several goroutines. Its zero value is stateIdle.
+// atomicConnState is a connState for use by several goroutines. Its zero value is stateIdle.
 type atomicConnState struct {
 	value atomic.Int32
 }
@@ -74,13 +76,13 @@
 	return a.value.CompareAndSwap(int32(from), int32(to))
 }
 
-// closeReason says in a log line why a connection ended.
+// closeReason is the reason in the log line for the end of a connection.
 type closeReason string
 
 const (
-	// reasonNone: none is noted, and CLOSED_BY_SERVER or SHUTDOWN is logged.
+	// reasonNone: no reason is recorded; CLOSED_BY_SERVER or SHUTDOWN is logged.
 	reasonNone closeReason = ""
-	// reasonConnectionLimit: evicted to make room for another connection, or accepted over the limit itself.
+	// reasonConnectionLimit: evicted to make room for another connection, or accepted over the limit.
 	reasonConnectionLimit closeReason = "CONNECTION_LIMIT"
 	// reasonNoFirstRequest: nothing arrived on a new connection within requestReadTimeout.
 	reasonNoFirstRequest closeReason = "NO_FIRST_REQUEST"
@@ -91,18 +93,18 @@
 	reasonRequestReadTimeout closeReason = "REQUEST_READ_TIMEOUT"
 	// reasonShutdown: closed for the graceful shutdown.
 	reasonShutdown closeReason = "SHUTDOWN"
-	// reasonClosedByServer: closed after a response that announces it or over bytes that are no request, or no other reason
-	// is logged.
+	// reasonClosedByServer: closed after a response that announces the close, or because of bytes that are not a request.
+	// Also logged if there is no other reason.
 	reasonClosedByServer closeReason = "CLOSED_BY_SERVER"
-	// reasonClientClosed: a read found that the client has closed the connection or its write side, also while a request was
-	// in flight.
+	// reasonClientClosed: a read found that the client had closed the connection or its write side, with or without a
+	// request in flight.
 	reasonClientClosed closeReason = "CLIENT_CLOSED"
-	// reasonClientAborted: the client closed the connection while a request was in flight, and no read has found that: the
-	// handler's own check did, after net/http had stopped its background reads.
+	// reasonClientAborted: the client closed the connection with a request in flight. The handler's own check found this,
+	// not a read, because net/http had stopped its background reads.
 	reasonClientAborted closeReason = "CLIENT_ABORTED"
 	// reasonClientReset: the client reset the connection.
 	reasonClientReset closeReason = "CLIENT_RESET"
-	// reasonReadFailed: any other error of a read. It is noted but never logged: see loggedCloseReason.
+	// reasonReadFailed: a read failed with any other error. It is recorded but never logged: see loggedCloseReason.
 	reasonReadFailed closeReason = "CLIENT_READ_FAILED"
 	// reasonWriteFailed: a write failed or took longer than writeTimeout.
 	reasonWriteFailed closeReason = "CLIENT_WRITE_FAILED"
--- a/internal/clienthttp/conntable.go
+++ b/internal/clienthttp/conntable.go
@@ -10,36 +10,36 @@
 	"dapplegate/internal/socket"
 )
 
-// maxOverLimit is how many connections over the limit are accepted, each to have one request rejected.
-const maxOverLimit = 24
+// maxConnsOverLimit is how many connections over the limit are accepted, each to have one request rejected.
+const maxConnsOverLimit = 24
 
-// connTable holds the clients' connections and limits their number.
+// connTable holds the open client connections and limits their number.
 //
-// A new connection over the limit is accepted all the same: the kernel has completed its handshake, and a request that is
-// already on it would get no response. A connection without a request is evicted for it. Where there is none, the new
-// connection's request is rejected at once, and the connection closed.
+// A new connection over the limit is accepted all the same: the kernel has completed its handshake, and a request that
+// has already arrived on it would otherwise get no response. The table evicts a connection without a request to make room
+// for it. If there is none, the request of the new connection is rejected at once and the connection is closed.
 //
-// Idle connections are evicted well below maxOpen. Clients count their open connections, idle ones included, against a
-// limit of their own: if idle ones used that up, well-behaved clients could not even connect, and maxOpen would never be
-// reached.
+// Idle connections are evicted well below maxOpen. Clients have a limit of their own, against which they count all their
+// open connections, idle ones included. If idle connections used up that limit, well-behaved clients could not even
+// connect, and maxOpen would never be reached.
 type connTable struct {
-	// maxOpen is the number of open connections above which a new one is over the limit, unless another is evicted for it.
+	// maxOpen is the number of open connections above which a new one is over the limit, unless another is evicted.
 	maxOpen int
-	// evictIdleAbove is the number of open connections, in flight or not, above which each new one evicts one that has been idle
-	// long enough.
+	// evictIdleAbove is the number of open connections, in flight or not, above which each new one evicts one that has
+	// been idle long enough.
 	evictIdleAbove int
 	log            *slog.Logger
 
-	mutex        sync.Mutex // guards what follows, and idleSince of each connection
+	mutex        sync.Mutex // guards the fields below, and idleSince of each connection
 	open         map[*clientConn]bool
-	shuttingDown bool // connections are closed because of a graceful shutdown
+	shuttingDown bool // whether connections are closed because of a graceful shutdown
 }
 
 func newConnTable(maxOpen, evictIdleAbove int, log *slog.Logger) *connTable {
 	return &connTable{maxOpen: maxOpen, evictIdleAbove: min(evictIdleAbove, maxOpen), log: log, open: map[*clientConn]bool{}}
 }
 
-// add takes an accepted connection into the table, and evicts another for it if there are too many.
+// add adds an accepted connection to the table, and evicts another if there are too many.
 func (t *connTable) add(accepted net.Conn) *clientConn {
 	c := newClientConn(accepted)
 	t.mutex.Lock()
@@ -55,35 +55,37 @@
 	return c
 }
 
-// markOverLimit has the connection's request rejected. If too many wait for that, it sends unservedResponse and closes the
-// connection at once, whatever is unread on it. The table is locked, and nothing has been read from the connection yet.
+// markOverLimit marks a connection so that its request is rejected. If too many connections are over the limit already,
+// it sends response503 and closes the connection at once, even if bytes are unread on it. The caller holds
+// t.mutex, and nothing has been read from the connection yet.
 func (t *connTable) markOverLimit(c *clientConn) {
 	c.overLimit = true
-	c.noteCloseReason(reasonConnectionLimit)
-	if len(t.open) > t.maxOpen+maxOverLimit {
+	c.recordCloseReason(reasonConnectionLimit)
+	if len(t.open) > t.maxOpen+maxConnsOverLimit {
 		c.state.Store(stateClosed)
-		socket.TrySend(c.Conn, unservedResponse)
+		socket.TrySend(c.Conn, response503)
 		_ = c.Close()
 	}
 }
 
-// closeTimedOut closes the connections that have been idle for keepAlive, and those whose request has not reached its handler
-// within claimTimeout of its first byte. net/http by itself would give the first four bytes of a further request as long as
-// its timeout for idle connections. During shutdown no idle connection is closed here: clients cannot open others.
+// closeTimedOut closes the connections that have been idle for keepAlive, and those whose request has not been claimed by
+// its handler within claimTimeout of its first byte. Without the latter, net/http would wait for the first four bytes of
+// a further request as long as its idle timeout. During shutdown it closes no idle connection, because clients cannot
+// open others.
 func (t *connTable) closeTimedOut(keepAlive, claimTimeout time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	for c := range t.open {
 		switch state := c.state.Load(); {
 		case (state == stateReceiving || state == stateReceived) && c.receivingFor() >= claimTimeout:
-			t.closeIfStill(c, state, reasonRequestReadTimeout)
+			t.closeIfUnchanged(c, state, reasonRequestReadTimeout)
 		case state == stateIdle && c.hasResponded.Load() && time.Since(c.idleSince) >= keepAlive && !t.shuttingDown:
-			t.closeIfStill(c, stateIdle, reasonKeepAliveTimeout)
+			t.closeIfUnchanged(c, stateIdle, reasonKeepAliveTimeout)
 		}
 	}
 }
 
-// onConnState is net/http's state hook.
+// onConnState is the ConnState hook of the http.Server.
 func (t *connTable) onConnState(conn net.Conn, state http.ConnState) {
 	c, ok := conn.(*clientConn)
 	if !ok {
@@ -99,17 +101,17 @@
 	}
 }
 
-// onResponded records that net/http has written a response and keeps the connection.
+// onResponded records that net/http has written a response and keeps the connection open.
 func (t *connTable) onResponded(c *clientConn) {
 	t.mutex.Lock()
 	c.idleSince = time.Now()
 	t.mutex.Unlock()
 	c.hasResponded.Store(true)
-	c.openRequestID.Store(nil)
+	c.inFlightRequestID.Store(nil)
 	c.beginNextRequest()
 }
 
-// onClosed removes the connection and logs why it ended.
+// onClosed removes the connection from the table and logs why it ended.
 func (t *connTable) onClosed(c *clientConn) {
 	t.mutex.Lock()
 	delete(t.open, c)
@@ -124,11 +126,12 @@
 		slog.String("state", c.state.Load().String()))
 }
 
-// loggedCloseReason returns the first reason noted for the connection, or else CLOSED_BY_SERVER or SHUTDOWN. A failed read
-// is taken to follow from this side's close, and not logged as the reason; a reason after it was not noted.
+// loggedCloseReason returns the first reason recorded for the connection, or else SHUTDOWN or CLOSED_BY_SERVER. A failed
+// read is not logged as the reason, because it is assumed to be a consequence of the server's own close. Any reason after
+// it was not recorded.
 func loggedCloseReason(c *clientConn, shuttingDown bool) closeReason {
-	if noted := c.closeReason.Load(); noted != nil && *noted != reasonReadFailed {
-		return *noted
+	if recorded := c.closeReason.Load(); recorded != nil && *recorded != reasonReadFailed {
+		return *recorded
 	}
 	if shuttingDown {
 		return reasonShutdown
--- a/internal/clienthttp/conntable_test.go
+++ b/internal/clienthttp/conntable_test.go
@@ -48,7 +48,7 @@
 		t.Errorf("status %d, closes %v, %d calls; want a rejection that reaches no dispatcher",
 			response.StatusCode, response.Close, len(d.calls))
 	}
-	inFlight.Respond(servedX)
+	inFlight.Respond(servedResponse)
 }
 
 // TestStallInFirstBytes has a client send the first bytes of a further request and nothing more.
@@ -119,7 +119,7 @@
 			added := table.add(conn)
 			table.onConnState(added, http.StateActive)
 			for _, reason := range c.noted {
-				added.noteCloseReason(reason)
+				added.recordCloseReason(reason)
 			}
 			added.state.Store(c.state)
 			if c.shuttingDown {
--- a/internal/clienthttp/eviction.go
+++ b/internal/clienthttp/eviction.go
@@ -3,44 +3,45 @@
 import "time"
 
 const (
-	// silentTimeout is how long nothing may arrive on a new connection before it is evicted ahead of idle ones. Well-behaved
-	// clients send a request as soon as they are connected.
+	// silentTimeout is how long a new connection may receive nothing before it is evicted ahead of idle ones.
+	// Well-behaved clients send a request as soon as they are connected.
 	silentTimeout = 50 * time.Millisecond
-	// minIdleBeforeEviction is how long a connection must have been idle after a response to be evicted while the table has
-	// at most maxOpen. It is short, so that many connections with one request each do not keep other clients out.
+	// minIdleBeforeEviction is how long a connection must have been idle after a response before it may be evicted while
+	// the table has at most maxOpen connections. It is short, so that many connections with one request each do not keep
+	// other clients out.
 	minIdleBeforeEviction = 25 * time.Millisecond
-	// stalledTimeout is how long nothing more must have arrived of a request that has begun to arrive, for the request to
-	// count as stalled. A complete request is claimed long before, unless the process is held up.
+	// stalledTimeout is how long nothing more of a partly received request must have arrived for the request to count as
+	// stalled. A complete request is claimed long before that, unless the process is delayed.
 	stalledTimeout = 200 * time.Millisecond
-	// maxEvictionAttempts is how many connections are tried to make room for a new one, which waits meanwhile.
+	// maxEvictionAttempts is how many connections are tried to make room for a new one, which has to wait meanwhile.
 	maxEvictionAttempts = 8
 )
 
-// evictionRank orders connections by how dispensable they are; the highest is evicted first.
+// evictionRank orders connections for eviction; the one with the highest rank is evicted first.
 type evictionRank int
 
 const (
-	// rankKeep: not to be evicted, since a request is in flight or may have arrived.
+	// rankKeep: not evicted, because a request is in flight or may have arrived.
 	rankKeep evictionRank = iota
-	// rankNew: new, and nothing has been read yet; evicted only if the table has more than maxOpen.
+	// rankNew: new, and nothing has been read yet; evicted only if the table has more than maxOpen connections.
 	rankNew
 	// rankIdle: idle after a response.
 	rankIdle
-	// rankNoFirstRequest: new, and silent for silentTimeout, or its first request has stalled.
+	// rankNoFirstRequest: new, and nothing has arrived for silentTimeout or the first request has stalled.
 	rankNoFirstRequest
-	// rankMalformed: its request was malformed and has its response, and none follows.
+	// rankMalformed: the response to a malformed request has been sent, and no further request is served.
 	rankMalformed
 )
 
-// makeRoomFor evicts a connection other than the new one, and reports whether one was evicted. overMaxOpen is whether the
-// table has more than maxOpen connections. The table is locked.
+// makeRoomFor evicts a connection other than newConn, and reports whether it did. overMaxOpen is whether the table has
+// more than maxOpen connections. The caller holds t.mutex.
 func (t *connTable) makeRoomFor(newConn *clientConn, overMaxOpen bool) bool {
 	for range maxEvictionAttempts {
 		candidate, observed := t.evictionCandidate(newConn, overMaxOpen)
 		if candidate == nil {
 			return false
 		}
-		if t.closeIfStill(candidate, observed, reasonConnectionLimit) {
+		if t.closeIfUnchanged(candidate, observed, reasonConnectionLimit) {
 			return true
 		}
 		candidate.idleSince = time.Now() // a request is arriving on it
@@ -48,8 +49,8 @@
 	return false
 }
 
-// evictionCandidate returns the connection to evict and its observed state: the one of the highest rank, and among equals
-// the one idle longest; nil: none may be evicted. The table is locked.
+// evictionCandidate returns the connection to evict and its observed state, or nil if none may be evicted. It is the
+// connection of the highest rank, and among equals the one that has been idle longest. The caller holds t.mutex.
 func (t *connTable) evictionCandidate(except *clientConn, overMaxOpen bool) (candidate *clientConn, observed connState) {
 	now := time.Now()
 	highest := rankKeep
@@ -68,7 +69,7 @@
 	return candidate, observed
 }
 
-// rankForEviction ranks a connection by its observed state. The table is locked.
+// rankForEviction ranks a connection in the observed state. The caller holds t.mutex.
 func rankForEviction(c *clientConn, observed connState, overMaxOpen bool, now time.Time) evictionRank {
 	switch observed {
 	case stateMalformed:
@@ -100,17 +101,18 @@
 	return rankKeep
 }
 
-// closeIfStill closes a connection - to make room, for a timeout or at shutdown - if it is still in its observed state, which
-// is idle, receiving or malformed, and reports whether it did. A connection with unread bytes is not closed, since a request
-// is arriving on it, unless it is malformed. See closeIfNothingUnread for what its client gets. The table is locked.
-func (t *connTable) closeIfStill(c *clientConn, observed connState, reason closeReason) bool {
+// closeIfUnchanged closes a connection for an eviction, a timeout or a shutdown, if it is still in the observed state:
+// idle, receiving, received or malformed. It reports whether it did. A connection with unread bytes is not closed,
+// because a request is arriving on it, unless it is malformed. closeIfNothingUnread documents what the client gets. The
+// caller holds t.mutex.
+func (t *connTable) closeIfUnchanged(c *clientConn, observed connState, reason closeReason) bool {
 	c.readMutex.Lock()
 	closed := c.closeIfNothingUnread(observed)
 	if closed {
-		c.noteCloseReason(reason)
+		c.recordCloseReason(reason)
 	}
-	// Close waits for a read that has begun, and that read waits for this mutex. If it were held during Close, both would
-	// wait forever, and the table with them.
+	// Close waits for a read that has begun, and that read waits for readMutex. If the mutex were held during Close, both
+	// would wait forever, and so would everything that needs the table.
 	c.readMutex.Unlock()
 	if !closed {
 		return false
--- a/internal/clienthttp/eviction_test.go
+++ b/internal/clienthttp/eviction_test.go
@@ -11,10 +11,10 @@
 	"time"
 )
 
-// TestUselessConnectionsAreEvicted uses up the limit with connections that send nothing, stop within a head or a body, or
+// TestConnectionsWithoutValidRequestAreEvicted uses up the limit with connections that send nothing, stop within a head or a body, or
 // are malformed and never end their body. Well-behaved clients must be served all the same, and a connection with a request
 // in flight must stay.
-func TestUselessConnectionsAreEvicted(t *testing.T) {
+func TestConnectionsWithoutValidRequestAreEvicted(t *testing.T) {
 	const maxConns = 8
 	const useless = maxConns - 1
 	for name, raw := range map[string]string{
@@ -38,7 +38,7 @@
 					t.Errorf("a well-behaved client got status %d", response.StatusCode)
 				}
 			}
-			call.Respond(servedX)
+			call.Respond(servedResponse)
 			setDeadline(t, inFlight, time.Now().Add(testTimeout))
 			response, err := http.ReadResponse(bufio.NewReader(inFlight), nil)
 			if err != nil || response.StatusCode != http.StatusOK {
@@ -53,13 +53,13 @@
 func TestIdleConnectionsAreEvictedEarly(t *testing.T) {
 	const maxConns = 8
 	const evictIdleAbove = 3
-	const once = 2 * evictIdleAbove
+	const clients = 2 * evictIdleAbove
 	s, d, addr := startServer(t, maxConns)
 	s.conns.mutex.Lock()
 	s.conns.evictIdleAbove = evictIdleAbove
 	s.conns.mutex.Unlock()
-	go d.respondToNext(once)
-	for range once {
+	go d.respondToNext(clients)
+	for range clients {
 		roundTripOnNewConn(t, addr, validPut)
 		time.Sleep(2 * minIdleBeforeEviction)
 	}
@@ -87,7 +87,7 @@
 func TestCompleteRequestIsNotEvicted(t *testing.T) {
 	// The connection was idle for long before the request. How long ago its bytes were read stays as it is: a busy machine adds
 	// to that by itself.
-	age := func(s *Server) {
+	makeIdleForLong := func(s *Server) {
 		s.conns.mutex.Lock()
 		defer s.conns.mutex.Unlock()
 		for c := range s.conns.open {
@@ -96,15 +96,15 @@
 	}
 	for name, closeConns := range map[string]func(*Server){
 		"to make room": func(s *Server) {
-			age(s)
+			makeIdleForLong(s)
 			s.conns.mutex.Lock()
 			defer s.conns.mutex.Unlock()
 			if c, observed := s.conns.evictionCandidate(nil, true); c != nil {
-				s.conns.closeIfStill(c, observed, reasonConnectionLimit)
+				s.conns.closeIfUnchanged(c, observed, reasonConnectionLimit)
 			}
 		},
 		"at the end": func(s *Server) {
-			age(s)
+			makeIdleForLong(s)
 			s.conns.closeIdle(true)
 		},
 	} {
@@ -161,7 +161,7 @@
 	c := table.add(accepted)
 	c.state.Store(stateReceiving)
 	closed := make(chan bool, 1)
-	go func() { closed <- evictLocked(table, c, stateReceiving) }()
+	go func() { closed <- lockAndEvict(table, c, stateReceiving) }()
 	select {
 	case ok := <-closed:
 		if !ok {
@@ -191,13 +191,13 @@
 	}
 }
 
-// slowToClose is a connection whose Close waits, as if the process were busy with something else first.
-type slowToClose struct {
+// slowCloseConn is a connection whose Close waits, as if the process were busy with something else first.
+type slowCloseConn struct {
 	*net.TCPConn
 	resume chan bool
 }
 
-func (c slowToClose) Close() error {
+func (c slowCloseConn) Close() error {
 	<-c.resume
 	return c.TCPConn.Close()
 }
@@ -214,16 +214,16 @@
 		want         string
 	}{
 		"used before": {true, ""},
-		"new":         {false, unservedResponse},
+		"new":         {false, response503},
 	} {
 		t.Run(name, func(t *testing.T) {
 			client, accepted := connPair(t)
 			resume := make(chan bool)
 			table := newConnTable(8, 8, slog.New(slog.DiscardHandler))
-			conn := table.add(slowToClose{accepted, resume})
+			conn := table.add(slowCloseConn{accepted, resume})
 			conn.hasResponded.Store(c.hasResponded)
 			closed := make(chan bool, 1)
-			go func() { closed <- evictLocked(table, conn, stateIdle) }()
+			go func() { closed <- lockAndEvict(table, conn, stateIdle) }()
 			setDeadline(t, client, time.Now().Add(2*time.Second))
 			if got, err := io.ReadAll(client); err != nil || string(got) != c.want {
 				t.Errorf("before the close: %q, %v, want %q and the client told that the connection is over", got, err, c.want)
@@ -236,13 +236,13 @@
 	}
 }
 
-// TestNewConnectionIsClosedWithRefusal closes new connections on which nothing has been read, in each way there is, and has their
+// TestNewConnectionIsClosedWith503 closes new connections on which nothing has been read, in each way there is, and has their
 // clients, whom a busy machine held up, send a request after that.
 //
 // Rule: the client finds a refusal, which it may act on, and not a bare end: its request may be the first it sends, and unlike
 // one on a connection that was used before it is not sent again by itself. Failure: "unexpected EOF" on a connection that came up
 // a moment before; the log has the connection with reason=CONNECTION_LIMIT and requests=0.
-func TestNewConnectionIsClosedWithRefusal(t *testing.T) {
+func TestNewConnectionIsClosedWith503(t *testing.T) {
 	const maxConns = 2
 	fill := func(t *testing.T, addr string, d *fakeDispatcher) {
 		t.Helper()
@@ -271,7 +271,7 @@
 			for s.isOpen(conn.LocalAddr()) {
 				time.Sleep(time.Millisecond)
 			}
-			wantRefusal(t, conn)
+			wantServiceUnavailable(t, conn)
 		})
 	}
 }
@@ -288,8 +288,8 @@
 	return false
 }
 
-// wantRefusal sends a request on a connection that the server has closed, and wants a rejection that says when to come back.
-func wantRefusal(t *testing.T, conn net.Conn) {
+// wantServiceUnavailable sends a request on a connection that the server has closed, and wants a rejection that says when to come back.
+func wantServiceUnavailable(t *testing.T, conn net.Conn) {
 	t.Helper()
 	response, _, err := exchange(conn, validGet)
 	if err != nil {
@@ -300,9 +300,9 @@
 	}
 }
 
-// TestConnectionFarOverTheLimitIsClosedWithRefusal opens more connections than are accepted to have a request rejected, with
+// TestConnectionFarOverLimitIsClosedWith503 opens more connections than are accepted to have a request rejected, with
 // requests in flight on all that may stay. Failure: as above.
-func TestConnectionFarOverTheLimitIsClosedWithRefusal(t *testing.T) {
+func TestConnectionFarOverLimitIsClosedWith503(t *testing.T) {
 	const maxConns = 2
 	s, d, addr := startServer(t, maxConns)
 	for range maxConns {
@@ -311,7 +311,7 @@
 	}
 	var conns []net.Conn
 	s.conns.mutex.Lock() // so that none of them is served before all are there
-	for range maxOverLimit + 8 {
+	for range maxConnsOverLimit + 8 {
 		conn := dial(t, addr)
 		send(conn, validGet)
 		conns = append(conns, conn)
--- a/internal/clienthttp/handler.go
+++ b/internal/clienthttp/handler.go
@@ -13,29 +13,30 @@
 )
 
 const (
-	// readinessPath is where the platform asks whether clients may be sent here.
+	// readinessPath is the path of the platform's readiness check: whether clients may be sent to this server.
 	readinessPath = "/-/ready"
-	// peerCheckInterval is how often a connection on which net/http no longer detects a close is checked for one: nothing
-	// may be forwarded for a client 0.1 s after it has closed.
+	// peerCheckInterval is how often a connection is checked for a close that net/http can no longer detect. Nothing may
+	// be forwarded for a client later than 0.1 s after it has closed.
 	peerCheckInterval = 25 * time.Millisecond
-	// writeTimeout is how long a client may take to read a target's data.
+	// writeTimeout limits how long a client may take to read a target's data.
 	writeTimeout = 5 * time.Second
-	// bodyDiscardTimeout and maxDiscardedBytes bound what is read and discarded of a malformed request's body, so that the
-	// client can read the response before a reset.
+	// bodyDiscardTimeout and maxDiscardedBytes limit how much of a malformed request's body is read and discarded. That
+	// is done so that the client can read the response before a reset.
 	bodyDiscardTimeout = 3 * time.Second
 	maxDiscardedBytes  = 64 << 20
 	// discardBufferSize is in bytes.
 	discardBufferSize = 16 << 10
 )
 
-// ServeHTTP implements http.Handler: it reads a request, hands it to the dispatcher and writes the response.
+// ServeHTTP implements http.Handler: it reads a request, submits it to the dispatcher and writes the response.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	conn := connFromContext(r.Context())
 	s.handle(w, r, conn)
-	conn.noteResponded()
+	conn.recordResponded()
 }
 
-// handle is ServeHTTP with the client's connection. It panics with http.ErrAbortHandler if there is no response.
+// handle implements ServeHTTP for the given client connection. It panics with http.ErrAbortHandler if there is no
+// response.
 func (s *Server) handle(w http.ResponseWriter, r *http.Request, conn *clientConn) {
 	if r.URL.Path == readinessPath || s.options.ReadinessOnly || conn.overLimit {
 		conn.claimRequest()
@@ -47,18 +48,18 @@
 		respondMalformed(w, r, conn, malformed)
 		return
 	}
-	conn.openRequestID.Store(&call.ClientRequestID)
+	conn.inFlightRequestID.Store(&call.ClientRequestID)
 	conn.claimRequest()
 	s.logLateRead(conn, call.ClientRequestID)
 	liftReadDeadline(w)
 	call.ReceivedAt = conn.requestArrival()
-	call.ClientTimeout = s.shutdown.LimitTimeout(call.ClientTimeout, call.ReceivedAt, s.shutdownAt.Load())
+	call.ClientTimeout = s.shutdownSchedule.LimitTimeout(call.ClientTimeout, call.ReceivedAt, s.shutdownStartedAt.Load())
 	call.ClientGone = conn.peerClosed
 	s.dispatch(w, r, conn, call)
 }
 
-// respondLocally responds to a request that does not go to the dispatcher. A readiness check is answered on a connection
-// over the limit as on any other, and does not close it.
+// respondLocally responds to a request that does not go to the dispatcher. A readiness check on a connection over the
+// limit gets its usual response, which does not close the connection.
 func (s *Server) respondLocally(w http.ResponseWriter, r *http.Request) {
 	switch {
 	case r.URL.Path == readinessPath:
@@ -73,7 +74,7 @@
 
 func (s *Server) respondReadiness(w http.ResponseWriter) {
 	switch {
-	case s.shutdownAt.Load() != nil:
+	case s.shutdownStartedAt.Load() != nil:
 		http.Error(w, "leaving", http.StatusServiceUnavailable)
 	case s.options.Ready != nil && !s.options.Ready():
 		http.Error(w, "no list of targets yet", http.StatusServiceUnavailable)
@@ -82,7 +83,7 @@
 	}
 }
 
-// readRequest reads the head and the body of a request.
+// readRequest reads the head and the body of a request into a call for the dispatcher.
 func (s *Server) readRequest(r *http.Request) (*dispatcher.Call, *requestError) {
 	call, message, err := s.parseHead(r)
 	if err != nil {
@@ -96,8 +97,8 @@
 	return call, nil
 }
 
-// liftReadDeadline lifts the deadline for the request to arrive, which must not end the connection while the request is in
-// flight.
+// liftReadDeadline removes the deadline for the arrival of the request, so that it does not end the connection while the
+// request is in flight.
 func liftReadDeadline(w http.ResponseWriter) {
 	err := http.NewResponseController(w).SetReadDeadline(time.Time{})
 	if err != nil && !errors.Is(err, http.ErrNotSupported) {
@@ -105,13 +106,13 @@
 	}
 }
 
-// dispatch submits the call, and writes its response or cancels it when the client closes.
+// dispatch submits the call and writes its response, or cancels the call when the client closes the connection.
 func (s *Server) dispatch(w http.ResponseWriter, r *http.Request, conn *clientConn, call *dispatcher.Call) {
-	// The buffer keeps the dispatcher's goroutine from waiting for this one.
+	// The buffer lets the dispatcher's goroutine respond without waiting for this one.
 	responses := make(chan dispatcher.Response, 1)
 	call.Respond = func(response dispatcher.Response) { responses <- response }
-	if conn.isCloseUndetected() && conn.peerClosed() {
-		// The client closed while this request waited behind another.
+	if conn.isCloseDetectionLost() && conn.peerClosed() {
+		// The client closed the connection while this request waited behind another.
 		panic(http.ErrAbortHandler)
 	}
 	if !s.dispatcher.Submit(call) {
@@ -120,32 +121,32 @@
 	}
 	response, ok := awaitResponse(r.Context(), conn, responses)
 	if !ok {
-		conn.noteCloseReason(reasonClientAborted)
+		conn.recordCloseReason(reasonClientAborted)
 		s.dispatcher.Cancel(call)
-		// After a plain return net/http would write an empty 200, a response that no target gave.
+		// If the handler returned normally, net/http would write an empty 200, a response that no target gave.
 		panic(http.ErrAbortHandler)
 	}
 	s.writeResponse(w, response)
 }
 
-// awaitResponse waits for the response, or until the client closes the connection: ok is false then.
+// awaitResponse waits for the response. If the client closes the connection first, ok is false.
 //
-// Prevents requests from being forwarded for a client that has closed, because the connection itself is checked from the
-// time on at which net/http stops its background reads: it does not cancel the context any more then.
+// Once net/http has stopped its background reads, it no longer cancels the context when the client closes. From then on
+// the connection itself is checked, so that no request is forwarded for a client that has closed.
 func awaitResponse(
 	ctx context.Context, conn *clientConn, responses <-chan dispatcher.Response,
 ) (response dispatcher.Response, ok bool) {
-	closeUndetected := conn.closeUndetected
+	closeDetectionLost := conn.closeDetectionLost
 	var peerCheck <-chan time.Time
 	for {
 		select {
 		case response := <-responses:
 			return response, true
-		case <-closeUndetected:
+		case <-closeDetectionLost:
 			ticker := time.NewTicker(peerCheckInterval)
 			defer ticker.Stop()
 			peerCheck = ticker.C
-			closeUndetected = nil
+			closeDetectionLost = nil
 		case <-peerCheck:
 			if conn.peerClosed() {
 				return dispatcher.Response{}, false
@@ -156,8 +157,8 @@
 	}
 }
 
-// respondMalformed responds to a request that cannot be accepted, before the rest of its body has arrived, and then reads
-// and discards that for a while. None of these responses is a 429 or 503: a retry would have the same result.
+// respondMalformed responds to a request that cannot be accepted, without waiting for the rest of its body, which it then
+// reads and discards for a limited time. The status is never 429 or 503, because a retry would have the same result.
 func respondMalformed(w http.ResponseWriter, r *http.Request, conn *clientConn, malformed *requestError) {
 	conn.claimRequest()
 	controller := http.NewResponseController(w)
@@ -175,16 +176,16 @@
 	}
 }
 
-// discardBody reads and discards a body, up to the read deadline and maxDiscardedBytes.
+// discardBody reads and discards a body, until the read deadline or maxDiscardedBytes.
 //
-// Prevents a reset, after which a client that is still sending may not be able to read its response, because no unread byte
-// is left when the connection closes.
+// If bytes were unread when the connection closes, the client would get a reset, and a client that is still sending might
+// not be able to read its response.
 func discardBody(body io.Reader) {
-	discard := struct{ io.Writer }{io.Discard} // hides io.Discard's ReadFrom, which would not use the buffer
+	discard := struct{ io.Writer }{io.Discard} // hides ReadFrom of io.Discard, which would not use the buffer
 	_, _ = io.CopyBuffer(discard, io.LimitReader(body, maxDiscardedBytes), make([]byte, discardBufferSize))
 }
 
-// writeResponse writes the final response of a request. A failed write shows in the connection's close reason.
+// writeResponse writes the final response to a request. A failed write is recorded as the connection's close reason.
 func (s *Server) writeResponse(w http.ResponseWriter, response dispatcher.Response) {
 	if s.closeAfterResponse.Load() {
 		w.Header().Set("Connection", "close")
@@ -206,7 +207,7 @@
 	}
 }
 
-// writeBody writes a target's data with a Content-Length, so that a client can tell a truncated response from a complete one.
+// writeBody writes a target's data with a Content-Length, so that the client can detect a truncated response.
 func writeBody(w http.ResponseWriter, body []byte) {
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
 	w.Header().Set("Content-Type", "application/octet-stream")
--- a/internal/clienthttp/handler_test.go
+++ b/internal/clienthttp/handler_test.go
@@ -87,11 +87,11 @@
 	}
 }
 
-// TestAbandonedRequestIsNeverServed has the client close while its request is in flight.
+// TestHandlerAbortsWhenClientCloses has the client close while its request is in flight.
 //
 // Rule: the handler aborts the connection. Failure: if it returns without a response, net/http writes an empty 200, which no
 // target gave.
-func TestAbandonedRequestIsNeverServed(t *testing.T) {
+func TestHandlerAbortsWhenClientCloses(t *testing.T) {
 	d := newFakeDispatcher()
 	s := newTestServer(d, maxTestConns)
 	ctx, clientCloses := context.WithCancel(context.Background())
@@ -137,8 +137,8 @@
 	wantCancelled(t, d, call)
 }
 
-// manyRequests is more pipelined requests than net/http reads ahead.
-const manyRequests = 40
+// pipelinedRequests is more pipelined requests than net/http reads ahead.
+const pipelinedRequests = 40
 
 // TestClientCloseBehindPipelinedRequests has a client send more requests at once than net/http reads ahead, and close.
 //
@@ -147,7 +147,7 @@
 func TestClientCloseBehindPipelinedRequests(t *testing.T) {
 	_, d, addr := startServer(t, maxTestConns)
 	conn := dial(t, addr)
-	send(conn, strings.Repeat(validPut, manyRequests))
+	send(conn, strings.Repeat(validPut, pipelinedRequests))
 	call := <-d.calls
 	if err := conn.CloseWrite(); err != nil {
 		t.Fatal(err)
@@ -164,14 +164,14 @@
 func TestPipelinedRequestsAreServed(t *testing.T) {
 	_, d, addr := startServer(t, maxTestConns)
 	conn := dial(t, addr)
-	send(conn, strings.Repeat(validPut, manyRequests))
+	send(conn, strings.Repeat(validPut, pipelinedRequests))
 	reader := bufio.NewReader(conn)
-	for i := range manyRequests {
+	for i := range pipelinedRequests {
 		call := <-d.calls
 		if i%8 == 0 {
 			time.Sleep(2 * peerCheckInterval)
 		}
-		call.Respond(servedX)
+		call.Respond(servedResponse)
 		response, err := http.ReadResponse(reader, nil)
 		if err != nil || response.StatusCode != http.StatusOK {
 			t.Fatalf("request %d: %+v, %v", i, response, err)
@@ -187,13 +187,13 @@
 func TestClientCloseBetweenPipelinedRequests(t *testing.T) {
 	_, d, addr := startServer(t, maxTestConns)
 	conn := dial(t, addr)
-	send(conn, strings.Repeat(validPut, manyRequests))
+	send(conn, strings.Repeat(validPut, pipelinedRequests))
 	call := <-d.calls
 	if err := conn.CloseWrite(); err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(5 * time.Millisecond) // for the close to arrive, still before the first check for it
-	call.Respond(servedX)
+	call.Respond(servedResponse)
 	readUntilClosed(conn)
 	if accepted := len(d.calls); accepted > 0 {
 		t.Errorf("%d more were accepted", accepted)
@@ -244,7 +244,7 @@
 	})
 	call := <-d.calls
 	time.Sleep(requestReadTimeout + 200*time.Millisecond)
-	call.Respond(servedX)
+	call.Respond(servedResponse)
 	clients.Wait()
 	if accepted, cancelled := len(d.calls), len(d.cancelled); accepted+cancelled > 0 {
 		t.Errorf("%d more calls were accepted, %d cancelled", accepted, cancelled)
--- a/internal/clienthttp/helpers_test.go
+++ b/internal/clienthttp/helpers_test.go
@@ -31,8 +31,8 @@
 // partialPut lacks the end of its body.
 const partialPut = validPutHead + "Content-Length: 9\r\n\r\nbo"
 
-// servedX is the response of a target whose data is "x".
-var servedX = dispatcher.Response{Payload: []byte("x")}
+// servedResponse is the response of a target whose data is "x".
+var servedResponse = dispatcher.Response{Payload: []byte("x")}
 
 func TestMain(m *testing.M) { propertytest.Main(m) }
 
@@ -60,14 +60,14 @@
 // respondToNext waits for so many calls, and responds to each with "x".
 func (d *fakeDispatcher) respondToNext(count int) {
 	for range count {
-		(<-d.calls).Respond(servedX)
+		(<-d.calls).Respond(servedResponse)
 	}
 }
 
 // respondToAll responds to each call with "x", until the channel of calls is closed.
 func (d *fakeDispatcher) respondToAll() {
 	for call := range d.calls {
-		call.Respond(servedX)
+		call.Respond(servedResponse)
 	}
 }
 
@@ -132,7 +132,7 @@
 	})
 	go func() {
 		for call := range d.calls {
-			time.AfterFunc(responseTime, func() { call.Respond(servedX) })
+			time.AfterFunc(responseTime, func() { call.Respond(servedResponse) })
 		}
 	}()
 	return s
@@ -231,11 +231,11 @@
 	return client, conn.(*net.TCPConn)
 }
 
-// evictLocked calls evict with the table locked, as the table itself does.
-func evictLocked(table *connTable, c *clientConn, observed connState) bool {
+// lockAndEvict calls evict with the table locked, as the table itself does.
+func lockAndEvict(table *connTable, c *clientConn, observed connState) bool {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
-	return table.closeIfStill(c, observed, reasonConnectionLimit)
+	return table.closeIfUnchanged(c, observed, reasonConnectionLimit)
 }
 
 // awaitIdle waits until so many connections are idle. net/http reports that only after the response has been written, so a
--- a/internal/clienthttp/latelog.go
+++ b/internal/clienthttp/latelog.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// lateReadThreshold is how long a request must have waited at this machine for the wait to be logged.
+// lateReadThreshold is how long a request must have waited on this machine for the wait to be logged.
 const lateReadThreshold = 50 * time.Millisecond
 
-// logLateRead logs, at debug level, that a request waited at this machine before it reached its handler. Beside
-// "step was late" of the dispatcher it tells what it waited for:
+// logLateRead logs, at debug level, that a request waited on this machine before it reached its handler. Together with
+// the dispatcher's "step was late" it shows what the request waited for:
 //
-//   - unread_for longer than accepted_ago: in the accept queue, where accept_took says how long the accept that took
-//     the connection had been waiting;
-//   - otherwise: behind another request of the connection, or for the process, which stood still.
+//   - If unread_for is longer than accepted_ago, it waited in the accept queue. accept_took is how long the accept that
+//     returned its connection took.
+//   - Otherwise it waited behind another request of the connection, or for the process to run.
 func (s *Server) logLateRead(conn *clientConn, requestID string) {
 	unreadFor := time.Since(conn.requestArrival())
 	if unreadFor < lateReadThreshold {
--- a/internal/clienthttp/parse.go
+++ b/internal/clienthttp/parse.go
@@ -13,7 +13,7 @@
 	"dapplegate/scheduler"
 )
 
-// The names of the request headers that every request carries exactly once.
+// The names of the headers that every request carries exactly once.
 const (
 	headerRequestID     = "Request-Id"
 	headerClientTimeout = "Request-Timeout-Ms" // how long the client waits, in whole milliseconds
@@ -22,23 +22,23 @@
 )
 
 const (
-	// maxClientTimeoutMillis is the longest timeout that a client may ask for, in milliseconds.
+	// maxClientTimeoutMillis is the longest timeout that a client may request, in milliseconds.
 	maxClientTimeoutMillis = 10 * 60 * 1000
 	// maxRequestIDLength is in bytes.
 	maxRequestIDLength = 64
-	// maxShard, maxInitiators and maxUnits bound the numbers of an IO-Info header; maxUnits itself is out of range.
+	// maxShard, maxInitiators and maxUnits limit the numbers in an IO-Info header; maxUnits itself is out of range.
 	maxShard      = 1e6
 	maxInitiators = 1e6
 	maxUnits      = 1e6
-	// extentKeyLength and volumeIDLength are in hexadecimal digits.
+	// extentKeyLength and volumeIDLength are numbers of hexadecimal digits.
 	extentKeyLength = 16
 	volumeIDLength  = 16
 )
 
-// requestError says why a request is malformed. No request with one reaches the dispatcher.
+// requestError is the reason why a request is malformed. A request with such an error does not reach the dispatcher.
 type requestError struct {
 	Status  int    // HTTP status of the response
-	Message string // body of the response; names the header or the part that is at fault
+	Message string // body of the response; names the header or the part of the request that is malformed
 }
 
 // Error implements error.
@@ -51,7 +51,8 @@
 	return &requestError{Status: status, Message: fmt.Sprintf(format, args...)}
 }
 
-// parseHead turns the head of a request into a call for the dispatcher and the message to forward, still without its body.
+// parseHead parses the head of a request into a call for the dispatcher and the message to forward, which has no body
+// yet.
 func (s *Server) parseHead(r *http.Request) (*dispatcher.Call, *httpmsg.Request, *requestError) {
 	if err := checkFraming(r); err != nil {
 		return nil, nil, err
@@ -91,9 +92,9 @@
 
 // checkFraming returns an error for a request whose body does not have a declared length within the limit.
 //
-// Prevents request smuggling, because no request with a transfer coding and no HTTP/1.0 request is accepted: net/http drops a
-// Content-Length beside a Transfer-Encoding, and ignores the transfer coding of an HTTP/1.0 request, so that a proxy before
-// or after this server might see another request in the body.
+// It rejects transfer codings and HTTP/1.0 to prevent request smuggling. net/http drops a Content-Length beside a
+// Transfer-Encoding, and ignores the transfer coding of an HTTP/1.0 request, so a proxy before or after this server might
+// see another request in the body.
 func checkFraming(r *http.Request) *requestError {
 	switch {
 	case len(r.TransferEncoding) > 0:
@@ -108,7 +109,7 @@
 	return nil
 }
 
-// checkSingleHeaders returns an error for a request that lacks one of the required headers or repeats it.
+// checkSingleHeaders returns an error for a request that lacks or repeats one of the required headers.
 func checkSingleHeaders(header http.Header) *requestError {
 	for _, name := range []string{headerRequestID, headerClientTimeout, headerPlan, headerIOInfo} {
 		if count := len(header.Values(name)); count != 1 {
@@ -118,7 +119,7 @@
 	return nil
 }
 
-// parseRequestURI parses /class/…/key, with any query, into the class and the key of the extent.
+// parseRequestURI returns the class and the extent key of a URI of the form /class/…/key, with or without a query.
 func parseRequestURI(uri string) (class, extent string, malformed *requestError) {
 	if !strings.HasPrefix(uri, "/") {
 		return "", "", requestErrorf(http.StatusBadRequest, "the request's target must be a path")
@@ -138,8 +139,8 @@
 	return id != "" && len(id) <= maxRequestIDLength && !strings.ContainsFunc(id, invisible)
 }
 
-// parseClientTimeout accepts a timeout of zero: a late retry may have no whole millisecond left. It is well formed, so it
-// is left to the dispatcher to reject, and its connection stays open.
+// parseClientTimeout accepts a timeout of zero, because a late retry may have no whole millisecond left. Such a request
+// is well formed: the dispatcher rejects it, and its connection stays open.
 func parseClientTimeout(value string) (time.Duration, *requestError) {
 	millis, err := strconv.ParseUint(value, 10, 31)
 	if err != nil || millis > maxClientTimeoutMillis {
@@ -149,7 +150,7 @@
 	return time.Duration(millis) * time.Millisecond, nil
 }
 
-// checkConfigured returns an error for a request of a class or a plan that the configuration does not have.
+// checkConfigured returns an error for a request whose class or plan is not configured.
 func (s *Server) checkConfigured(request scheduler.Request) *requestError {
 	if !s.options.Classes[request.Class] {
 		return requestErrorf(http.StatusNotFound, "class %q is not served here", request.Class)
@@ -160,14 +161,14 @@
 	return nil
 }
 
-// ioInfoField is one field of the IO-Info header. Its parse function sets a member of the request, and reports whether the
-// value is usable.
+// ioInfoField is a field of the IO-Info header. Its parse function sets a field of the request, and reports whether the
+// value is valid.
 type ioInfoField struct {
 	name  string
 	parse func(request *scheduler.Request, value string) bool
 }
 
-// ioInfoFields are the fields that each IO-Info header carries exactly once, in any order.
+// ioInfoFields are the fields that every IO-Info header carries exactly once, in any order.
 var ioInfoFields = [...]ioInfoField{
 	{"volume", parseVolume},
 	{"units", parseUnits},
@@ -175,8 +176,8 @@
 	{"hosts", parseInitiators},
 }
 
-// parseIOInfo parses an IO-Info header such as "volume=00000003b4d60021,units=2,shard=5,hosts=3". Unknown fields are
-// skipped.
+// parseIOInfo parses an IO-Info header such as "volume=00000003b4d60021,units=2,shard=5,hosts=3". It ignores unknown
+// fields.
 func parseIOInfo(header string) (scheduler.Request, *requestError) {
 	var request scheduler.Request
 	var seen [len(ioInfoFields)]bool
@@ -205,7 +206,7 @@
 	return isHex(value, volumeIDLength)
 }
 
-// parseUnits does not accept NaN either, which compares false with everything.
+// parseUnits also rejects NaN, because every comparison with NaN is false.
 func parseUnits(request *scheduler.Request, value string) bool {
 	units, err := strconv.ParseFloat(value, 64)
 	request.Units = units
@@ -219,14 +220,14 @@
 	return err == nil && shard >= -1 && shard <= maxShard
 }
 
-// parseInitiators accepts 0; the number is how many initiators the volume's requests come through.
+// parseInitiators accepts 0. The value is the number of initiators that send requests for the volume.
 func parseInitiators(request *scheduler.Request, value string) bool {
 	initiators, err := strconv.Atoi(value)
 	request.Initiators = initiators
 	return err == nil && initiators >= 0 && initiators <= maxInitiators
 }
 
-// isHex reports whether text is a hexadecimal number of so many digits, at most 16.
+// isHex reports whether text is a hexadecimal number of exactly the given number of digits, which is at most 16.
 func isHex(text string, digits int) bool {
 	if len(text) != digits {
 		return false
@@ -235,7 +236,8 @@
 	return err == nil
 }
 
-// readBody reads the request's body, whose length is declared and within the limit. The server's read timeout bounds it.
+// readBody reads the request's body, whose length is declared and within the limit. The server's read timeout limits how
+// long that takes.
 func readBody(r *http.Request) ([]byte, *requestError) {
 	if r.ContentLength == 0 {
 		return nil, nil
--- a/internal/clienthttp/requestscanner.go
+++ b/internal/clienthttp/requestscanner.go
@@ -5,25 +5,25 @@
 	"strconv"
 )
 
-// maxScannedLine is how much of a head's line is kept, in bytes: enough for "Content-Length:" and a length.
+// maxScannedLine is how many bytes of a line of the head are kept: enough for "Content-Length:" and a length.
 const maxScannedLine = 64
 
 var contentLengthName = []byte("content-length")
 
-// requestScanner finds where requests end in a connection's bytes, by the end of the head and its Content-Length. It checks
-// nothing: net/http parses the same bytes. A request whose framing is not accepted, such as one with a transfer coding, may
-// end elsewhere for the scanner; its response closes the connection.
+// requestScanner finds the ends of requests in a connection's bytes, from the end of the head and its Content-Length. It
+// does not validate requests: net/http parses the same bytes. For a request whose framing is rejected, such as one with a
+// transfer coding, the scanner may find another end; the response to such a request closes the connection.
 type requestScanner struct {
-	line       [maxScannedLine]byte // the start of the head's current line
-	lineLength int                  // in line
-	hasLine    bool                 // a line of the head that is not empty has ended
-	bodyLength int64                // as declared by the head so far
-	inBody     bool
-	complete   bool // the request has ended; the next byte begins another
+	line          [maxScannedLine]byte // the start of the head's current line
+	lineLength    int                  // bytes used in line
+	seenLine      bool                 // a non-empty line of the head has ended
+	bodyRemaining int64                // bytes of the body that are still missing, by the Content-Length read so far
+	inBody        bool
+	complete      bool // the request is complete; the next byte begins another
 }
 
-// scan takes further bytes, and returns how many of them belong to the current request, and whether it ends with them. After
-// a request has ended, the first byte belongs to the next.
+// scan scans further bytes. It returns how many of them belong to the current request, and whether they complete it.
+// After a complete request, the next byte begins another.
 func (s *requestScanner) scan(data []byte) (length int, complete bool) {
 	if s.complete {
 		*s = requestScanner{}
@@ -38,15 +38,15 @@
 	return length, s.complete
 }
 
-// scanBody takes bytes of the body.
+// scanBody scans bytes of the body and returns how many belong to it.
 func (s *requestScanner) scanBody(data []byte) (length int) {
-	length = int(min(s.bodyLength, int64(len(data))))
-	s.bodyLength -= int64(length)
-	s.complete = s.bodyLength == 0
+	length = int(min(s.bodyRemaining, int64(len(data))))
+	s.bodyRemaining -= int64(length)
+	s.complete = s.bodyRemaining == 0
 	return length
 }
 
-// scanLine takes bytes up to the end of the head's current line.
+// scanLine scans bytes of the head, up to the end of the current line, and returns how many it scanned.
 func (s *requestScanner) scanLine(data []byte) (length int) {
 	newline := bytes.IndexByte(data, '\n')
 	if newline < 0 {
@@ -59,28 +59,28 @@
 	return newline + 1
 }
 
-// endLine takes a line of the head. The empty line after at least one other ends the head.
+// endLine handles a complete line of the head. The first empty line after another line ends the head.
 func (s *requestScanner) endLine(line []byte) {
 	if len(line) > 0 {
-		s.hasLine = true
-		s.noteContentLength(line)
+		s.seenLine = true
+		s.parseContentLength(line)
 		return
 	}
-	if !s.hasLine {
+	if !s.seenLine {
 		return
 	}
 	s.inBody = true
-	s.complete = s.bodyLength == 0
+	s.complete = s.bodyRemaining == 0
 }
 
-// noteContentLength takes the length that a header line declares, if it is one.
-func (s *requestScanner) noteContentLength(line []byte) {
+// parseContentLength sets bodyRemaining if the line is a valid Content-Length header.
+func (s *requestScanner) parseContentLength(line []byte) {
 	name, value, found := bytes.Cut(line, []byte{':'})
 	if !found || !bytes.EqualFold(name, contentLengthName) {
 		return
 	}
 	length, err := strconv.ParseInt(string(bytes.TrimSpace(value)), 10, 64)
 	if err == nil && length >= 0 {
-		s.bodyLength = length
+		s.bodyRemaining = length
 	}
 }
--- a/internal/clienthttp/server.go
+++ b/internal/clienthttp/server.go
@@ -1,17 +1,17 @@
-// Package clienthttp serves clients over HTTP/1.1: it accepts connections, parses requests, hands them to the dispatcher
-// and writes its responses. It takes no scheduling decision.
+// Package clienthttp serves clients over HTTP/1.1: it accepts connections, parses requests, passes them to the dispatcher
+// and writes the responses. It makes no scheduling decisions.
 //
-// A connection is closed only after a check, in one step with the close, that nothing is unread on it, so that no request is
-// closed over without a response. The exceptions:
+// Before the server closes a connection, it checks that no bytes are unread on it. The check and the close are one step,
+// so that a request which has arrived is not left without a response. The exceptions:
 //
-//   - a connection that is far over the limit is closed at once, with a response (connTable.markOverLimit);
-//   - a response that announces the close, as that to a malformed request does, or that could not be written ends the
-//     connection whatever follows its request;
-//   - an incomplete request that is too slow ends its connection (see the timeouts in server.go);
-//   - bytes may arrive between the two system calls of the check and the close: the client gets a reset;
-//   - the deadline of a shutdown: see Server.Shutdown and stopAccepting.
+//   - A connection far over the limit gets a response and is closed at once: see connTable.markOverLimit.
+//   - A response that announces the close, such as that to a malformed request, ends the connection even if bytes follow
+//     its request. So does a response that could not be written.
+//   - An incomplete request that is too slow ends its connection: see the timeouts in server.go.
+//   - Bytes may arrive between the two system calls of the check and the close. The client then gets a reset.
+//   - A shutdown closes the remaining connections at its deadline: see Server.Shutdown and stopAccepting.
 //
-// See connState for the states of a connection, and connTable for the limits of their number.
+// See connState for the states of a connection, and connTable for the limits on the number of connections.
 package clienthttp
 
 import (
@@ -26,11 +26,11 @@
 	"dapplegate/internal/dispatcher"
 )
 
-// maxHeaderBytes is the size of the largest request head.
+// maxHeaderBytes limits the size of a request head.
 const maxHeaderBytes = 16 << 10
 
-// These are the timeouts of a client connection. A client whose request is too slow has to see an error or a close within
-// 3 s; the longest wait until then is requestClaimTimeout + timeoutCheckInterval = 2.65 s.
+// These are the timeouts of a client connection. A client whose request is too slow must see an error or a close within
+// 3 s. The longest wait until then is requestClaimTimeout + timeoutCheckInterval = 2.65 s.
 //
 //	waits for                    limit                ended by    client sees    logged reason
 //	first byte of the first      requestReadTimeout   clientConn  503 and close  NO_FIRST_REQUEST
@@ -45,14 +45,15 @@
 //	                                                              its response
 //	client to read the data      writeTimeout         net/http    close          CLIENT_WRITE_FAILED
 //
-// The limits of connTable are checked every timeoutCheckInterval, until the server has ended. A request in flight has no
-// limit here: the dispatcher responds within the client's timeout.
+// The limits of connTable are checked every timeoutCheckInterval, until the server has stopped. This package sets no
+// limit for a request in flight: the dispatcher responds within the client's timeout.
 const (
-	// requestReadTimeout is how long a request, head and body, may take to arrive: the first one from the connection's start,
-	// a further one from its first four bytes, for which net/http waits before it starts this limit.
+	// requestReadTimeout limits how long the head and the body of a request may take to arrive. For the first request it
+	// starts with the connection; for a further one it starts after the first four bytes, for which net/http waits
+	// separately.
 	requestReadTimeout = 2 * time.Second
-	// requestClaimTimeout is how long after its first byte a request must have reached its handler complete. It is longer than
-	// requestReadTimeout, so that it ends only what that does not cover.
+	// requestClaimTimeout limits the time from the first byte of a request until its handler claims the complete request.
+	// It is longer than requestReadTimeout, so that it ends only requests that requestReadTimeout does not cover.
 	requestClaimTimeout = requestReadTimeout + 400*time.Millisecond
 	// keepAliveTimeout is how long a connection is kept idle after a response, except during shutdown.
 	keepAliveTimeout = 2 * time.Second
@@ -62,19 +63,20 @@
 
 // Options configure a Server.
 type Options struct {
-	Classes        map[string]bool // classes of requests that are served
-	Plans          map[string]bool // plans that are known
-	MaxConns       int             // client connections at a time
-	EvictIdleAbove int             // connections above which each new one evicts one that has been idle long enough
+	Classes        map[string]bool // request classes that are served
+	Plans          map[string]bool // plans that are accepted
+	MaxConns       int             // limit on open client connections
+	EvictIdleAbove int             // connections above which a new one evicts one that has been idle long enough
 	MaxDeadline    time.Duration   // the longest deadline of any class
 	Ready          func() bool     // whether requests can be forwarded; nil: always
-	ReadinessOnly  bool            // serve the readiness check alone: requests arrive over another protocol
+	ReadinessOnly  bool            // serve only the readiness check, because requests arrive over another protocol
 	Logger         *slog.Logger
 }
 
-// Dispatcher owns each request from Submit until its response.
+// Dispatcher owns each submitted request until its response.
 type Dispatcher interface {
-	// Submit hands a request over. False rejects it for lack of capacity, and Call.Respond is not called.
+	// Submit hands a request over. It returns false if there is no capacity for the request; Call.Respond is not called
+	// then.
 	Submit(*dispatcher.Call) bool
 	// Cancel reports that the client of a submitted request has closed its connection.
 	Cancel(*dispatcher.Call)
@@ -84,31 +86,32 @@
 
 // Server serves clients over HTTP/1.1.
 type Server struct {
-	options            Options
-	dispatcher         Dispatcher
-	http               http.Server
-	listener           atomic.Pointer[net.Listener] // set by Serve, read by Shutdown
-	conns              *connTable
-	shutdown           dispatcher.ShutdownSchedule
-	shutdownAt         atomic.Pointer[time.Time] // when Shutdown was called; nil: it was not
-	closeAfterResponse atomic.Bool               // set late in Shutdown: each response closes its connection
-	timeoutsEnded      chan struct{}             // closed by endTimeouts, by way of endTimeoutsOnce
-	endTimeoutsOnce    sync.Once
+	options               Options
+	dispatcher            Dispatcher
+	http                  http.Server
+	listener              atomic.Pointer[net.Listener] // set by Serve, read by Shutdown
+	conns                 *connTable
+	shutdownSchedule      dispatcher.ShutdownSchedule
+	shutdownStartedAt     atomic.Pointer[time.Time] // when Shutdown was called; nil: not yet
+	closeAfterResponse    atomic.Bool               // set late in Shutdown: each response closes its connection
+	timeoutChecksStopped  chan struct{}             // closed by stopTimeoutChecks
+	stopTimeoutChecksOnce sync.Once
 }
 
-// New returns a server that hands its requests to the dispatcher.
+// New returns a server that submits its requests to the dispatcher.
 func New(d Dispatcher, options Options) *Server {
 	s := &Server{
-		options:    options,
-		dispatcher: d,
-		conns:      newConnTable(options.MaxConns, options.EvictIdleAbove, options.Logger),
-		shutdown:   dispatcher.NewShutdownSchedule(options.MaxDeadline),
+		options:          options,
+		dispatcher:       d,
+		conns:            newConnTable(options.MaxConns, options.EvictIdleAbove, options.Logger),
+		shutdownSchedule: dispatcher.NewShutdownSchedule(options.MaxDeadline),
 
-		timeoutsEnded: make(chan struct{}),
+		timeoutChecksStopped: make(chan struct{}),
 	}
-	// The table closes idle connections. net/http's own timeout is longer than the table's and than the time for which a
-	// shutdown keeps connections, so that it takes effect only if the table has not closed the connection.
-	netHTTPIdleTimeout := keepAliveTimeout + keepAliveTimeout/2 + s.shutdown.ServeConnsFor
+	// The table closes idle connections. net/http's own idle timeout is longer than keepAliveTimeout and than the time
+	// for which a shutdown keeps connections open, so that it takes effect only if the table has not closed the
+	// connection.
+	netHTTPIdleTimeout := keepAliveTimeout + keepAliveTimeout/2 + s.shutdownSchedule.ServeConnsFor
 	s.http = http.Server{
 		Handler:        s,
 		ReadTimeout:    requestReadTimeout,
@@ -121,30 +124,31 @@
 	return s
 }
 
-// Serve accepts and serves connections until Shutdown, and returns nil then. Otherwise it returns the permanent error of the
-// listener that ended it.
+// Serve accepts and serves connections until Shutdown, and then returns nil. If a permanent error of the listener stops
+// it earlier, it returns that error.
 func (s *Server) Serve(l net.Listener) error {
 	s.listener.Store(&l)
 	go s.closeTimedOutConns()
 	err := s.http.Serve(&listener{Listener: l, table: s.conns})
-	if s.shutdownAt.Load() != nil {
-		return nil // Shutdown serves what is open, and ends the timeouts
+	if s.shutdownStartedAt.Load() != nil {
+		return nil // Shutdown serves the open connections and stops the timeout checks
 	}
-	s.endTimeouts()
+	s.stopTimeoutChecks()
 	if errors.Is(err, http.ErrServerClosed) {
 		return nil
 	}
 	return err
 }
 
-// closeTimedOutConns applies the timeouts of connTable until endTimeouts. In a shutdown, connTable.closeIdle closes idle
-// connections from ServeConnsFor on, and from AnswerBy on also those whose request has stalled.
+// closeTimedOutConns applies the timeouts of connTable until stopTimeoutChecks is called. During a shutdown
+// connTable.closeIdle closes idle connections, from ServeConnsFor on, and from AnswerBy on also connections whose request
+// has stalled.
 func (s *Server) closeTimedOutConns() {
 	ticker := time.NewTicker(timeoutCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
-		case <-s.timeoutsEnded:
+		case <-s.timeoutChecksStopped:
 			return
 		case <-ticker.C:
 			s.conns.closeTimedOut(keepAliveTimeout, requestClaimTimeout)
@@ -152,7 +156,7 @@
 	}
 }
 
-// endTimeouts ends closeTimedOutConns. It may be called more than once.
-func (s *Server) endTimeouts() {
-	s.endTimeoutsOnce.Do(func() { close(s.timeoutsEnded) })
+// stopTimeoutChecks stops closeTimedOutConns. It may be called more than once.
+func (s *Server) stopTimeoutChecks() {
+	s.stopTimeoutChecksOnce.Do(func() { close(s.timeoutChecksStopped) })
 }
--- a/internal/clienthttp/shutdown.go
+++ b/internal/clienthttp/shutdown.go
@@ -12,41 +12,41 @@
 // shutdownPollInterval is how often a graceful shutdown checks for connections without a request.
 const shutdownPollInterval = 10 * time.Millisecond
 
-// Shutdown ends the server gracefully. It reports not ready at once, accepts connections for dispatcher.AcceptGrace, serves
-// the open connections for a while, and returns once no connection is left. If the context ends before, it closes the
-// remaining connections and returns the context's error.
+// Shutdown stops the server gracefully. It reports not ready at once, accepts connections for dispatcher.AcceptGrace,
+// serves the open connections for a while, and returns once no connection is left. If the context ends first, it closes
+// the remaining connections and returns the context's error.
 func (s *Server) Shutdown(ctx context.Context) error {
-	defer s.endTimeouts()
+	defer s.stopTimeoutChecks()
 	startedAt := time.Now()
-	s.shutdownAt.Store(&startedAt)
+	s.shutdownStartedAt.Store(&startedAt)
 	s.conns.beginShutdown()
 	dispatcher.WaitUntil(ctx, startedAt.Add(dispatcher.AcceptGrace))
 	s.stopAccepting(startedAt)
-	dispatcher.WaitUntil(ctx, startedAt.Add(s.shutdown.ServeConnsFor))
+	dispatcher.WaitUntil(ctx, startedAt.Add(s.shutdownSchedule.ServeConnsFor))
 	return s.closeConns(ctx, startedAt)
 }
 
-// stopAccepting closes the listener once its accept queue is empty, at the latest at AnswerBy. Connections that are still in
-// the queue then are reset.
+// stopAccepting closes the listener once its accept queue is empty, at AnswerBy at the latest. Connections that are still
+// in the queue then are reset.
 //
-// Prevents the reset of connections that the kernel has accepted and this process has not, as when the grace ends before the
-// accepting goroutine has run or while accept fails, because that goroutine goes on accepting until the listener closes.
+// The accept queue may hold connections when the grace ends, because the accepting goroutine has not run yet or accept is
+// failing. Closing the listener would reset them. The accepting goroutine therefore goes on until the queue is empty.
 func (s *Server) stopAccepting(startedAt time.Time) {
 	if listener := s.listener.Load(); listener != nil {
-		_ = socket.CloseListenerWhenEmpty(*listener, startedAt.Add(s.shutdown.AnswerBy))
+		_ = socket.CloseListenerWhenEmpty(*listener, startedAt.Add(s.shutdownSchedule.AnswerBy))
 	}
 }
 
-// closeConns closes each connection once it has no request, until none is left.
+// closeConns closes each connection once it has no request, until no connection is left.
 //
-// It does not use http.Server.Shutdown, which closes what net/http takes for idle: such a connection may have received part
-// of a request, which would get no response.
+// It does not use http.Server.Shutdown, which closes every connection that net/http considers idle. Part of a request may
+// have been received on such a connection, and the request would get no response.
 func (s *Server) closeConns(ctx context.Context, startedAt time.Time) error {
 	s.closeAfterResponse.Store(true)
 	ticker := time.NewTicker(shutdownPollInterval)
 	defer ticker.Stop()
 	for {
-		includeStalled := time.Since(startedAt) >= s.shutdown.AnswerBy
+		includeStalled := time.Since(startedAt) >= s.shutdownSchedule.AnswerBy
 		if s.conns.closeIdle(includeStalled) == 0 {
 			return s.http.Close()
 		}
@@ -58,15 +58,15 @@
 	}
 }
 
-// beginShutdown marks that connections are closed because of the graceful shutdown from now on.
+// beginShutdown records that connections are closed because of the graceful shutdown from now on.
 func (t *connTable) beginShutdown() {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.shuttingDown = true
 }
 
-// closeIdle closes the connections without a request, and returns how many are left. With includeStalled it also closes
-// those that received part of a request and nothing more for stalledTimeout; otherwise these may go on.
+// closeIdle closes the connections without a request, and returns how many connections are left. With includeStalled it
+// also closes those on which part of a request and then nothing more for stalledTimeout was received.
 func (t *connTable) closeIdle(includeStalled bool) (left int) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -74,7 +74,7 @@
 		observed := c.state.Load()
 		stalled := observed == stateReceiving && time.Since(c.lastReadTime()) > stalledTimeout
 		if observed == stateIdle || observed == stateMalformed || includeStalled && stalled {
-			t.closeIfStill(c, observed, reasonShutdown)
+			t.closeIfUnchanged(c, observed, reasonShutdown)
 		}
 	}
 	return len(t.open)
--- a/internal/clienthttp/shutdown_test.go
+++ b/internal/clienthttp/shutdown_test.go
@@ -19,7 +19,7 @@
 func startShutdown(s *Server) (ended <-chan error) {
 	result := make(chan error, 1)
 	go func() { result <- s.Shutdown(context.Background()) }()
-	for s.shutdownAt.Load() == nil {
+	for s.shutdownStartedAt.Load() == nil {
 		time.Sleep(time.Millisecond)
 	}
 	return result
@@ -55,7 +55,7 @@
 	select {
 	case err := <-ended:
 		t.Fatalf("ended with a request in flight, and with %v", err)
-	case <-time.After(s.shutdown.ServeConnsFor):
+	case <-time.After(s.shutdownSchedule.ServeConnsFor):
 	}
 	call.Respond(dispatcher.Response{Payload: []byte("late")})
 	inFlight.Wait()
@@ -77,7 +77,7 @@
 	if response, body := roundTrip(t, openConn, longRequest); response.StatusCode != http.StatusOK || body != "kept" {
 		t.Errorf("on a connection from before: %d, %q", response.StatusCode, body)
 	}
-	if got, longest := <-timeout, s.shutdown.AnswerBy-dispatcher.AcceptGrace; got > longest {
+	if got, longest := <-timeout, s.shutdownSchedule.AnswerBy-dispatcher.AcceptGrace; got > longest {
 		t.Errorf("it may take %v, past the end of %v", got, longest)
 	}
 }
@@ -95,7 +95,7 @@
 	awaitIdle(t, s, 1)
 	fresh := dial(t, addr)
 	ended := startShutdown(s)
-	closingAt := s.shutdownAt.Load().Add(s.shutdown.ServeConnsFor)
+	closingAt := s.shutdownStartedAt.Load().Add(s.shutdownSchedule.ServeConnsFor)
 	dispatcher.WaitUntil(context.Background(), closingAt.Add(-requestReadTimeout/4))
 	half := len(validPut) / 2
 	for _, conn := range []net.Conn{used, fresh} {
--- a/internal/httpmsg/httpmsg.go
+++ b/internal/httpmsg/httpmsg.go
@@ -1,7 +1,7 @@
-// Package httpmsg defines the part of a client's HTTP request that its attempts forward.
+// Package httpmsg defines the part of a client's HTTP request that is forwarded to targets.
 package httpmsg
 
-// MaxRequestBody is the largest body of a request, in bytes.
+// MaxRequestBody is the maximum size of a request body, in bytes.
 const MaxRequestBody = 64 << 10
 
 // Request is the part of a client's request that every attempt forwards unchanged.
