--- a/internal/clienthttp/accept_test.go
+++ b/internal/clienthttp/accept_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// failingListener fails with each of its errors, and with EMFILE until a time, before it accepts.
+// failingListener fails with each of its errors in turn, and with EMFILE until emfileUntil, before it accepts.
 type failingListener struct {
 	net.Listener
 	mutex       sync.Mutex
@@ -33,11 +33,10 @@
 	return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", errno)}
 }
 
-// TestTransientAcceptErrors has accept fail in each way that accept(2) documents as transient.
+// TestTransientAcceptErrors makes accept fail in every way that accept(2) documents as transient. The server must go on.
 //
-// Rule: an error of accept that passes by itself does not end the server. Failure: net/http ends a server on each error of
-// accept that the net package does not call temporary, such as a lack of buffers, and all requests in flight end with the
-// process, whose last line is "accept4: no buffer space available".
+// net/http stops a server on every accept error that the net package does not call temporary, such as a lack of buffers.
+// The process then ends with all requests in flight, and its last line is "accept4: no buffer space available".
 func TestTransientAcceptErrors(t *testing.T) {
 	l := listen(t)
 	failing := &failingListener{Listener: l, errnos: []syscall.Errno{
@@ -55,25 +54,25 @@
 		t.Error(err)
 	}
 	if err := <-ended; err != nil {
-		t.Errorf("ended with %v", err)
+		t.Errorf("server stopped with %v", err)
 	}
 }
 
-// TestPermanentAcceptError has accept fail with an error that does not pass: the server ends with it.
+// TestPermanentAcceptError makes accept fail with a permanent error, which must stop the server.
 func TestPermanentAcceptError(t *testing.T) {
 	s := newTestServer(newFakeDispatcher(), maxTestConns)
 	failing := &failingListener{Listener: listen(t), errnos: []syscall.Errno{syscall.EINVAL}}
 	if err := s.Serve(failing); !errors.Is(err, syscall.EINVAL) {
-		t.Errorf("ended with %v, want %v", err, syscall.EINVAL)
+		t.Errorf("server stopped with %v, want %v", err, syscall.EINVAL)
 	}
 }
 
-// TestRequestInAcceptQueueCountsAsReceived has accept fail for 0.3 s for lack of file descriptors, while a client connects
-// and sends a request, which is read 0.3 s later.
+// TestRequestInAcceptQueueCountsAsReceived makes accept fail for 0.3 s for lack of file descriptors. Meanwhile a client
+// connects and sends a request, which is read 0.3 s later. A request that waited in the accept queue must count as
+// received when it arrived.
 //
-// Rule: a request that may have waited in the accept queue counts as received when accept began to fail. Failure: if its
-// timeout runs from when it is read, its response comes after its client's timeout, and its target is told more time than
-// the client has left. The log has "accept failed", and then the request with an age of 10 µs.
+// If its timeout ran from the read, its response would come after its client's timeout, and its target would be told a
+// longer timeout than the client has left. The log would show "accept failed" and then the request with an age of 10 µs.
 func TestRequestInAcceptQueueCountsAsReceived(t *testing.T) {
 	const failsFor = 300 * time.Millisecond
 	l := listen(t)
@@ -81,28 +80,28 @@
 	d := newFakeDispatcher()
 	serve(t, newTestServer(d, maxTestConns), &failingListener{Listener: l, emfileUntil: time.Now().Add(failsFor)})
 
-	queued := dial(t, addr)
+	queuedConn := dial(t, addr)
 	sentAt := time.Now()
-	send(queued, validGet)
+	send(queuedConn, validGet)
 	call := <-d.calls
 	if late := call.ReceivedAt.Sub(sentAt); late > failsFor/10 {
-		t.Errorf("the request counts as received %v after it was sent", late)
+		t.Errorf("request counts as received %v after it was sent", late)
 	}
 	call.Respond(servedResponse)
 
 	// Once the accept queue is empty, a request counts as received when it is read.
 	time.Sleep(failsFor)
-	fresh := dial(t, addr)
+	newConn := dial(t, addr)
 	sentAt = time.Now()
-	send(fresh, validGet)
+	send(newConn, validGet)
 	call = <-d.calls
 	if call.ReceivedAt.Before(sentAt) {
-		t.Errorf("the request counts as received %v before it was sent", sentAt.Sub(call.ReceivedAt))
+		t.Errorf("request counts as received %v before it was sent", sentAt.Sub(call.ReceivedAt))
 	}
 	call.Respond(servedResponse)
 }
 
-// slowListener holds each accept up before it begins, as a busy machine may.
+// slowListener delays each accept, as a busy machine may.
 type slowListener struct {
 	net.Listener
 	delay time.Duration
@@ -113,9 +112,9 @@
 	return l.Listener.Accept()
 }
 
-// TestRequestInAcceptQueueCountsAsReceivedWhileAcceptIsSlow has accept fail as above, and then holds it up for 2 ms for each
-// connection. Failure: an accept that took a while was held to have found the queue empty, and the requests that were still
-// in it counted as received when they were read.
+// TestRequestInAcceptQueueCountsAsReceivedWhileAcceptIsSlow makes accept fail as above, and then delays it by 2 ms for
+// each connection. An accept that takes a while must not be taken as a sign that the queue was empty: the requests that
+// were still in the queue would count as received when they were read.
 func TestRequestInAcceptQueueCountsAsReceivedWhileAcceptIsSlow(t *testing.T) {
 	const failsFor = 300 * time.Millisecond
 	l := listen(t)
@@ -137,7 +136,7 @@
 	}
 }
 
-// lateFailingListener waits in its first accept, and then fails.
+// lateFailingListener waits and then fails in its first accept.
 type lateFailingListener struct {
 	net.Listener
 	wait time.Duration
@@ -155,20 +154,21 @@
 	return l.Listener.Accept()
 }
 
-// TestRequestAfterFailedAcceptCountsAsReceivedWhenSent has accept wait for long, as it does without clients, and then fail. A
-// request that arrives just then must not count as received before it was sent: it would be rejected for lack of time.
+// TestRequestAfterFailedAcceptCountsAsReceivedWhenSent makes accept wait for long, as it does without clients, and then
+// fail. A request that arrives during the failure must not count as received before it was sent: it would be rejected for
+// lack of time.
 func TestRequestAfterFailedAcceptCountsAsReceivedWhenSent(t *testing.T) {
-	const waits = 300 * time.Millisecond
+	const waitTime = 300 * time.Millisecond
 	l := listen(t)
 	d := newFakeDispatcher()
-	serve(t, newTestServer(d, maxTestConns), &lateFailingListener{Listener: l, wait: waits})
-	time.Sleep(waits / 2)
+	serve(t, newTestServer(d, maxTestConns), &lateFailingListener{Listener: l, wait: waitTime})
+	time.Sleep(waitTime / 2)
 	conn := dial(t, l.Addr().String())
 	sentAt := time.Now()
 	send(conn, validGet)
 	call := <-d.calls
 	if call.ReceivedAt.Before(sentAt) {
-		t.Errorf("the request counts as received %v before it was sent", sentAt.Sub(call.ReceivedAt))
+		t.Errorf("request counts as received %v before it was sent", sentAt.Sub(call.ReceivedAt))
 	}
 	call.Respond(servedResponse)
 }
--- a/internal/clienthttp/conn_test.go
+++ b/internal/clienthttp/conn_test.go
@@ -15,18 +15,19 @@
 	"dapplegate/internal/socket"
 )
 
-// TestPipelinedRequestCountsAsReceivedWhenSent has a client send several requests at once, or further ones while the first
-// is in flight at a target that hangs. The second is read only when the first has its response.
+// TestPipelinedRequestCountsAsReceivedWhenSent has a client send several requests at once, or further ones while the
+// first is in flight at a target that hangs. The second is read only after the first has its response. A request that may
+// have waited behind another must count as received at the earliest time at which it may have arrived.
 //
-// Rule: a request that may have waited behind another counts as received when it may have arrived at the earliest. Failure:
-// if its timeout runs from when its last byte is read, its response comes long after its client's timeout, or never, and its
-// target is told more time than the client has left. The log has an age of 10 µs for a request sent seconds before.
+// If its timeout ran from the read of its last byte, its response would come long after its client's timeout, or never,
+// and its target would be told a longer timeout than the client has left. The log would show an age of 10 µs for a
+// request that was sent seconds before.
 func TestPipelinedRequestCountsAsReceivedWhenSent(t *testing.T) {
 	const inFlightFor = 300 * time.Millisecond
 	for name, gap := range map[string]time.Duration{
-		"in one step":          0,
-		"a little later":       20 * time.Millisecond,
-		"while one is running": inFlightFor / 2,
+		"all at once":            0,
+		"shortly after":          20 * time.Millisecond,
+		"while one is in flight": inFlightFor / 2,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -50,7 +51,7 @@
 	}
 }
 
-// beforeReadHook runs a function before bytes are read that have arrived.
+// beforeReadHook calls run before bytes that have arrived are read.
 type beforeReadHook struct {
 	syscall.RawConn
 	run func()
@@ -61,12 +62,12 @@
 	return r.RawConn.Read(f)
 }
 
-// TestRequestCountsAsReceivedWhenItArrived holds the process up when a request has arrived and nothing has been read, on a new
-// connection and on one that has been idle for a while.
+// TestRequestCountsAsReceivedWhenItArrived delays the process when a request has arrived and nothing has been read, on a
+// new connection and on one that has been idle for a while. The request must count as received when it arrived, however
+// many reads it takes.
 //
-// Rule: the request counts as received when it arrived, however many reads it takes. Failure: it counts as received when the
-// process goes on; its target is told more time than the client has left, and its response may come after its client's
-// timeout. The log has an age of 10 µs.
+// If it counted as received when the process continues, its target would be told a longer timeout than the client has
+// left, and its response might come after its client's timeout. The log would show an age of 10 µs.
 func TestRequestCountsAsReceivedWhenItArrived(t *testing.T) {
 	const readDelay = 150 * time.Millisecond
 	const idleFor = 100 * time.Millisecond
@@ -93,7 +94,7 @@
 				}
 				arrivedAfter := conn.requestArrival().Sub(sentAt)
 				if arrivedAfter < 0 || arrivedAfter > readDelay/2 {
-					t.Errorf("%s: counts as received %v after it was sent, with the process held up for %v", state, arrivedAfter, readDelay)
+					t.Errorf("%s: counts as received %v after it was sent, with a read delay of %v", state, arrivedAfter, readDelay)
 				}
 				conn.state.Store(stateResponded)
 				conn.beginNextRequest()
@@ -103,11 +104,11 @@
 	}
 }
 
-// TestRequestBehindAbortedReadCountsAsReceivedWhenItArrived has net/http end a background read before it has looked for bytes,
-// as when the response comes at once, while the next request has been there for long. Failure: the aborted read is taken
-// for one that found nothing, and the request counts as received after it.
+// TestRequestBehindAbortedReadCountsAsReceivedWhenItArrived has net/http end a background read before it has looked for
+// bytes, as when the response comes at once, although the next request arrived long before. The aborted read must not be
+// taken as one that found nothing: the request would count as received after it.
 func TestRequestBehindAbortedReadCountsAsReceivedWhenItArrived(t *testing.T) {
-	const waits = 100 * time.Millisecond
+	const waitTime = 100 * time.Millisecond
 	client, accepted := connPair(t)
 	conn := newClientConn(accepted)
 	send(client, validGet)
@@ -117,12 +118,12 @@
 	sentAt := time.Now()
 	send(client, validPut)
 	awaitUnread(t, accepted)
-	time.Sleep(waits)
+	time.Sleep(waitTime)
 	if err := conn.SetReadDeadline(time.Unix(1, 0)); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := conn.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Fatalf("the background read ended with %v", err)
+		t.Fatalf("background read ended with %v", err)
 	}
 	if err := conn.SetReadDeadline(time.Time{}); err != nil {
 		t.Fatal(err)
@@ -132,12 +133,12 @@
 	if _, err := io.ReadFull(conn, make([]byte, len(validPut))); err != nil {
 		t.Fatal(err)
 	}
-	if late := conn.requestArrival().Sub(sentAt); late > waits/2 {
-		t.Errorf("the request counts as received %v after it was sent", late)
+	if late := conn.requestArrival().Sub(sentAt); late > waitTime/2 {
+		t.Errorf("request counts as received %v after it was sent", late)
 	}
 }
 
-// afterReadHook runs a function once bytes have been read, before the reader gets to see them.
+// afterReadHook calls run after bytes have been read, before the reader gets them.
 type afterReadHook struct {
 	syscall.RawConn
 	run func()
@@ -149,11 +150,9 @@
 	return err
 }
 
-// TestEvictionAfterRead evicts an idle connection in the moment in which a request has been read on it, and nothing that
-// follows the read has run.
-//
-// Rule: the connection no longer counts as idle then, and is not closed; a connection that has been closed gives no more
-// bytes. Failure: the connection is closed over the request, which gets no response.
+// TestEvictionAfterRead evicts an idle connection just after a request has been read on it, before any code that follows
+// the read has run. The connection must no longer count as idle, so that it is not closed; otherwise the request would
+// get no response. A connection that has been closed must return no more bytes.
 func TestEvictionAfterRead(t *testing.T) {
 	client, accepted := connPair(t)
 	table := newConnTable(8, 8, slog.New(slog.DiscardHandler))
@@ -164,20 +163,20 @@
 	c.rawConn = afterReadHook{rawConn, func() { closed = lockAndEvict(table, c, stateIdle) }}
 	send(client, "G")
 	if n, err := c.Read(make([]byte, 8)); n != 1 || err != nil || closed {
-		t.Errorf("read %d, %v; closed over it: %v", n, err, closed)
+		t.Errorf("read %d, %v; connection closed after the read: %v", n, err, closed)
 	}
 
 	c.state.Store(stateIdle)
 	c.rawConn = afterReadHook{rawConn, func() {}}
 	if !lockAndEvict(table, c, stateIdle) {
-		t.Error("an idle connection was not closed")
+		t.Error("idle connection was not closed")
 	}
 	if n, err := c.Read(make([]byte, 8)); n != 0 || !errors.Is(err, net.ErrClosed) {
-		t.Errorf("after the end: read %d, %v", n, err)
+		t.Errorf("after the close: read %d, %v", n, err)
 	}
 }
 
-// pausedRawConn stops a read when it has begun, before it takes any byte.
+// pausedRawConn pauses each read after it has begun and before it takes any byte.
 type pausedRawConn struct {
 	syscall.RawConn
 	begun, resume chan bool
@@ -191,8 +190,8 @@
 	})
 }
 
-// TestEvictionDuringRead evicts an idle connection while a read on it has begun. Close waits for that read, so a read that
-// waited for the eviction would be a deadlock, in which the table is locked and no connection can be accepted.
+// TestEvictionDuringRead evicts an idle connection while a read on it has begun. Close waits for that read. If the read
+// also waited for the eviction, there would be a deadlock with the table locked, and no connection could be accepted.
 func TestEvictionDuringRead(t *testing.T) {
 	_, accepted := connPair(t)
 	table := newConnTable(8, 8, slog.New(slog.DiscardHandler))
@@ -214,14 +213,14 @@
 	select {
 	case ok := <-closed:
 		if err := <-readEnded; !ok || !errors.Is(err, net.ErrClosed) {
-			t.Errorf("closed %v, the read ended with %v", ok, err)
+			t.Errorf("closed %v, read ended with %v", ok, err)
 		}
 	case <-time.After(10 * time.Second):
-		t.Fatal("the eviction and the read wait for each other")
+		t.Fatal("eviction and read wait for each other")
 	}
 }
 
-// expiredRawConn is a socket whose reads find their deadline over, as after the process was held up.
+// expiredRawConn fails each read because its deadline has passed, as after a delay of the process.
 type expiredRawConn struct {
 	syscall.RawConn
 }
@@ -230,19 +229,17 @@
 	return os.ErrDeadlineExceeded
 }
 
-// TestRequestAtReadDeadlineIsRead has a client's first request arrive just before the time for it is over, while the process
-// is held up until after that time.
-//
-// Rule: the connection is closed only if nothing has arrived. Failure: a deadline that ends the connection by the clock alone
-// closes it over the request, which gets no response.
+// TestRequestAtReadDeadlineIsRead has a client's first request arrive just before its deadline, while the process is
+// delayed until after the deadline. The connection must be closed only if nothing has arrived. If the deadline alone
+// decided, the connection would be closed although the request has arrived, and the request would get no response.
 func TestRequestAtReadDeadlineIsRead(t *testing.T) {
 	for name, c := range map[string]struct {
 		sent      string
 		wantError error
 		wantState connState
 	}{
-		"request": {"GET", nil, stateReceiving},
-		"nothing": {"", os.ErrDeadlineExceeded, stateClosed},
+		"request arrived": {"GET", nil, stateReceiving},
+		"nothing arrived": {"", os.ErrDeadlineExceeded, stateClosed},
 	} {
 		t.Run(name, func(t *testing.T) {
 			client, accepted := connPair(t)
@@ -258,7 +255,7 @@
 				t.Errorf("read %q, %v; want %q, %v", buffer[:n], err, c.sent, c.wantError)
 			}
 			if state := conn.state.Load(); state != c.wantState {
-				t.Errorf("the connection is %v, want %v", state, c.wantState)
+				t.Errorf("connection is %v, want %v", state, c.wantState)
 			}
 			if reason := conn.closeReason.Load(); c.wantState == stateClosed && (reason == nil || *reason != reasonNoFirstRequest) {
 				t.Errorf("closed with reason %v, want %v", reason, reasonNoFirstRequest)
@@ -267,7 +264,7 @@
 	}
 }
 
-// awaitUnread waits until what the other end has sent has arrived.
+// awaitUnread waits until bytes that the other end has sent have arrived.
 func awaitUnread(t *testing.T, conn net.Conn) {
 	t.Helper()
 	giveUpAt := time.Now().Add(testTimeout)
--- a/internal/clienthttp/conntable_test.go
+++ b/internal/clienthttp/conntable_test.go
@@ -15,8 +15,8 @@
 	"dapplegate/internal/dispatcher"
 )
 
-// TestConnectionLimitEvictsIdle uses up the limit with idle connections: a new one is served all the same, and the one idle
-// longest is closed.
+// TestConnectionLimitEvictsIdle reaches the limit with idle connections. A new connection must still be served, and the
+// one that has been idle longest must be closed.
 func TestConnectionLimitEvictsIdle(t *testing.T) {
 	s, d, addr := startServer(t, 2)
 	go d.respondToAll()
@@ -26,35 +26,33 @@
 	_, _, second := roundTripOnNewConn(t, addr, validPut)
 	awaitIdle(t, s, 2)
 	if response, _, _ := roundTripOnNewConn(t, addr, validPut); response.StatusCode != http.StatusOK {
-		t.Errorf("over the limit: status %d", response.StatusCode)
+		t.Errorf("new connection over the limit: status %d", response.StatusCode)
 	}
 	setDeadline(t, first, time.Now().Add(testTimeout))
 	if _, err := first.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Errorf("the connection idle longest: %v, want it closed", err)
+		t.Errorf("connection that was idle longest: %v, want it closed", err)
 	}
 	if response, _ := roundTrip(t, second, validPut); response.StatusCode != http.StatusOK {
-		t.Errorf("the one used later: status %d", response.StatusCode)
+		t.Errorf("connection that was used later: status %d", response.StatusCode)
 	}
 }
 
-// TestConnectionLimitRejects uses up the limit with a request in flight: one more is rejected at once, and its connection
-// closed.
+// TestConnectionLimitRejects reaches the limit with a request in flight. One more request must be rejected at once and
+// its connection closed.
 func TestConnectionLimitRejects(t *testing.T) {
 	_, d, addr := startServer(t, 1)
 	send(dial(t, addr), validPut)
 	inFlight := <-d.calls
 	response, _, _ := roundTripOnNewConn(t, addr, validPut)
 	if response.StatusCode != http.StatusServiceUnavailable || !response.Close || len(d.calls) != 0 {
-		t.Errorf("status %d, closes %v, %d calls; want a rejection that reaches no dispatcher",
+		t.Errorf("status %d, closes %v, %d calls; want a rejection without a call to the dispatcher",
 			response.StatusCode, response.Close, len(d.calls))
 	}
 	inFlight.Respond(servedResponse)
 }
 
-// TestStallInFirstBytes has a client send the first bytes of a further request and nothing more.
-//
-// Rule: its connection ends within 3 s. Failure: net/http gives the first four bytes of a further request as long as its
-// timeout for idle connections, which is 4.8 s here.
+// TestStallInFirstBytes has a client send the first bytes of a further request and nothing more. Its connection must end
+// within 3 s. net/http alone would wait for the first four bytes as long as its idle timeout, which is 4.8 s here.
 func TestStallInFirstBytes(t *testing.T) {
 	const endsWithin = 3 * time.Second
 	addr := startServerWithDelay(t, requestReadTimeout, func(*Server) {})
@@ -64,14 +62,13 @@
 	begunAt := time.Now()
 	setDeadline(t, conn, begunAt.Add(2*endsWithin))
 	if _, err := io.ReadAll(conn); err != nil || time.Since(begunAt) > endsWithin {
-		t.Errorf("the end came after %v, %v; want it within %v", time.Since(begunAt), err, endsWithin)
+		t.Errorf("connection ended after %v, %v; want it within %v", time.Since(begunAt), err, endsWithin)
 	}
 }
 
-// TestPausesInFirstBytes has a client send the first bytes of a further request one by one, with pauses.
-//
-// Rule: its connection ends within 3 s of the first, with a response. Failure: each byte gives the client the time for a pause
-// anew, and only net/http's timeout for idle connections, 4.8 s here, bounds them together.
+// TestPausesInFirstBytes has a client send the first bytes of a further request one by one, with pauses. Its connection
+// must end with a response within 3 s of the first byte. A timeout that started anew with each byte would leave only
+// net/http's idle timeout, 4.8 s here, to limit them together.
 func TestPausesInFirstBytes(t *testing.T) {
 	const endsWithin = 3 * time.Second
 	const pause = 1900 * time.Millisecond
@@ -88,29 +85,29 @@
 	}()
 	got, err := io.ReadAll(conn)
 	if took := time.Since(begunAt); err != nil || took > endsWithin {
-		t.Errorf("the end came after %v, %v; want it within %v", took, err, endsWithin)
+		t.Errorf("connection ended after %v, %v; want it within %v", took, err, endsWithin)
 	}
 	if !strings.HasPrefix(string(got), "HTTP/1.1 503 ") {
 		t.Errorf("got %q, want a rejection", got)
 	}
 }
 
-// TestConnectionEndedLog checks the log line that says why a connection ended, by which operators find requests that got no
-// response: its fields, and the reason that was noted first. A read that fails is not logged as the reason, since it is taken
-// to follow from this side's close.
+// TestConnectionEndedLog checks the log line for the end of a connection, which operators use to find requests without a
+// response: its fields, and that the reason is the first one that was recorded. A failed read is not logged as the
+// reason, because it is assumed to be a consequence of the server's own close.
 func TestConnectionEndedLog(t *testing.T) {
 	for name, c := range map[string]struct {
-		noted        []closeReason
+		recorded     []closeReason
 		shuttingDown bool
 		state        connState
 		wantReason   string
 		wantState    string
 	}{
-		"client closed":     {[]closeReason{reasonClientClosed, reasonWriteFailed}, false, stateIdle, "CLIENT_CLOSED", "IDLE"},
-		"after a response":  {nil, false, stateResponded, "CLOSED_BY_SERVER", "RESPONDED"},
-		"read after close":  {[]closeReason{reasonReadFailed}, false, stateMalformed, "CLOSED_BY_SERVER", "MALFORMED"},
-		"shutdown":          {[]closeReason{reasonNone}, true, stateInFlight, "SHUTDOWN", "IN_FLIGHT"},
-		"client at the end": {[]closeReason{reasonClientReset}, true, stateReceiving, "CLIENT_RESET", "RECEIVING"},
+		"client closed":         {[]closeReason{reasonClientClosed, reasonWriteFailed}, false, stateIdle, "CLIENT_CLOSED", "IDLE"},
+		"after a response":      {nil, false, stateResponded, "CLOSED_BY_SERVER", "RESPONDED"},
+		"failed read":           {[]closeReason{reasonReadFailed}, false, stateMalformed, "CLOSED_BY_SERVER", "MALFORMED"},
+		"shutdown":              {[]closeReason{reasonNone}, true, stateInFlight, "SHUTDOWN", "IN_FLIGHT"},
+		"reset during shutdown": {[]closeReason{reasonClientReset}, true, stateReceiving, "CLIENT_RESET", "RECEIVING"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var log strings.Builder
@@ -118,7 +115,7 @@
 			conn, _ := net.Pipe()
 			added := table.add(conn)
 			table.onConnState(added, http.StateActive)
-			for _, reason := range c.noted {
+			for _, reason := range c.recorded {
 				added.recordCloseReason(reason)
 			}
 			added.state.Store(c.state)
@@ -132,14 +129,14 @@
 				t.Errorf("logged %q, want %q", log.String(), want)
 			}
 			if len(table.open) != 0 {
-				t.Error("the connection is still in the table")
+				t.Error("connection is still in the table")
 			}
 		})
 	}
 }
 
-// TestAnnouncedCloseIsLoggedAsResponded gets a response that announces the end of its connection. An operator who looks for
-// requests without a response must not find this one as in flight.
+// TestAnnouncedCloseIsLoggedAsResponded gets a response that announces the close of its connection. Operators who look
+// for requests without a response must not find this one logged as in flight.
 func TestAnnouncedCloseIsLoggedAsResponded(t *testing.T) {
 	var log lockedBuffer
 	s := newTestServer(newFakeDispatcher(), maxTestConns)
@@ -152,16 +149,16 @@
 	readUntilClosed(conn)
 	for giveUpAt := time.Now().Add(testTimeout); !strings.Contains(log.String(), "connection ended"); {
 		if time.Now().After(giveUpAt) {
-			t.Fatal("the end of the connection is not logged")
+			t.Fatal("end of the connection is not logged")
 		}
 		time.Sleep(time.Millisecond)
 	}
 	if got := log.String(); !strings.Contains(got, "state=RESPONDED") {
-		t.Errorf("logged %q, want the request as responded", got)
+		t.Errorf("logged %q, want state=RESPONDED", got)
 	}
 }
 
-// lockedBuffer is a log that is read while it is written.
+// lockedBuffer collects log output, and may be read while it is written.
 type lockedBuffer struct {
 	mutex sync.Mutex
 	text  strings.Builder
--- a/internal/clienthttp/eviction_test.go
+++ b/internal/clienthttp/eviction_test.go
@@ -11,17 +11,17 @@
 	"time"
 )
 
-// TestConnectionsWithoutValidRequestAreEvicted uses up the limit with connections that send nothing, stop within a head or a body, or
-// are malformed and never end their body. Well-behaved clients must be served all the same, and a connection with a request
-// in flight must stay.
+// TestConnectionsWithoutValidRequestAreEvicted reaches the limit with connections that send nothing, stop within a head
+// or a body, or send a malformed request without the end of its body. Well-behaved clients must still be served, and a
+// connection with a request in flight must stay open.
 func TestConnectionsWithoutValidRequestAreEvicted(t *testing.T) {
 	const maxConns = 8
 	const useless = maxConns - 1
 	for name, raw := range map[string]string{
-		"silent":      "",
-		"half a head": validPutHead,
-		"half a body": partialPut,
-		"malformed":   strings.Replace(partialPut, "std", "odd", 1),
+		"silent":       "",
+		"partial head": validPutHead,
+		"partial body": partialPut,
+		"malformed":    strings.Replace(partialPut, "std", "odd", 1),
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, d, addr := startServer(t, maxConns)
@@ -35,21 +35,22 @@
 			go d.respondToNext(useless)
 			for range useless {
 				if response, _, _ := roundTripOnNewConn(t, addr, validPut); response.StatusCode != http.StatusOK {
-					t.Errorf("a well-behaved client got status %d", response.StatusCode)
+					t.Errorf("well-behaved client got status %d", response.StatusCode)
 				}
 			}
 			call.Respond(servedResponse)
 			setDeadline(t, inFlight, time.Now().Add(testTimeout))
 			response, err := http.ReadResponse(bufio.NewReader(inFlight), nil)
 			if err != nil || response.StatusCode != http.StatusOK {
-				t.Errorf("the request in flight: %+v, %v", response, err)
+				t.Errorf("request in flight: %+v, %v", response, err)
 			}
 		})
 	}
 }
 
-// TestIdleConnectionsAreEvictedEarly has clients send one request each and keep their connections: idle ones are evicted
-// above evictIdleAbove, for the reason given at connTable, and those with a request in flight may use all of maxOpen.
+// TestIdleConnectionsAreEvictedEarly has clients send one request each and keep their connections open. Idle connections
+// must be evicted above evictIdleAbove, for the reason given at connTable, while requests in flight may use all of
+// maxOpen.
 func TestIdleConnectionsAreEvictedEarly(t *testing.T) {
 	const maxConns = 8
 	const evictIdleAbove = 3
@@ -65,7 +66,7 @@
 	}
 	s.conns.mutex.Lock()
 	if open := len(s.conns.open); open > evictIdleAbove {
-		t.Errorf("%d idle connections are kept, want %d", open, evictIdleAbove)
+		t.Errorf("%d idle connections are open, want %d", open, evictIdleAbove)
 	}
 	s.conns.mutex.Unlock()
 	for i := range maxConns {
@@ -73,20 +74,20 @@
 		select {
 		case <-d.calls:
 		case <-time.After(testTimeout):
-			t.Fatalf("request %d on a connection of its own was not accepted", i)
+			t.Fatalf("request %d on a new connection was not accepted", i)
 		}
 	}
 }
 
-// TestCompleteRequestIsNotEvicted closes connections, to make room or at the end of a shutdown, in the moment in which a
-// request has been read completely and its handler has not claimed it.
+// TestCompleteRequestIsNotEvicted closes connections, to make room or at the end of a shutdown, when a request has been
+// read completely and its handler has not claimed it yet. The connection must stay open until nothing has arrived for
+// stalledTimeout.
 //
-// Rule: a connection is not closed over a request before nothing more has arrived for stalledTimeout. Failure: the table
-// knows only that some of a request has been read, takes the client for a slow one, and closes the connection without the
-// response that the request would have got.
+// The table knows only that part of a request has been read. If it took the client for a slow one and closed the
+// connection, a request that was about to be served would get no response.
 func TestCompleteRequestIsNotEvicted(t *testing.T) {
-	// The connection was idle for long before the request. How long ago its bytes were read stays as it is: a busy machine adds
-	// to that by itself.
+	// Makes the connection look idle for long before the request. The time of the last read is left as it is, because a
+	// busy machine makes it longer anyway.
 	makeIdleForLong := func(s *Server) {
 		s.conns.mutex.Lock()
 		defer s.conns.mutex.Unlock()
@@ -103,7 +104,7 @@
 				s.conns.closeIfUnchanged(c, observed, reasonConnectionLimit)
 			}
 		},
-		"at the end": func(s *Server) {
+		"end of shutdown": func(s *Server) {
 			makeIdleForLong(s)
 			s.conns.closeIdle(true)
 		},
@@ -115,10 +116,11 @@
 }
 
 // TestRequestReadAheadIsNotEvicted has a client's second request arrive along with its first, so that net/http reads both
-// in one step. Idle connections are closed when the first request has its response, and when net/http has parsed the second.
+// in one step. Idle connections are closed when the first request has its response, and when net/http has parsed the
+// second.
 //
-// Rule: a connection with a request that was read ahead does not count as idle until net/http reads again. Failure: the
-// connection counts as idle from the first response on, and is closed without a response to the second request.
+// A connection with a request that was read ahead must not count as idle until net/http reads again. If it counted as
+// idle from the first response on, it would be closed without a response to the second request.
 func TestRequestReadAheadIsNotEvicted(t *testing.T) {
 	s := newServerWithDelay(time.Minute, func(*Server) {})
 	hasResponded := false
@@ -135,12 +137,12 @@
 }
 
 // TestRequestReadAheadIsNotEvictedBeforeClaim has a client's second request arrive along with its first, and closes idle
-// connections once the handler of the second has begun and before it claims the request.
+// connections after the handler of the second has begun and before it claims the request.
 //
-// Rule: as above. Failure: net/http starts a background read before it calls the handler, and that read makes the connection
-// idle. It is closed, and the second request has no response. The test waits for that read to begin.
+// net/http starts a background read before it calls the handler. If that read made the connection idle, it would be
+// closed, and the second request would get no response. The test waits for that read to begin.
 func TestRequestReadAheadIsNotEvictedBeforeClaim(t *testing.T) {
-	const backgroundReadBegins = 10 * time.Millisecond // at the latest, after the call of the handler
+	const backgroundReadBegins = 10 * time.Millisecond // after the call of the handler, at the latest
 	isSecond := false
 	addr := startServerWithDelay(t, time.Minute, func(s *Server) {
 		if isSecond {
@@ -153,7 +155,7 @@
 }
 
 // TestEvictionResponseDoesNotBlock evicts a connection with part of a request whose client reads nothing, so that the
-// response over that request finds the send buffer full. The table is locked meanwhile and must not wait for space.
+// response to that request finds the send buffer full. The table is locked meanwhile and must not wait for space.
 func TestEvictionResponseDoesNotBlock(t *testing.T) {
 	_, accepted := connPair(t)
 	fillSendBuffer(t, accepted)
@@ -165,15 +167,15 @@
 	select {
 	case ok := <-closed:
 		if !ok {
-			t.Error("not closed")
+			t.Error("connection was not closed")
 		}
 	case <-time.After(5 * time.Second):
-		t.Fatal("the table waits for a client that does not read")
+		t.Fatal("table waits for a client that does not read")
 	}
 }
 
-// fillSendBuffer writes until there is no space for one more byte: the kernel takes some more of a small write than of a
-// large one.
+// fillSendBuffer writes until there is no space for one more byte. It ends with single bytes, because the kernel still
+// accepts some small writes after it has stopped accepting large ones.
 func fillSendBuffer(t *testing.T, conn net.Conn) {
 	t.Helper()
 	for _, size := range []int{64 << 10, 1} {
@@ -191,7 +193,7 @@
 	}
 }
 
-// slowCloseConn is a connection whose Close waits, as if the process were busy with something else first.
+// slowCloseConn is a connection whose Close waits for resume, as if the process were busy.
 type slowCloseConn struct {
 	*net.TCPConn
 	resume chan bool
@@ -202,12 +204,13 @@
 	return c.TCPConn.Close()
 }
 
-// TestEvictionShutsDownBeforeClose evicts an idle connection while the process is held up before Close.
+// TestEvictionShutsDownBeforeClose evicts an idle connection while the process is delayed before Close. The check for
+// unread bytes and the shutdown are one step, so the client must see the end of the connection before Close. On a new
+// connection it must see a 503 response before that.
 //
-// Rule: the client sees the end of the connection before Close, since the check for unread bytes and the shutdown are one
-// step; on a new connection it sees the refusal before that. Failure: in a burst of new connections the process is busy between
-// the check and Close, a request arrives in between, and its connection is closed without a response. The log has a gap, then
-// "connection ended" with reason=CONNECTION_LIMIT state=CLOSED for the connection; no line has the request.
+// In a burst of new connections, the process may be busy between the check and Close. A request that arrived in between
+// would have its connection closed without a response. The log would show a gap, then "connection ended" with
+// reason=CONNECTION_LIMIT state=CLOSED for the connection, and no line with the request.
 func TestEvictionShutsDownBeforeClose(t *testing.T) {
 	for name, c := range map[string]struct {
 		hasResponded bool
@@ -226,22 +229,23 @@
 			go func() { closed <- lockAndEvict(table, conn, stateIdle) }()
 			setDeadline(t, client, time.Now().Add(2*time.Second))
 			if got, err := io.ReadAll(client); err != nil || string(got) != c.want {
-				t.Errorf("before the close: %q, %v, want %q and the client told that the connection is over", got, err, c.want)
+				t.Errorf("before the close: %q, %v; want %q and the end of the connection", got, err, c.want)
 			}
 			resume <- true
 			if !<-closed {
-				t.Error("not closed")
+				t.Error("connection was not closed")
 			}
 		})
 	}
 }
 
-// TestNewConnectionIsClosedWith503 closes new connections on which nothing has been read, in each way there is, and has their
-// clients, whom a busy machine held up, send a request after that.
+// TestNewConnectionIsClosedWith503 closes new connections on which nothing has been read, in each possible way. Their
+// clients are delayed, as on a busy machine, and send a request only after the close. They must find a 503 response,
+// which they can act on, and not just the end of the connection.
 //
-// Rule: the client finds a refusal, which it may act on, and not a bare end: its request may be the first it sends, and unlike
-// one on a connection that was used before it is not sent again by itself. Failure: "unexpected EOF" on a connection that came up
-// a moment before; the log has the connection with reason=CONNECTION_LIMIT and requests=0.
+// The request may be the client's first. Unlike a request on a connection that was used before, the client does not send
+// it again by itself. Without the response the client would see "unexpected EOF" on a connection established a moment
+// before, and the log would show the connection with reason=CONNECTION_LIMIT and requests=0.
 func TestNewConnectionIsClosedWith503(t *testing.T) {
 	const maxConns = 2
 	fill := func(t *testing.T, addr string, d *fakeDispatcher) {
@@ -276,7 +280,7 @@
 	}
 }
 
-// isOpen reports whether a connection is in the table, by its client's address.
+// isOpen reports whether the table holds the connection of the client with the given address.
 func (s *Server) isOpen(client net.Addr) bool {
 	s.conns.mutex.Lock()
 	defer s.conns.mutex.Unlock()
@@ -288,20 +292,23 @@
 	return false
 }
 
-// wantServiceUnavailable sends a request on a connection that the server has closed, and wants a rejection that says when to come back.
+// wantServiceUnavailable sends a request on a connection that the server has closed, and expects a 503 with a Retry-After
+// header.
 func wantServiceUnavailable(t *testing.T, conn net.Conn) {
 	t.Helper()
 	response, _, err := exchange(conn, validGet)
 	if err != nil {
-		t.Fatalf("the client got %v, want a refusal", err)
+		t.Fatalf("client got %v, want a 503 response", err)
 	}
 	if response.StatusCode != http.StatusServiceUnavailable || response.Header.Get("Retry-After") == "" || !response.Close {
-		t.Errorf("status %d, headers %v, closes %v", response.StatusCode, response.Header, response.Close)
+		t.Errorf("status %d, headers %v, closes %v; want 503, a Retry-After header and a close",
+			response.StatusCode, response.Header, response.Close)
 	}
 }
 
-// TestConnectionFarOverLimitIsClosedWith503 opens more connections than are accepted to have a request rejected, with
-// requests in flight on all that may stay. Failure: as above.
+// TestConnectionFarOverLimitIsClosedWith503 opens more connections than are accepted over the limit, with requests in
+// flight on all that may stay open. Each must get a 503 response, for the reason given at
+// TestNewConnectionIsClosedWith503.
 func TestConnectionFarOverLimitIsClosedWith503(t *testing.T) {
 	const maxConns = 2
 	s, d, addr := startServer(t, maxConns)
@@ -310,7 +317,7 @@
 		<-d.calls
 	}
 	var conns []net.Conn
-	s.conns.mutex.Lock() // so that none of them is served before all are there
+	s.conns.mutex.Lock() // so that none of them is served before all are open
 	for range maxConnsOverLimit + 8 {
 		conn := dial(t, addr)
 		send(conn, validGet)
--- a/internal/clienthttp/handler_test.go
+++ b/internal/clienthttp/handler_test.go
@@ -19,7 +19,7 @@
 	"dapplegate/internal/httpmsg"
 )
 
-// TestResponses passes a complete request to the dispatcher, and each kind of response back to the client.
+// TestResponses submits a complete request to the dispatcher, and returns each kind of response to the client.
 func TestResponses(t *testing.T) {
 	_, d, addr := startServer(t, maxTestConns)
 	for _, c := range []struct {
@@ -53,11 +53,11 @@
 	want := fmt.Sprint("put", "std", "00000003b4d60021", "7f3a9c21e0b4d655", 2.0, 5, 3,
 		480*time.Millisecond, "PUT", "/put/x/7f3a9c21e0b4d655?q=1", "id1", "body")
 	if _, body, _ := roundTripOnNewConn(t, addr, validPut); body != want {
-		t.Errorf("received as %q, want %q", body, want)
+		t.Errorf("received %q, want %q", body, want)
 	}
 }
 
-// TestReadinessNeedsEndpointList checks that no client is invited before there is a target to forward to.
+// TestReadinessNeedsEndpointList checks that the server does not report ready before there is a target to forward to.
 func TestReadinessNeedsEndpointList(t *testing.T) {
 	s := newTestServer(newFakeDispatcher(), maxTestConns)
 	hasList := false
@@ -66,20 +66,20 @@
 		recorder := httptest.NewRecorder()
 		s.ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, readinessPath, nil))
 		if recorder.Code != want {
-			t.Errorf("has a list %v: status %d, want %d", hasList, recorder.Code, want)
+			t.Errorf("has an endpoint list %v: status %d, want %d", hasList, recorder.Code, want)
 		}
 		hasList = true
 	}
 }
 
-// TestZeroTimeoutKeepsConnection sends a late retry that has no whole millisecond left. It is no malformed request, over
-// which the connection would be closed: the dispatcher rejects it, and the connection stays open.
+// TestZeroTimeoutKeepsConnection sends a late retry that has no whole millisecond left. It is not a malformed request,
+// which would close the connection: the dispatcher rejects it, and the connection stays open.
 func TestZeroTimeoutKeepsConnection(t *testing.T) {
 	_, d, addr := startServer(t, maxTestConns)
 	go func() { (<-d.calls).Respond(dispatcher.Response{Status: dispatcher.Rejected}) }()
 	response, _, conn := roundTripOnNewConn(t, addr, strings.Replace(validPut, "480", "0", 1))
 	if response.StatusCode != http.StatusServiceUnavailable || response.Close {
-		t.Errorf("status %d, closes %v; want it rejected on a connection that stays open", response.StatusCode, response.Close)
+		t.Errorf("status %d, closes %v; want a rejection on a connection that stays open", response.StatusCode, response.Close)
 	}
 	go d.respondToNext(1)
 	if response, _ := roundTrip(t, conn, validPut); response.StatusCode != http.StatusOK {
@@ -87,10 +87,8 @@
 	}
 }
 
-// TestHandlerAbortsWhenClientCloses has the client close while its request is in flight.
-//
-// Rule: the handler aborts the connection. Failure: if it returns without a response, net/http writes an empty 200, which no
-// target gave.
+// TestHandlerAbortsWhenClientCloses has the client close while its request is in flight. The handler must abort the
+// connection: if it returned without a response, net/http would write an empty 200, which no target gave.
 func TestHandlerAbortsWhenClientCloses(t *testing.T) {
 	d := newFakeDispatcher()
 	s := newTestServer(d, maxTestConns)
@@ -106,26 +104,26 @@
 	}()
 	defer func() {
 		if err, _ := recover().(error); !errors.Is(err, http.ErrAbortHandler) {
-			t.Errorf("the handler ended with %v, want it to abort the connection", err)
+			t.Errorf("handler ended with %v, want it to abort the connection", err)
 		}
 	}()
 	s.ServeHTTP(httptest.NewRecorder(), request)
 }
 
-// wantCancelled wants the call cancelled, and no other.
+// wantCancelled expects the given call, and no other, to be cancelled.
 func wantCancelled(t *testing.T, d *fakeDispatcher, call *dispatcher.Call) {
 	t.Helper()
 	select {
 	case cancelled := <-d.cancelled:
 		if cancelled != call {
-			t.Error("another call was cancelled")
+			t.Error("wrong call was cancelled")
 		}
 	case <-time.After(testTimeout):
-		t.Fatal("the call was not cancelled")
+		t.Fatal("call was not cancelled")
 	}
 }
 
-// TestClientCloseCancelsCall has a client close with a request in flight: its call is cancelled.
+// TestClientCloseCancelsCall has a client close with a request in flight, whose call must be cancelled.
 func TestClientCloseCancelsCall(t *testing.T) {
 	_, d, addr := startServer(t, maxTestConns)
 	conn := dial(t, addr)
@@ -137,13 +135,14 @@
 	wantCancelled(t, d, call)
 }
 
-// pipelinedRequests is more pipelined requests than net/http reads ahead.
+// pipelinedRequests is a number of pipelined requests that exceeds what net/http reads ahead.
 const pipelinedRequests = 40
 
 // TestClientCloseBehindPipelinedRequests has a client send more requests at once than net/http reads ahead, and close.
+// The request in flight must be cancelled, and none of the others accepted.
 //
-// Rule: the request in flight is cancelled, and none of the others is accepted. Failure: the close is behind unread requests,
-// where net/http does not detect it, and requests are forwarded for a client that has closed.
+// The close follows unread requests, where net/http does not detect it. Requests could then be forwarded for a client
+// that has closed.
 func TestClientCloseBehindPipelinedRequests(t *testing.T) {
 	_, d, addr := startServer(t, maxTestConns)
 	conn := dial(t, addr)
@@ -153,14 +152,15 @@
 		t.Fatal(err)
 	}
 	wantCancelled(t, d, call)
-	readUntilClosed(conn) // the server resets it, over what it did not read
+	readUntilClosed(conn) // the server resets the connection, because of the bytes that it did not read
 	if accepted := len(d.calls); accepted > 0 {
-		t.Errorf("%d more were accepted", accepted)
+		t.Errorf("%d more requests were accepted", accepted)
 	}
 }
 
-// TestPipelinedRequestsAreServed has a client send more requests at once than net/http reads ahead, and stay: all are
-// served, those in flight for longer than the checks for its close included.
+// TestPipelinedRequestsAreServed has a client send more requests at once than net/http reads ahead, and keep its
+// connection open. All must be served, including those that are in flight for longer than the interval of the checks for
+// a close.
 func TestPipelinedRequestsAreServed(t *testing.T) {
 	_, d, addr := startServer(t, maxTestConns)
 	conn := dial(t, addr)
@@ -182,8 +182,8 @@
 	}
 }
 
-// TestClientCloseBetweenPipelinedRequests has a client send many requests at once, and close just as the first gets its
-// response. Those that net/http has read ahead must not be accepted any more.
+// TestClientCloseBetweenPipelinedRequests has a client send many requests at once, and close just before the first gets
+// its response. The requests that net/http has read ahead must not be accepted any more.
 func TestClientCloseBetweenPipelinedRequests(t *testing.T) {
 	_, d, addr := startServer(t, maxTestConns)
 	conn := dial(t, addr)
@@ -192,19 +192,20 @@
 	if err := conn.CloseWrite(); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(5 * time.Millisecond) // for the close to arrive, still before the first check for it
+	time.Sleep(5 * time.Millisecond) // for the close to arrive, before the first check for it
 	call.Respond(servedResponse)
 	readUntilClosed(conn)
 	if accepted := len(d.calls); accepted > 0 {
-		t.Errorf("%d more were accepted", accepted)
+		t.Errorf("%d more requests were accepted", accepted)
 	}
 }
 
-// TestSlowClients has clients send nothing or too little, one of them after a first request.
+// TestSlowClients has clients send nothing or too little, one of them after a first request. Otherwise each would keep a
+// connection forever.
 //
-// Rule: each gets an error or a close within 3 s, and a request in flight for longer is not affected. The client of a
-// malformed request has its error at once; that its connection ends only after bodyDiscardTimeout does not matter to it, and
-// only testTimeout bounds that here. Failure: each keeps a connection forever.
+// Each must get an error or a close within 3 s, and a request in flight for longer must not be affected. The client of a
+// malformed request gets its error at once. Its connection ends only after bodyDiscardTimeout, which does not matter to
+// the client, so the test limits that only by testTimeout.
 func TestSlowClients(t *testing.T) {
 	const endsWithin = 3 * time.Second
 	_, d, addr := startServer(t, maxTestConns)
@@ -215,9 +216,9 @@
 		endsIn    time.Duration
 	}{
 		{"silent", "", "", endsWithin},
-		{"half a head", validPutHead, "", endsWithin},
-		{"half a body", partialPut, " 408 ", endsWithin},
-		{"a malformed head with half a body", strings.Replace(partialPut, "std", "odd", 1), " 422 ", testTimeout},
+		{"partial head", validPutHead, "", endsWithin},
+		{"partial body", partialPut, " 408 ", endsWithin},
+		{"malformed head with a partial body", strings.Replace(partialPut, "std", "odd", 1), " 422 ", testTimeout},
 		{"idle", validPut, " 200 ", endsWithin},
 	} {
 		conn := dial(t, addr)
@@ -227,7 +228,7 @@
 			send(conn, c.raw)
 			got, err := io.ReadAll(conn)
 			if took := time.Since(begunAt); err != nil || took > c.endsIn {
-				t.Errorf("%s: ended after %v: %v", c.name, took, err)
+				t.Errorf("%s: connection ended after %v: %v", c.name, took, err)
 			}
 			if !strings.Contains(string(got), c.want) {
 				t.Errorf("%s: got %q, want %s", c.name, got, c.want)
@@ -239,7 +240,7 @@
 	clients.Go(func() {
 		response, _, err := exchange(inFlight, strings.Replace(validPut, "480", "9999", 1))
 		if err != nil || response.StatusCode != http.StatusOK {
-			t.Errorf("in flight for long: %+v, %v", response, err)
+			t.Errorf("request in flight for long: %+v, %v", response, err)
 		}
 	})
 	call := <-d.calls
@@ -251,20 +252,18 @@
 	}
 }
 
-// TestReadTimeoutDoesNotCancel lets the time for a request to arrive run out between its last byte and its handler.
-//
-// Rule: net/http lifts that deadline before its background read. Failure: net/http takes the timeout for a close by the
-// client, and the request gets no response.
+// TestReadTimeoutDoesNotCancel lets the read timeout of a request pass between its last byte and its handler. net/http
+// must lift that deadline before its background read. Otherwise it would take the timeout for a close by the client, and
+// the request would get no response.
 func TestReadTimeoutDoesNotCancel(t *testing.T) {
 	const readTimeout = 50 * time.Millisecond
 	addr := startServerWithDelay(t, readTimeout, func(*Server) { time.Sleep(2 * readTimeout) })
 	wantServed(t, addr, validGet, 1)
 }
 
-// TestHugeBody sends a body far beyond the limit.
-//
-// Rule: the server reads all of it, and does not keep it. Failure: a reset over what was not read makes the client, which is
-// still sending, miss its response, or the body fills the memory.
+// TestHugeBody sends a body far beyond the limit. The server must read all of it without keeping it. If it left bytes
+// unread, a reset would keep the client, which is still sending, from reading its response. If it kept the body, memory
+// could run out.
 func TestHugeBody(t *testing.T) {
 	const size = 60 << 20
 	const maxAllocated = 8 << 20
--- a/internal/clienthttp/helpers_test.go
+++ b/internal/clienthttp/helpers_test.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	// testTimeout is longer than anything takes that a test waits for, also on a busy machine.
+	// testTimeout is longer than anything that a test waits for, even on a busy machine.
 	testTimeout = 20 * time.Second
-	// maxTestConns is a limit of connections that no test with it reaches.
+	// maxTestConns is a connection limit that the tests which use it never reach.
 	maxTestConns = 64
 )
 
@@ -28,15 +28,15 @@
 const validGet = "GET /get/x/7f3a9c21e0b4d655 HTTP/1.1\r\nHost: a\r\nRequest-Id: id1\r\nTier: std\r\n" +
 	"Request-Timeout-Ms: 4800\r\nIO-Info: volume=00000003b4d60021,units=2,shard=5,hosts=3\r\n\r\n"
 
-// partialPut lacks the end of its body.
+// partialPut is validPut with an incomplete body.
 const partialPut = validPutHead + "Content-Length: 9\r\n\r\nbo"
 
-// servedResponse is the response of a target whose data is "x".
+// servedResponse is a successful response with the data "x".
 var servedResponse = dispatcher.Response{Payload: []byte("x")}
 
 func TestMain(m *testing.M) { propertytest.Main(m) }
 
-// fakeDispatcher hands submitted and cancelled calls to the test.
+// fakeDispatcher passes submitted and cancelled calls to the test.
 type fakeDispatcher struct {
 	calls      chan *dispatcher.Call
 	cancelled  chan *dispatcher.Call
@@ -57,21 +57,21 @@
 
 func (d *fakeDispatcher) Cancel(call *dispatcher.Call) { d.cancelled <- call }
 
-// respondToNext waits for so many calls, and responds to each with "x".
+// respondToNext waits for count calls, and responds to each with servedResponse.
 func (d *fakeDispatcher) respondToNext(count int) {
 	for range count {
 		(<-d.calls).Respond(servedResponse)
 	}
 }
 
-// respondToAll responds to each call with "x", until the channel of calls is closed.
+// respondToAll responds to each call with servedResponse, until the calls channel is closed.
 func (d *fakeDispatcher) respondToAll() {
 	for call := range d.calls {
 		call.Respond(servedResponse)
 	}
 }
 
-// newTestServer returns a server that does not serve yet.
+// newTestServer returns a server that has not been started.
 func newTestServer(d Dispatcher, maxConns int) *Server {
 	return New(d, Options{
 		Classes:        map[string]bool{"get": true, "put": true},
@@ -83,7 +83,7 @@
 	})
 }
 
-// listen returns a listener on the loopback, closed at the end of the test.
+// listen returns a listener on the loopback interface, which is closed at the end of the test.
 func listen(t *testing.T) net.Listener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -94,14 +94,14 @@
 	return l
 }
 
-// serve has the server serve on the listener until the end of the test.
+// serve runs the server on the listener until the end of the test.
 func serve(t *testing.T, s *Server, l net.Listener) {
 	t.Helper()
 	go func() { _ = s.Serve(l) }()
 	t.Cleanup(func() { _ = s.http.Close() })
 }
 
-// startServer returns a server that serves on the address until the end of the test.
+// startServer starts a server that runs until the end of the test.
 func startServer(t *testing.T, maxConns int) (s *Server, d *fakeDispatcher, addr string) {
 	t.Helper()
 	d = newFakeDispatcher()
@@ -111,7 +111,7 @@
 	return s, d, l.Addr().String()
 }
 
-// startServerWithDelay starts a server of newServerWithDelay.
+// startServerWithDelay starts a server made by newServerWithDelay and returns its address.
 func startServerWithDelay(t *testing.T, readTimeout time.Duration, delay func(*Server)) (addr string) {
 	t.Helper()
 	l := listen(t)
@@ -119,8 +119,8 @@
 	return l.Addr().String()
 }
 
-// newServerWithDelay returns a server that serves all requests with "x". Before each reaches its handler, which is when
-// net/http has read its head, delay runs, as if the process had been held up there.
+// newServerWithDelay returns a server that responds to all requests with servedResponse. It calls delay after net/http
+// has read the head of a request and before the handler runs, as if the process had been delayed there.
 func newServerWithDelay(readTimeout time.Duration, delay func(*Server)) *Server {
 	const responseTime = 20 * time.Millisecond
 	d := newFakeDispatcher()
@@ -138,7 +138,7 @@
 	return s
 }
 
-// dial returns a connection to the address, closed at the end of the test.
+// dial opens a connection to the address, which is closed at the end of the test.
 func dial(t *testing.T, addr string) *net.TCPConn {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
@@ -149,7 +149,7 @@
 	return conn.(*net.TCPConn)
 }
 
-// setDeadline bounds what the test reads and writes on the connection. Any goroutine may call it.
+// setDeadline sets the deadline of the test's reads and writes on the connection. Any goroutine may call it.
 func setDeadline(t *testing.T, conn net.Conn, deadline time.Time) {
 	t.Helper()
 	if err := conn.SetDeadline(deadline); err != nil {
@@ -157,18 +157,18 @@
 	}
 }
 
-// send writes on a connection that the server may already have closed: what it responded is for the test to read.
+// send writes to a connection that the server may already have closed. It ignores errors: the test reads the response.
 func send(conn net.Conn, raw string) {
 	_, _ = io.WriteString(conn, raw)
 }
 
-// readUntilClosed discards what the server still writes, until it closes or resets the connection.
+// readUntilClosed discards what the server writes, until the server closes or resets the connection.
 func readUntilClosed(conn net.Conn) {
 	_, _ = io.Copy(io.Discard, conn)
 }
 
-// exchange writes raw bytes on a connection and reads one response. A body that ends early is returned as far as it came.
-// Any goroutine may call it.
+// exchange writes raw bytes to a connection and reads one response. If the body ends early, it returns the part that
+// arrived. Any goroutine may call it.
 func exchange(conn net.Conn, raw string) (response *http.Response, body string, err error) {
 	if err := conn.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 		return nil, "", err
@@ -182,7 +182,7 @@
 	return response, string(content), nil
 }
 
-// roundTrip is exchange for the test's own goroutine.
+// roundTrip calls exchange and fails the test on an error. Only the test's own goroutine may call it.
 func roundTrip(t *testing.T, conn net.Conn, raw string) (response *http.Response, body string) {
 	t.Helper()
 	response, body, err := exchange(conn, raw)
@@ -192,7 +192,7 @@
 	return response, body
 }
 
-// roundTripOnNewConn is roundTrip on a connection of its own.
+// roundTripOnNewConn calls roundTrip on a new connection, which it also returns.
 func roundTripOnNewConn(t *testing.T, addr, raw string) (response *http.Response, body string, conn *net.TCPConn) {
 	t.Helper()
 	conn = dial(t, addr)
@@ -200,7 +200,7 @@
 	return response, body, conn
 }
 
-// wantServed writes what a client sends, and wants so many responses with a target's "x".
+// wantServed writes raw bytes to a new connection, and expects the given number of responses with the data "x".
 func wantServed(t *testing.T, addr, raw string, responses int) {
 	t.Helper()
 	conn := dial(t, addr)
@@ -218,7 +218,7 @@
 	}
 }
 
-// connPair returns both ends of a connection over the loopback.
+// connPair returns both ends of a connection over the loopback interface.
 func connPair(t *testing.T) (client, accepted *net.TCPConn) {
 	t.Helper()
 	l := listen(t)
@@ -231,15 +231,15 @@
 	return client, conn.(*net.TCPConn)
 }
 
-// lockAndEvict calls evict with the table locked, as the table itself does.
+// lockAndEvict evicts a connection with closeIfUnchanged, with the table locked as closeIfUnchanged requires.
 func lockAndEvict(table *connTable, c *clientConn, observed connState) bool {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
 	return table.closeIfUnchanged(c, observed, reasonConnectionLimit)
 }
 
-// awaitIdle waits until so many connections are idle. net/http reports that only after the response has been written, so a
-// client may be ahead of it.
+// awaitIdle waits until the given number of connections are idle. net/http reports a connection as idle only after it has
+// written the response, so a client may have the response earlier.
 func awaitIdle(t *testing.T, s *Server, want int) {
 	t.Helper()
 	giveUpAt := time.Now().Add(testTimeout)
--- a/internal/clienthttp/parse_test.go
+++ b/internal/clienthttp/parse_test.go
@@ -10,13 +10,13 @@
 	"pgregory.net/rapid"
 )
 
-// TestMalformedRequests checks that a request which cannot be accepted gets a status that does not invite a retry, on a
-// connection that closes, and that nothing of it reaches the dispatcher. Of what follows it on the connection nothing is
+// TestMalformedRequests checks that a request which cannot be accepted gets a status that does not invite a retry, that
+// its connection closes and that it does not reach the dispatcher. Bytes that follow it on the connection must not be
 // taken for another request.
 func TestMalformedRequests(t *testing.T) {
 	_, d, addr := startServer(t, maxTestConns)
-	with := func(before, after string) string { return strings.Replace(validPut, before, after, 1) }
-	oldCoding := with("Content-Length: 4", "Content-Length: 4\r\nTransfer-Encoding: chunked")
+	replace := func(before, after string) string { return strings.Replace(validPut, before, after, 1) }
+	lengthAndCoding := replace("Content-Length: 4", "Content-Length: 4\r\nTransfer-Encoding: chunked")
 	longBody := strings.Repeat("x", 65537)
 	const ioInfo = "IO-Info: volume=00000003b4d60021,units=2,shard=5,hosts=3\r\n"
 	for _, c := range []struct {
@@ -24,38 +24,38 @@
 		want      int
 	}{
 		{"garbage", "nonsense\r\n\r\n", 400},
-		{"method", with("PUT", "DELETE"), 405},
-		{"no key", with("/put/x/7f3a9c21e0b4d655?q=1", "/put"), 400},
-		{"short key", with("7f3a9c21e0b4d655", "7f3a"), 400},
-		{"unknown class", with("/put/", "/odd/"), 404},
-		{"unknown plan", with("Tier: std", "Tier: odd"), 422},
-		{"two lengths", with("Content-Length: 4", "Content-Length: 4\r\nContent-Length: 5"), 400},
-		{"negative length", with("Content-Length: 4", "Content-Length: -4"), 400},
-		{"length out of range", with("Content-Length: 4", "Content-Length: 99999999999999999999"), 400},
-		{"length and coding", with("Content-Length: 4\r\n\r\nbody",
+		{"method", replace("PUT", "DELETE"), 405},
+		{"no key", replace("/put/x/7f3a9c21e0b4d655?q=1", "/put"), 400},
+		{"short key", replace("7f3a9c21e0b4d655", "7f3a"), 400},
+		{"unknown class", replace("/put/", "/odd/"), 404},
+		{"unknown plan", replace("Tier: std", "Tier: odd"), 422},
+		{"two lengths", replace("Content-Length: 4", "Content-Length: 4\r\nContent-Length: 5"), 400},
+		{"negative length", replace("Content-Length: 4", "Content-Length: -4"), 400},
+		{"length out of range", replace("Content-Length: 4", "Content-Length: 99999999999999999999"), 400},
+		{"length and transfer coding", replace("Content-Length: 4\r\n\r\nbody",
 			"Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"+validPut), 411},
-		{"coding alone", with("Content-Length: 4\r\n\r\nbody", "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n"), 411},
-		{"length and coding in HTTP/1.0", strings.Replace(oldCoding, "HTTP/1.1", "HTTP/1.0", 1), 505},
-		{"read with a body", strings.Replace(with("PUT", "GET"), "/put/", "/get/", 1), 400},
-		{"two ids", with("Tier:", "Request-Id: id2\r\nTier:"), 400},
-		{"two plans", with("Tier: std", "Tier: std\r\nTier: std"), 400},
-		{"two infos", with("IO-Info:", ioInfo+"IO-Info:"), 400},
-		{"two timeouts", with("Request-Timeout-Ms: 480", "Request-Timeout-Ms: 480\r\nRequest-Timeout-Ms: 480"), 400},
-		{"timeout with a sign", with("480", "+480"), 400},
-		{"timeout out of range", with("480", "99999999999999999999"), 400},
-		{"no id", with("Request-Id: id1\r\n", ""), 400},
-		{"id with a space", with("id1", "i d"), 400},
-		{"no timeout", with("Request-Timeout-Ms: 480\r\n", ""), 400},
-		{"negative timeout", with("480", "-1"), 400},
-		{"timeout with an exponent", with("480", "1e9"), 400},
-		{"no volume", with("volume=00000003b4d60021,", ""), 400},
-		{"volume that is no number", with("00000003b4d60021", "xyz"), 400},
-		{"units that are no number", with("units=2", "units=NaN"), 400},
-		{"shard twice", with("shard=5", "shard=5,shard=6"), 400},
-		{"shard out of range", with("shard=5", "shard=-2"), 400},
-		{"no hosts", with(",hosts=3", ""), 400},
-		{"long head", with("Host: a", "Host: a\r\nX: "+strings.Repeat("x", 40<<10)), 431},
-		{"long body", with("Content-Length: 4\r\n\r\nbody", "Content-Length: 65537\r\n\r\n"+longBody), 413},
+		{"transfer coding alone", replace("Content-Length: 4\r\n\r\nbody", "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n"), 411},
+		{"length and transfer coding in HTTP/1.0", strings.Replace(lengthAndCoding, "HTTP/1.1", "HTTP/1.0", 1), 505},
+		{"GET with a body", strings.Replace(replace("PUT", "GET"), "/put/", "/get/", 1), 400},
+		{"two ids", replace("Tier:", "Request-Id: id2\r\nTier:"), 400},
+		{"two plans", replace("Tier: std", "Tier: std\r\nTier: std"), 400},
+		{"two IO-Info headers", replace("IO-Info:", ioInfo+"IO-Info:"), 400},
+		{"two timeouts", replace("Request-Timeout-Ms: 480", "Request-Timeout-Ms: 480\r\nRequest-Timeout-Ms: 480"), 400},
+		{"timeout with a sign", replace("480", "+480"), 400},
+		{"timeout out of range", replace("480", "99999999999999999999"), 400},
+		{"no id", replace("Request-Id: id1\r\n", ""), 400},
+		{"id with a space", replace("id1", "i d"), 400},
+		{"no timeout", replace("Request-Timeout-Ms: 480\r\n", ""), 400},
+		{"negative timeout", replace("480", "-1"), 400},
+		{"timeout with an exponent", replace("480", "1e9"), 400},
+		{"no volume", replace("volume=00000003b4d60021,", ""), 400},
+		{"volume not a number", replace("00000003b4d60021", "xyz"), 400},
+		{"units not a number", replace("units=2", "units=NaN"), 400},
+		{"shard twice", replace("shard=5", "shard=5,shard=6"), 400},
+		{"shard out of range", replace("shard=5", "shard=-2"), 400},
+		{"no hosts", replace(",hosts=3", ""), 400},
+		{"long head", replace("Host: a", "Host: a\r\nX: "+strings.Repeat("x", 40<<10)), 431},
+		{"long body", replace("Content-Length: 4\r\n\r\nbody", "Content-Length: 65537\r\n\r\n"+longBody), 413},
 	} {
 		response, body, conn := roundTripOnNewConn(t, addr, c.raw)
 		if response.StatusCode != c.want || !response.Close {
@@ -64,15 +64,16 @@
 		}
 		_ = conn.CloseWrite() // fails where the server has reset the connection
 		if rest, _ := io.ReadAll(conn); len(rest) > 0 {
-			t.Errorf("%s: more responses: %q", c.name, rest)
+			t.Errorf("%s: further responses: %q", c.name, rest)
 		}
 	}
 	if len(d.calls) != 0 {
-		t.Errorf("%d of them reached the dispatcher", len(d.calls))
+		t.Errorf("%d malformed requests reached the dispatcher", len(d.calls))
 	}
 }
 
-// TestFullDispatcherRejects has the dispatcher accept nothing more: the request is rejected, and a retry is harmless.
+// TestFullDispatcherRejects has the dispatcher accept no more calls. The request must be rejected with a status that
+// permits a retry.
 func TestFullDispatcherRejects(t *testing.T) {
 	_, d, addr := startServer(t, maxTestConns)
 	d.atCapacity = true
@@ -81,9 +82,9 @@
 	}
 }
 
-// TestTruncatedIOInfo truncates a valid IO-Info header: without all of its four fields it is not accepted, while one that
-// is truncated within the last number may be. Of random headers, whatever is accepted has a volume of 16 digits, and units
-// and a shard that are not below their range.
+// TestTruncatedIOInfo truncates a valid IO-Info header. Without all of its four fields the header must not be accepted;
+// one that is truncated within the last number may be. A random header that is accepted must have a volume of 16 digits,
+// and units and a shard that are not below their ranges.
 func TestTruncatedIOInfo(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		valid := fmt.Sprintf("volume=%016x,units=%d,shard=%d,hosts=%d", rapid.Uint64().Draw(t, "volume"),
--- a/internal/clienthttp/requestscanner_test.go
+++ b/internal/clienthttp/requestscanner_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestRequestScannerFindsEnds splits requests that follow one another into pieces of any size. A wrong end would take a
-// connection for idle while a request is on it.
+// TestRequestScannerFindsEnds scans a sequence of requests in pieces of random sizes. With a wrong end, the server would
+// consider a connection idle while a request is on it.
 func TestRequestScannerFindsEnds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var ends []int
@@ -31,7 +31,7 @@
 			piece := sent[at:min(at+rapid.IntRange(1, 64).Draw(t, "piece"), len(sent))]
 			length, complete := scanner.scan([]byte(piece))
 			if length < len(piece) && !complete {
-				t.Fatalf("%d of %d bytes were taken in the middle of a request", length, len(piece))
+				t.Fatalf("scan took %d of %d bytes before the end of a request", length, len(piece))
 			}
 			at += length
 			if complete {
@@ -39,7 +39,7 @@
 			}
 		}
 		if fmt.Sprint(found) != fmt.Sprint(ends) {
-			t.Fatalf("ends at %v, want %v, of %q", found, ends, sent)
+			t.Fatalf("found ends at %v, want %v, in %q", found, ends, sent)
 		}
 	})
 }
