--- a/internal/clienthttp/conn.go
+++ b/internal/clienthttp/conn.go
@@ -173,15 +173,15 @@
 		return markClosed()
 	}
 	if observed == stateIdle && c.hasResponded.Load() {
-		return socket.ShutdownIfQuiet(c.Conn, "", markClosed)
+		return socket.ShutdownIfIdle(c.Conn, "", markClosed)
 	}
-	return socket.ShutdownIfQuiet(c.Conn, response503, markClosed)
+	return socket.ShutdownIfIdle(c.Conn, response503, markClosed)
 }
 
 // peerClosed reports whether the client has closed the connection or its write side, even if earlier bytes are still
 // unread.
 func (c *clientConn) peerClosed() bool {
-	return c.Conn != nil && socket.IsPeerClosed(c.Conn)
+	return c.Conn != nil && socket.ClosedByPeer(c.Conn)
 }
 
 // isCloseDetectionLost reports whether net/http can no longer detect that the client closes.
--- a/internal/endpoints/endpoints.go
+++ b/internal/endpoints/endpoints.go
@@ -65,14 +65,14 @@
 	if err := jsoniter.ConfigCompatibleWithStandardLibrary.Unmarshal(data, &list); err != nil {
 		return nil, fmt.Errorf("list: %w", err)
 	}
-	if err := list.Check(); err != nil {
+	if err := list.Validate(); err != nil {
 		return nil, err
 	}
 	return &list, nil
 }
 
-// Check returns a FieldError for the first field that cannot be used.
-func (l *List) Check() error {
+// Validate returns a FieldError for the first field that cannot be used.
+func (l *List) Validate() error {
 	if l.Version == nil {
 		return &FieldError{Field: "version", Err: errMissing}
 	}
@@ -114,10 +114,10 @@
 // clock.
 func (e *Entry) Target(started time.Duration) scheduler.Target {
 	target := scheduler.Target{
-		ID:      e.ID,
-		Zone:    e.Zone,
-		State:   e.TargetState(),
-		Started: started,
+		ID:        e.ID,
+		Zone:      e.Zone,
+		State:     e.TargetState(),
+		StartedAt: started,
 	}
 	if e.Shard != nil {
 		target.Shard = *e.Shard
--- a/internal/upstream/http.go
+++ b/internal/upstream/http.go
@@ -50,7 +50,7 @@
 		return NoResponse(scheduler.NotSent, ReasonNotSent)
 	}
 	if n, err := c.Write(message); n < len(message) {
-		return NoResponse(scheduler.ConnectFailed, WriteFailed(err))
+		return NoResponse(scheduler.ConnectFailed, WriteErrorReason(err))
 	}
 	reader := newResponseReader(c.Conn, attempt.Deadline, c.budget)
 	resp, err := reader.read(request.Method)
@@ -77,4 +77,4 @@
 }
 
 // IsIdle implements Conn.
-func (c *httpConn) IsIdle() bool { return socket.IsQuiet(c.Conn) }
+func (c *httpConn) IsIdle() bool { return socket.IsOpenAndIdle(c.Conn) }
