--- a/internal/clienthttp/connread.go
+++ b/internal/clienthttp/connread.go
@@ -15,7 +15,7 @@
 // readAheadSize is the size, in bytes, of the read that follows a background read which received the start of a request.
 const readAheadSize = 4 << 10
 
-// arrivalTimes tells when the bytes that one step read arrived at this machine.
+// arrivalTimes tells when bytes that were read together arrived at this machine.
 type arrivalTimes struct {
 	lastByte           time.Time // when the last byte arrived
 	firstByteNotBefore time.Time // the earliest time at which the first byte can have arrived
@@ -101,8 +101,8 @@
 // readAheadAvailable reads ahead the available bytes of the next request, after a background read received its first
 // byte. bufferFull is whether more may be unread.
 //
-// When bytes arrived is known only until others follow them. Without reading ahead, a request that waits behind another
-// would count as received later than it arrived.
+// The arrival time of bytes is known only until further bytes follow them. Without reading ahead, a request that waits
+// behind another would count as received later than it arrived.
 func (c *clientConn) readAheadAvailable() (bufferFull bool) {
 	if c.rawConn == nil {
 		return false
--- a/internal/clienthttp/conntable.go
+++ b/internal/clienthttp/conntable.go
@@ -56,8 +56,8 @@
 }
 
 // markOverLimit marks a connection so that its request is rejected. If too many connections are over the limit already,
-// it sends response503 and closes the connection at once, even if bytes are unread on it. The caller holds
-// t.mutex, and nothing has been read from the connection yet.
+// it sends response503 and closes the connection at once, even if bytes are unread on it. The caller holds t.mutex, and
+// nothing has been read from the connection yet.
 func (t *connTable) markOverLimit(c *clientConn) {
 	c.overLimit = true
 	c.recordCloseReason(reasonConnectionLimit)
--- a/internal/clienthttp/server.go
+++ b/internal/clienthttp/server.go
@@ -101,11 +101,10 @@
 // New returns a server that submits its requests to the dispatcher.
 func New(d Dispatcher, options Options) *Server {
 	s := &Server{
-		options:          options,
-		dispatcher:       d,
-		conns:            newConnTable(options.MaxConns, options.EvictIdleAbove, options.Logger),
-		shutdownSchedule: dispatcher.NewShutdownSchedule(options.MaxDeadline),
-
+		options:              options,
+		dispatcher:           d,
+		conns:                newConnTable(options.MaxConns, options.EvictIdleAbove, options.Logger),
+		shutdownSchedule:     dispatcher.NewShutdownSchedule(options.MaxDeadline),
 		timeoutChecksStopped: make(chan struct{}),
 	}
 	// The table closes idle connections. net/http's own idle timeout is longer than keepAliveTimeout and than the time
--- a/internal/clienthttp/shutdown.go
+++ b/internal/clienthttp/shutdown.go
@@ -30,7 +30,7 @@
 // in the queue then are reset.
 //
 // The accept queue may hold connections when the grace ends, because the accepting goroutine has not run yet or accept is
-// failing. Closing the listener would reset them. The accepting goroutine therefore goes on until the queue is empty.
+// failing. Closing the listener would reset them. The accepting goroutine therefore continues until the queue is empty.
 func (s *Server) stopAccepting(startedAt time.Time) {
 	if listener := s.listener.Load(); listener != nil {
 		_ = socket.CloseListenerWhenEmpty(*listener, startedAt.Add(s.shutdownSchedule.AnswerBy))
@@ -66,7 +66,7 @@
 }
 
 // closeIdle closes the connections without a request, and returns how many connections are left. With includeStalled it
-// also closes those on which part of a request and then nothing more for stalledTimeout was received.
+// also closes those that have received part of a request and then nothing more for stalledTimeout.
 func (t *connTable) closeIdle(includeStalled bool) (left int) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
