--- a/internal/clienthttp/accept_test.go
+++ b/internal/clienthttp/accept_test.go
@@ -33,7 +33,8 @@
 	return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", errno)}
 }
 
-// TestTransientAcceptErrors makes accept fail in every way that accept(2) documents as transient. The server must go on.
+// TestTransientAcceptErrors makes accept fail with errors that accept(2) documents as transient. The server must keep
+// serving.
 //
 // net/http stops a server on every accept error that the net package does not call temporary, such as a lack of buffers.
 // The process then ends with all requests in flight, and its last line is "accept4: no buffer space available".
--- a/internal/clienthttp/conn.go
+++ b/internal/clienthttp/conn.go
@@ -151,8 +151,8 @@
 	return nil
 }
 
-// response503 is sent before a close to a client that may otherwise get no response: see
-// closeIfNothingUnread. No request that it answers is forwarded.
+// response503 is sent before a close to a client that may otherwise get no response: see closeIfNothingUnread. No request
+// that it answers is forwarded.
 const response503 = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 
 // closeIfNothingUnread shuts the connection down and marks it closed if it is still in the observed state and nothing is
@@ -162,8 +162,8 @@
 //
 //   - After a response: nothing. A client that finds its connection closed sends its request once more, on a new
 //     connection.
-//   - On a new connection: response503. The client's first request counts as accepted, and the client does
-//     not send it again by itself.
+//   - On a new connection: response503. The client's first request counts as accepted, and the client does not send it again by
+//     itself.
 //   - After part of a request, or a request that no handler has claimed: response503, for the same reason.
 //   - After a malformed request: nothing. It has its response, which announces the close. The connection is only marked
 //     closed here, even if bytes are unread.
@@ -219,7 +219,7 @@
 	}
 }
 
-// readFailureReason returns the reason for the end of the connection that follows from an error of Read.
+// readFailureReason returns the reason that an error of Read gives for the end of the connection.
 func (c *clientConn) readFailureReason(err error) closeReason {
 	switch {
 	case errors.Is(err, io.EOF):
