--- a/internal/dispatcher/actions.go
+++ b/internal/dispatcher/actions.go
@@ -17,29 +17,31 @@
 			d.send(state, now, action)
 		}
 	case scheduler.Reject:
-		d.end(action.RequestID, Response{Status: Rejected, RetryAfter: action.RetryAfter})
+		d.finish(action.RequestID, Response{Status: Rejected, RetryAfter: action.RetryAfter})
 	case scheduler.Fail:
-		d.end(action.RequestID, Response{Status: Failed})
+		d.finish(action.RequestID, Response{Status: Failed})
 	case scheduler.WatchEndpoints:
-		// Only the simulator's adapter serves this action. The discovery watcher of the daemon polls by itself.
+		// Only the simulator's adapter needs this action. In the daemon, the discovery watcher polls on its own.
 	}
 }
 
-// idleCall returns the call if it is open and has no attempt in flight, otherwise nil: the action is dropped then.
+// idleCall returns the call if it has not ended and has no attempt in flight. Otherwise it returns nil, and the action is
+// dropped.
 //
-// A call is unknown or answered if its client has closed the connection, and the scheduler ends the request on an event ahead of
-// ClientClosed in the same batch: nobody reads the response. An attempt in flight cannot occur, since the scheduler ends or
-// sends a request only after AttemptEnded; dropping the action keeps the rule that a request has one attempt at a time.
+// An action may refer to a call that has ended or been released: the client has closed the connection, and the scheduler has
+// ended the request on an event that precedes ClientClosed in the same batch. Nobody would read the response. An action for
+// a call with an attempt in flight cannot occur, since the scheduler ends or sends a request only after AttemptEnded.
+// Dropping it anyway ensures that a request has one attempt at a time.
 func (d *Dispatcher) idleCall(requestID string) *callState {
 	state := d.calls.get(requestID)
-	if state == nil || state.answered || state.inFlight {
+	if state == nil || state.ended || state.inFlight {
 		return nil
 	}
 	return state
 }
 
-// end gives an idle call its response and releases it.
-func (d *Dispatcher) end(requestID string, response Response) {
+// finish gives an idle call its response and releases the call.
+func (d *Dispatcher) finish(requestID string, response Response) {
 	if state := d.idleCall(requestID); state != nil {
 		d.respond(state, response)
 		d.releaseIfDone(state)
@@ -65,12 +67,13 @@
 	d.upstream.Send(attempt)
 }
 
-// respond gives the final response. It does nothing if the call has one already: a client must never read two.
+// respond gives the call its final response. It does nothing if the call has ended, since a client must never get two
+// responses.
 func (d *Dispatcher) respond(state *callState, response Response) {
-	if state.answered {
+	if state.ended {
 		return
 	}
-	state.answered = true
+	state.ended = true
 	response.LastAttemptStatus = state.lastStatus
 	d.logResponse(state, response)
 	state.call.Respond(response)
@@ -89,9 +92,9 @@
 	d.logCall(eventRequestEnded, state.call, attrs...)
 }
 
-// releaseIfDone removes a call that is answered and has no attempt in flight.
+// releaseIfDone releases a call that has ended and has no attempt in flight.
 func (d *Dispatcher) releaseIfDone(state *callState) {
-	if !state.answered || state.inFlight {
+	if !state.ended || state.inFlight {
 		return
 	}
 	d.calls.remove(state)
--- a/internal/dispatcher/call.go
+++ b/internal/dispatcher/call.go
@@ -7,21 +7,21 @@
 	"dapplegate/scheduler"
 )
 
-// Status says how a request ended.
+// Status is the outcome of a request.
 type Status int
 
 const (
-	// Served carries the target's response.
+	// Served means that the target has served the request and Response.Payload holds its response.
 	Served Status = iota
-	// Rejected promises that a repeat by the client is harmless; an idempotent request may have been executed.
+	// Rejected guarantees that the client can safely send the request again. An idempotent request may have been executed.
 	Rejected
-	// Failed makes no promise about the request's effect.
+	// Failed guarantees nothing about whether the request was executed.
 	Failed
-	// Duplicate says that a request of the same id is open, or ended not long ago and may have been executed.
+	// Duplicate means that a request with the same ID is open, or ended recently and may have been executed.
 	Duplicate
 )
 
-// statusNames are the statuses as logs give them.
+// statusNames holds the status names used in logs.
 var statusNames = [...]string{
 	Served:    "SERVED",
 	Rejected:  "REJECTED",
@@ -29,7 +29,7 @@
 	Duplicate: "DUPLICATE",
 }
 
-// String returns the status's name.
+// String returns the status name used in logs.
 func (s Status) String() string {
 	if s < 0 || int(s) >= len(statusNames) {
 		return fmt.Sprintf("STATUS_%d", int(s))
@@ -37,69 +37,69 @@
 	return statusNames[s]
 }
 
-// Response is the one final answer to a request.
+// Response is the final response to a request. Each request gets at most one.
 type Response struct {
 	Status            Status
-	Payload           any                     // what the upstream returned; set if Status is Served
-	RetryAfter        time.Duration           // how long the client should wait before it sends the request again; 0: no advice
-	LastAttemptStatus scheduler.AttemptStatus // how the last attempt ended; without meaning if there was none
+	Payload           any                     // payload of the AttemptResult; set if Status is Served
+	RetryAfter        time.Duration           // how long the client should wait before a retry; 0 if unspecified
+	LastAttemptStatus scheduler.AttemptStatus // outcome of the last attempt; meaningless if there was none
 }
 
-// overloadRetryAfter is the Retry-After of Overloaded: it gives open calls time to end before the client asks again.
+// overloadRetryAfter is the RetryAfter of Overloaded. It gives open calls time to end before the client retries.
 const overloadRetryAfter = time.Second
 
-// Overloaded is the response of a server to a request that it cannot submit for lack of capacity: no attempt was made.
+// Overloaded is a server's response to a request that it cannot submit for lack of capacity. No attempt was made.
 var Overloaded = Response{Status: Rejected, RetryAfter: overloadRetryAfter}
 
-// Call is one client request. Its server fills it in and must not change it after Submit; the dispatcher sets ID and Timeout
-// of the embedded request.
+// Call is one client request. The server sets its fields, except for ID and Timeout of the embedded request, which the
+// dispatcher sets. The server must not change a call after Submit.
 type Call struct {
 	scheduler.Request
-	// ClientRequestID is the client's id for the request; empty: it has none. While a request of the same id is reserved,
-	// the response is Duplicate.
+	// ClientRequestID is the ID that the client gave the request; empty if it gave none. The response is Duplicate while this
+	// ID is reserved for another request.
 	ClientRequestID string
-	// ReceivedAt is when the last byte of the request had arrived.
+	// ReceivedAt is when the last byte of the request arrived.
 	ReceivedAt time.Time
-	// ClientTimeout is how long the client waits for the response, from ReceivedAt on.
+	// ClientTimeout is how long after ReceivedAt the client stops waiting for the response.
 	ClientTimeout time.Duration
-	// Payload is handed to the upstream with each attempt, unread.
+	// Payload is passed to the upstream with each attempt. The dispatcher doesn't read it.
 	Payload any
-	// Respond gets the final response. It is called exactly once, or never if the call is cancelled before that, by the
-	// dispatcher's goroutine, which serves all calls: it must not block.
+	// Respond receives the final response. It is called exactly once, or never if the call is cancelled first. It must not
+	// block, because it runs in the dispatcher's goroutine, which serves all calls.
 	Respond func(Response)
-	// ClientGone reports whether the client has closed its connection by now. Any goroutine may call it, also after the
-	// response; nil: not known.
+	// ClientGone reports whether the client has closed its connection. It may be called from any goroutine, even after the
+	// response; nil if this cannot be determined.
 	ClientGone func() bool
 }
 
-// Attempt is one sending of a request to a target.
+// Attempt is one attempt to have a target execute a request.
 type Attempt struct {
-	RequestID       string // the dispatcher's
-	ClientRequestID string // the client's, for logs; may be empty
-	Number          int    // of the request's attempts, from 0
+	RequestID       string // assigned by the dispatcher
+	ClientRequestID string // given by the client, for logs; may be empty
+	Number          int    // attempt number within the request, from 0
 	Target          string
-	StartBy         time.Time   // no first byte may be sent after that; zero: no bound
-	Deadline        time.Time   // the attempt times out then
-	ClientGone      func() bool // as of the call
-	Payload         any         // of the call
+	StartBy         time.Time   // latest time for sending the first byte; zero if unlimited
+	Deadline        time.Time   // when the attempt times out
+	ClientGone      func() bool // ClientGone of the call
+	Payload         any         // Payload of the call
 }
 
-// AttemptResult is how an attempt ended. Once it is reported, nothing of the attempt may reach the target any more.
+// AttemptResult is the result of an attempt. Once it is reported, no more bytes of the attempt may reach the target.
 type AttemptResult struct {
-	RequestID   string // of the attempt, as are Number and Target
+	RequestID   string // RequestID, Number and Target are copied from the attempt
 	Number      int
 	Target      string
 	Status      scheduler.AttemptStatus
-	LoadReport  *scheduler.LoadReport // as the target reported it; nil: it did not
+	LoadReport  *scheduler.LoadReport // load report of the target; nil if it sent none
 	VolumeUsage int                   // see scheduler.AttemptEnded
-	Payload     any                   // becomes the response's; set if Status is Succeeded
+	Payload     any                   // payload for the response; set if Status is Succeeded
 }
 
-// Upstream carries out attempts. The dispatcher's goroutine calls it: neither method may block. Exactly one result follows
-// each Send through ReportResult, from any goroutine.
+// Upstream carries out attempts. Its methods must not block, because the dispatcher's goroutine calls them. For each Send,
+// the upstream calls ReportResult exactly once, from any goroutine.
 type Upstream interface {
 	Send(Attempt)
-	// Cancel ends the request's attempt in flight at the target. The result says whether that came in time. It may be
-	// called more than once for an attempt, and for one that has just ended.
+	// Cancel ends the attempt that the request has in flight at the target. The attempt's result tells whether Cancel came in
+	// time. Cancel may be called several times for an attempt, and for one that has just ended.
 	Cancel(target, requestID string)
 }
--- a/internal/dispatcher/calllog.go
+++ b/internal/dispatcher/calllog.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// Log events of a request, in this order, with upstream's "attempt begins" between the second and the third. After
-// reasonClientClosed with an attempt in flight, "attempt ended" still follows. A duplicate has "request ended" alone.
+// Log events of a request, in the order in which they occur. The upstream logs "attempt begins" between the second and the
+// third. If a request ends with reasonClientClosed while an attempt is in flight, "attempt ended" follows "request ended". A
+// duplicate request has only "request ended".
 const (
 	eventRequestAccepted   = "request accepted"
 	eventAttemptDispatched = "attempt dispatched"
@@ -15,31 +16,31 @@
 	eventRequestEnded      = "request ended"
 )
 
-// eventStepLate says that the event loop ran late, as when the process or the machine stood still.
+// eventStepLate is logged if the event loop ran late, for example because the process or the machine was paused.
 const eventStepLate = "step was late"
 
-// lateStepThreshold is how late a step must be to be logged.
+// lateStepThreshold is the minimum delay of a step that is logged.
 const lateStepThreshold = 20 * time.Millisecond
 
-// Fields of these log lines. Durations are from the last byte of the request (age) or from the attempt's start (latency).
+// Fields of these log lines.
 const (
-	fieldRequest        = "request" // the client's id for it
+	fieldRequest        = "request" // the client's ID for the request
 	fieldClass          = "class"
-	fieldAge            = "age"
+	fieldAge            = "age" // time since the last byte of the request arrived
 	fieldClientTimeout  = "client_timeout"
 	fieldAttemptTimeout = "attempt_timeout"
 	fieldReason         = "reason"
 	fieldTarget         = "target"
-	fieldAttempt        = "attempt"  // its number, from 0
-	fieldAttempts       = "attempts" // how many were sent
+	fieldAttempt        = "attempt"  // number of the attempt, from 0
+	fieldAttempts       = "attempts" // number of attempts sent
 	fieldInFlight       = "in_flight"
-	fieldLatency        = "latency"
-	fieldLate           = "late"         // by how much a step was late
-	fieldLastAttempt    = "last_attempt" // its status; absent if there was no attempt
+	fieldLatency        = "latency"      // time since the attempt started
+	fieldLate           = "late"         // how late a step was
+	fieldLastAttempt    = "last_attempt" // status of the last attempt; absent if there was none
 )
 
-// reasonClientClosed ends a request without a response. Other requests end with their response's Status as the reason, and
-// attempts with their scheduler.AttemptStatus.
+// reasonClientClosed is the reason of a request that ends without a response. The reason of any other request is the Status
+// of its response, and the reason of an attempt is its scheduler.AttemptStatus.
 const reasonClientClosed = "CLIENT_CLOSED"
 
 // logCall logs an event of a call, at debug level.
@@ -52,7 +53,7 @@
 	d.options.Logger.LogAttrs(ctx, slog.LevelDebug, event, attrs...)
 }
 
-// logLateStep logs, at debug level, by how much the step at the given time comes after the timer that asked for it.
+// logLateStep logs, at debug level, how much later than its timer the step at the given time runs.
 func (d *Dispatcher) logLateStep(now time.Time) {
 	if d.nextTimer.IsZero() {
 		return
--- a/internal/dispatcher/calltable.go
+++ b/internal/dispatcher/calltable.go
@@ -7,7 +7,7 @@
 	"dapplegate/scheduler"
 )
 
-// callTable holds the calls that are not released yet, by the request id that it gives each of them.
+// callTable holds the calls that are not yet released. It assigns each call a request ID, by which the call is found.
 type callTable struct {
 	byID   map[string]*callState
 	lastID uint64
@@ -15,32 +15,32 @@
 
 func newCallTable() callTable { return callTable{byID: map[string]*callState{}} }
 
-// add gives the call its request id and enters it.
+// add assigns the call a request ID and adds it to the table.
 func (t *callTable) add(call *Call) {
 	t.lastID++
 	call.ID = strconv.FormatUint(t.lastID, 10)
 	t.byID[call.ID] = &callState{call: call}
 }
 
-// get returns nil if no such call is held.
+// get returns the state of the call with the given request ID, or nil if the table doesn't hold it.
 func (t *callTable) get(id string) *callState { return t.byID[id] }
 
 func (t *callTable) remove(state *callState) { delete(t.byID, state.call.ID) }
 
-// callState is what the dispatcher knows of one call.
+// callState is the dispatcher's state of one call.
 type callState struct {
-	call     *Call
-	answered bool // its response was given, or its client has closed the connection
+	call  *Call
+	ended bool // the call has its response, or the client has closed its connection
 
 	attempts        int                     // number of attempts begun
-	inFlight        bool                    // the last attempt has not ended
-	target          string                  // of the last attempt
+	inFlight        bool                    // the last attempt has not ended yet
+	target          string                  // target of the last attempt
 	sentAt          time.Time               // start of the last attempt
-	lastStatus      scheduler.AttemptStatus // of the last attempt; without meaning if there was none
-	mayHaveExecuted bool                    // some attempt may have been executed by its target
+	lastStatus      scheduler.AttemptStatus // outcome of the last attempt that ended; meaningless if none has
+	mayHaveExecuted bool                    // a target may have executed one of the attempts
 }
 
-// beginAttempt notes that an attempt is sent, and returns its number.
+// beginAttempt records the start of an attempt and returns the attempt's number.
 func (s *callState) beginAttempt(target string, now time.Time) int {
 	number := s.attempts
 	s.attempts++
@@ -50,10 +50,10 @@
 	return number
 }
 
-// awaits reports whether the attempt of that number is in flight.
-func (s *callState) awaits(number int) bool { return s.inFlight && number == s.attempts-1 }
+// isInFlight reports whether the attempt with the given number is in flight.
+func (s *callState) isInFlight(number int) bool { return s.inFlight && number == s.attempts-1 }
 
-// endAttempt notes how the attempt in flight ended.
+// endAttempt records the outcome of the attempt in flight.
 func (s *callState) endAttempt(status scheduler.AttemptStatus) {
 	s.inFlight = false
 	s.lastStatus = status
--- a/internal/dispatcher/clock.go
+++ b/internal/dispatcher/clock.go
@@ -2,16 +2,17 @@
 
 import "time"
 
-// Clock maps the monotonic clock of the process onto the scheduler's time, which is Unix time as read once at the start:
-// the endpoint list gives the starts of targets in Unix time, and a step of the wall clock must not move deadlines.
+// Clock converts times of the process to scheduler time. Scheduler time is Unix time, because the endpoint list gives the
+// start times of targets in Unix time. The wall clock is read only once, and the monotonic clock is used from then on, so
+// that a step of the wall clock doesn't move deadlines.
 type Clock struct {
-	start time.Time // with its monotonic reading
+	start time.Time // includes a monotonic clock reading
 }
 
-// NewClock reads the wall clock, for the only time.
+// NewClock returns a Clock. Only this function reads the wall clock.
 func NewClock() Clock { return Clock{start: time.Now()} }
 
-// At returns the scheduler's time at t, a time that has a monotonic reading.
+// At returns the scheduler time at t, which must include a monotonic clock reading.
 func (c Clock) At(t time.Time) time.Duration {
 	return time.Duration(c.start.UnixNano()) + t.Sub(c.start)
 }
--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -1,6 +1,6 @@
-// Package dispatcher runs the scheduler on a real clock and owns each client request from the moment a server submits it
-// until its one final response. It speaks no protocol: servers hand it calls, an upstream carries out the attempts, and
-// the payloads of both pass through unread.
+// Package dispatcher runs the scheduler in real time and owns each client request from the moment a server submits it until
+// its one final response. It implements no protocol: servers submit calls, an upstream carries out the attempts, and the
+// dispatcher passes the payloads of both on without reading them.
 package dispatcher
 
 import (
@@ -15,18 +15,18 @@
 
 // Options configures a Dispatcher.
 type Options struct {
-	// MaxOpenCalls is how many calls may be open at a time; 0: any number.
+	// MaxOpenCalls limits the number of calls that are open at a time; 0 means no limit.
 	MaxOpenCalls int
-	// ResponseWriteMargin is subtracted from each client's timeout, so that the response can still be written before it ends.
-	// The scheduler has a timer margin of its own, for steps that are late.
+	// ResponseWriteMargin is subtracted from each client's timeout to leave time for writing the response. It doesn't cover
+	// late steps, for which the scheduler has a timer margin of its own.
 	ResponseWriteMargin time.Duration
-	// Logger gets the events of each request, at debug level; nil: nothing is logged.
+	// Logger receives the events of each request at debug level; nil disables logging.
 	Logger *slog.Logger
 }
 
-// Dispatcher is the event loop around a scheduler. Its methods may be called from any goroutine, return without waiting,
-// and take effect in the order of the calls, except that endpoint lists go ahead of what waits in the same batch. The
-// goroutine of Run owns all fields but inbox and openCalls.
+// Dispatcher is the event loop around a scheduler. All methods except Run may be called from any goroutine and don't block.
+// They take effect in the order in which they were called, except that endpoint lists are applied before all other messages
+// of the same batch. The goroutine that executes Run owns all fields except inbox and openCalls.
 type Dispatcher struct {
 	scheduler *scheduler.Scheduler
 	upstream  Upstream
@@ -39,16 +39,16 @@
 	calls      callTable
 	requestIDs requestIDs
 
-	nextTimer        time.Time     // when to step without a message; zero: no timer is set
-	shutdownDeadline time.Time     // attempts still in flight are cancelled then; zero: no shutdown
-	lastStep         time.Duration // the scheduler's time of the last step
+	nextTimer        time.Time     // when to step even without a message; zero if no timer is set
+	shutdownDeadline time.Time     // when attempts still in flight are cancelled; zero if no shutdown has begun
+	lastStep         time.Duration // scheduler time of the last step
 
-	// Buffers that each batch of messages reuses.
+	// Buffers reused for each batch of messages.
 	events         []scheduler.Event
 	endpointEvents []scheduler.Event
 }
 
-// New returns a dispatcher that is idle until Run is called. Messages may be sent to it before that.
+// New returns a dispatcher that does nothing until Run is called. Its other methods may be called before Run.
 func New(s *scheduler.Scheduler, upstream Upstream, clock Clock, options Options) *Dispatcher {
 	if options.Logger == nil {
 		options.Logger = slog.New(slog.DiscardHandler)
@@ -64,7 +64,8 @@
 	}
 }
 
-// Submit hands a call over. It returns false if too many calls are open; then call.Respond is never called.
+// Submit passes a call to the dispatcher. It returns false, and call.Respond is never called, if MaxOpenCalls calls are
+// already open.
 func (d *Dispatcher) Submit(call *Call) bool {
 	open := d.openCalls.Add(1)
 	if d.options.MaxOpenCalls > 0 && open > int64(d.options.MaxOpenCalls) {
@@ -75,29 +76,31 @@
 	return true
 }
 
-// Cancel reports that the client of a submitted call has closed its connection. A response that is decided before the
-// dispatcher reads this is still given; after that, call.Respond is not called any more.
+// Cancel reports that the client of a submitted call has closed its connection. The dispatcher may still call call.Respond
+// until it processes this message, but not afterwards.
 func (d *Dispatcher) Cancel(call *Call) { d.inbox.Put(callCancelled{call}) }
 
-// ReportResult reports the end of an attempt. A result that is not of its request's attempt in flight is ignored.
+// ReportResult reports the end of an attempt. The result is ignored unless it belongs to the attempt that its request has in
+// flight.
 func (d *Dispatcher) ReportResult(result AttemptResult) { d.inbox.Put(attemptEnded{result}) }
 
-// UpdateEndpoints reports a new endpoint list or a change of it.
+// UpdateEndpoints reports a new endpoint list or changes to it.
 func (d *Dispatcher) UpdateEndpoints(list scheduler.EndpointList) {
 	d.inbox.Put(endpointsUpdated{list})
 }
 
-// Shutdown begins a graceful shutdown. Queued calls are answered by the deadline; attempts in flight are cancelled then, and
-// their results bring the response.
+// Shutdown begins a graceful shutdown. Queued calls get their responses by the deadline. Attempts still in flight at the
+// deadline are cancelled, and their calls get a response once the results arrive.
 func (d *Dispatcher) Shutdown(deadline time.Time) { d.inbox.Put(shutdownRequested{deadline}) }
 
-// OpenCalls is how many calls were submitted and are not released yet. A call is released once it is answered or cancelled
-// and none of its attempts is in flight.
+// OpenCalls returns the number of calls that were submitted and not yet released. A call is released once it has its
+// response or is cancelled, and has no attempt in flight.
 func (d *Dispatcher) OpenCalls() int { return int(d.openCalls.Load()) }
 
-// Run processes messages until the context ends. Calls that are open then get no response. It may be called once.
+// Run processes messages until the context is done. Calls that are still open then get no response. Run must be called at
+// most once.
 func (d *Dispatcher) Run(ctx context.Context) {
-	timer := time.NewTimer(time.Hour) // the first step sets it, if the scheduler asks for one
+	timer := time.NewTimer(time.Hour) // reset as soon as a step sets nextTimer
 	defer timer.Stop()
 	var spare []message
 	for {
@@ -118,20 +121,20 @@
 	}
 }
 
-// step passes one batch of messages to the scheduler and carries out its actions.
+// step applies one batch of messages, passes the resulting events to the scheduler and carries out the scheduler's actions.
 func (d *Dispatcher) step(now time.Time, messages []message) {
 	events := d.applyMessages(now, messages)
 	if len(events) == 0 {
 		return
 	}
-	// The scheduler relies on time that does not go back, whatever the platform's clock does.
+	// The scheduler requires time that never goes back, even if the platform's clock does.
 	d.lastStep = max(d.lastStep, d.clock.At(now))
 	for _, action := range d.scheduler.Step(d.lastStep, events) {
 		d.execute(now, action)
 	}
 }
 
-// setTimer makes the event loop step at the given time, or earlier if it has to anyway.
+// setTimer makes the event loop step at the given time, unless a timer is already set for an earlier time.
 func (d *Dispatcher) setTimer(at time.Time) {
 	if d.nextTimer.IsZero() || at.Before(d.nextTimer) {
 		d.nextTimer = at
--- a/internal/dispatcher/dispatcher_test.go
+++ b/internal/dispatcher/dispatcher_test.go
@@ -15,7 +15,7 @@
 
 const targetID = "n"
 
-// oneTarget is a complete endpoint list with one target that serves.
+// oneTarget returns a complete endpoint list with a single serving target.
 func oneTarget() scheduler.EndpointList {
 	return scheduler.EndpointList{Complete: true, Targets: []scheduler.Target{{ID: targetID}}}
 }
@@ -42,40 +42,41 @@
 	return s
 }
 
-// recorder is an upstream that records its calls and carries out nothing.
-type recorder struct {
+// recordingUpstream is an upstream that records the calls of its methods and carries out no attempts.
+type recordingUpstream struct {
 	sent      []Attempt
-	cancelled []string // target/request id
+	cancelled []string // target and request ID, as target/ID
 }
 
-func (r *recorder) Send(a Attempt) { r.sent = append(r.sent, a) }
-func (r *recorder) Cancel(target, requestID string) {
+func (r *recordingUpstream) Send(a Attempt) { r.sent = append(r.sent, a) }
+func (r *recordingUpstream) Cancel(target, requestID string) {
 	r.cancelled = append(r.cancelled, target+"/"+requestID)
 }
 
-// result ends the attempt that was sent last.
-func (r *recorder) result(status scheduler.AttemptStatus) AttemptResult {
+// result returns a result with the given status for the attempt that was sent last.
+func (r *recordingUpstream) result(status scheduler.AttemptStatus) AttemptResult {
 	last := r.sent[len(r.sent)-1]
 	return AttemptResult{RequestID: last.RequestID, Number: last.Number, Target: last.Target, Status: status}
 }
 
-// harness is a dispatcher that the test steps itself, at times of its own.
+// harness is a dispatcher that a test steps itself, with simulated time.
 type harness struct {
 	*Dispatcher
-	upstream  *recorder
+	upstream  *recordingUpstream
 	now       time.Time
 	responses []Response
 }
 
 func newHarness(t *testing.T) *harness {
 	t.Helper()
-	h := &harness{upstream: &recorder{}, now: time.Now()}
-	h.Dispatcher = New(newScheduler(t), h.upstream, NewClock(), Options{MaxOpenCalls: 100, ResponseWriteMargin: 10 * time.Millisecond})
+	h := &harness{upstream: &recordingUpstream{}, now: time.Now()}
+	h.Dispatcher = New(newScheduler(t), h.upstream, NewClock(),
+		Options{MaxOpenCalls: 100, ResponseWriteMargin: 10 * time.Millisecond})
 	h.receive(endpointsUpdated{oneTarget()})
 	return h
 }
 
-// newCall returns a call whose response is recorded.
+// newCall returns a call whose response is recorded in h.responses.
 func (h *harness) newCall(class string, receivedAt time.Time) *Call {
 	return &Call{
 		Request:       scheduler.Request{Class: class, Plan: "std", Volume: "v", Units: 1, Initiators: 1},
@@ -90,7 +91,7 @@
 // receive steps the dispatcher with a batch of messages.
 func (h *harness) receive(batch ...message) { h.step(h.now, batch) }
 
-// advance moves the time on and steps the dispatcher on the way, so that timers fire.
+// advance advances the simulated time in small increments and steps the dispatcher after each, so that timers fire.
 func (h *harness) advance(d time.Duration) {
 	for end := h.now.Add(d); h.now.Before(end); {
 		h.now = h.now.Add(5 * time.Millisecond)
@@ -98,9 +99,9 @@
 	}
 }
 
-// TestOneFinalResponse reports the result of an attempt three times, and one of an attempt that was never sent: the client
-// gets one response.
-func TestOneFinalResponse(t *testing.T) {
+// TestCallGetsOneFinalResponse reports the result of an attempt three times, and the result of an attempt that was never
+// sent. The client must get exactly one response.
+func TestCallGetsOneFinalResponse(t *testing.T) {
 	h := newHarness(t)
 	h.receive(callSubmitted{h.newCall("get", h.now)})
 	if len(h.upstream.sent) != 1 {
@@ -113,17 +114,15 @@
 	h.receive(attemptEnded{unknown}, attemptEnded{result}, attemptEnded{result})
 	h.receive(attemptEnded{result})
 	if len(h.responses) != 1 || h.responses[0].Status != Served || h.responses[0].Payload != "body" {
-		t.Fatalf("responses %+v, want one", h.responses)
+		t.Fatalf("responses %+v, want one that is Served, with the payload", h.responses)
 	}
 	if len(h.calls.byID) != 0 {
-		t.Errorf("%d calls are held, want none", len(h.calls.byID))
+		t.Errorf("%d calls in the table, want none", len(h.calls.byID))
 	}
 }
 
-// TestTimeoutRunsFromArrival
-//
-// A busy process may read a request long after it has arrived. If the client's timeout counted from then on, the response
-// would be written after the client has left. What is left for the attempt must count from the arrival.
+// TestTimeoutRunsFromArrival checks that a client's timeout starts when the request arrives. A busy process may read the
+// request long after that. If the timeout started then, the response would be written after the client has stopped waiting.
 func TestTimeoutRunsFromArrival(t *testing.T) {
 	h := newHarness(t)
 	h.receive(callSubmitted{h.newCall("get", h.now.Add(-1500*time.Millisecond))})
@@ -131,15 +130,17 @@
 		t.Fatalf("%d attempts, want 1", len(h.upstream.sent))
 	}
 	if left := h.upstream.sent[0].Deadline.Sub(h.now); left > 490*time.Millisecond {
-		t.Errorf("attempt may last %v, but its client leaves in 500ms", left)
+		t.Errorf("attempt times out in %v, but its client stops waiting in 500ms", left)
 	}
 }
 
-// TestNonIdempotentIsNotRetried ends the attempt of a write in doubt: there is no second attempt, and the response is a
-// failure, which makes no promise that a retry is harmless.
+// TestNonIdempotentIsNotRetried ends the attempt of a write in ways that leave open whether the target has executed it.
+// There must be no second attempt, and the response must be Failed, which doesn't guarantee that a retry is safe.
 func TestNonIdempotentIsNotRetried(t *testing.T) {
-	inDoubt := []scheduler.AttemptStatus{scheduler.ConnectionReset, scheduler.DeadlineExceeded, scheduler.Errored, scheduler.Cancelled}
-	for _, status := range inDoubt {
+	mayHaveExecuted := []scheduler.AttemptStatus{
+		scheduler.ConnectionReset, scheduler.DeadlineExceeded, scheduler.Errored, scheduler.Cancelled,
+	}
+	for _, status := range mayHaveExecuted {
 		h := newHarness(t)
 		h.receive(callSubmitted{h.newCall("put", h.now)})
 		h.receive(attemptEnded{h.upstream.result(status)})
@@ -148,14 +149,14 @@
 			t.Errorf("%v: %d attempts, want 1", status, len(h.upstream.sent))
 		}
 		if len(h.responses) != 1 || h.responses[0].Status != Failed || h.responses[0].LastAttemptStatus != status {
-			t.Errorf("%v: responses %+v, want one failure", status, h.responses)
+			t.Errorf("%v: responses %+v, want one that is Failed", status, h.responses)
 		}
 	}
 }
 
-// TestLastAttemptIsLoggedAfterAttempt checks that the log line of a request's end gives the status of its last attempt, and that
-// the field is absent if there was none: the zero status would read as a success.
-func TestLastAttemptIsLoggedAfterAttempt(t *testing.T) {
+// TestLastAttemptIsLoggedOnlyAfterAttempt checks that the log line of a request's end has the status of the last attempt,
+// and that this field is absent if there was no attempt. Otherwise the zero status would be logged, which means success.
+func TestLastAttemptIsLoggedOnlyAfterAttempt(t *testing.T) {
 	for _, hasAttempt := range []bool{false, true} {
 		h := newHarness(t)
 		var log bytes.Buffer
@@ -175,20 +176,19 @@
 			}
 		}
 		if strings.Count(ended, "\n") != 1 {
-			t.Fatalf("request with attempt: %v; log of its end %q, want one line", hasAttempt, ended)
+			t.Fatalf("request with attempt: %v; logged %q at its end, want one line", hasAttempt, ended)
 		}
 		wantField := fieldLastAttempt + "=" + scheduler.Errored.String()
 		if strings.Contains(ended, fieldLastAttempt+"=") != hasAttempt || strings.Contains(ended, wantField) != hasAttempt {
-			t.Errorf("request with attempt: %v; log of its end %q", hasAttempt, ended)
+			t.Errorf("request with attempt: %v; logged %q at its end, want the last attempt's status if any", hasAttempt, ended)
 		}
 	}
 }
 
-// TestEndpointsComeFirst
-//
-// A target's drain notice may wait behind a request in the same batch. If the request went first, it would be sent to a target
-// that is known to drain. Endpoint lists go to the scheduler ahead of everything else in their batch.
-func TestEndpointsComeFirst(t *testing.T) {
+// TestEndpointListsAreAppliedFirst checks that the scheduler gets endpoint lists before all other events of a batch. A
+// request may precede the list that marks a target as draining. If the scheduler got the request first, it would send it to
+// a target that is already known to be draining.
+func TestEndpointListsAreAppliedFirst(t *testing.T) {
 	h := newHarness(t)
 	batch := func() []message {
 		return []message{
@@ -198,68 +198,69 @@
 		}
 	}
 	if _, first := h.applyMessages(h.now, batch())[0].(scheduler.EndpointList); !first {
-		t.Error("the endpoint list is behind the request")
+		t.Error("the first event is not the endpoint list")
 	}
 	h.receive(batch()...)
 	if len(h.upstream.sent) != 0 {
-		t.Errorf("sent to a target known to drain: %+v", h.upstream.sent)
+		t.Errorf("sent to a target that is known to be draining: %+v", h.upstream.sent)
 	}
 }
 
-// TestCancelledCallGetsNoResponse checks that the attempt of a call that its client has left is cancelled, that the call is
-// held until the attempt's result, and that there is no response.
+// TestCancelledCallGetsNoResponse cancels a call with an attempt in flight. The attempt must be cancelled, the call must
+// stay in the table until the attempt's result arrives, and there must be no response.
 func TestCancelledCallGetsNoResponse(t *testing.T) {
 	h := newHarness(t)
 	call := h.newCall("get", h.now)
 	h.receive(callSubmitted{call})
 	h.receive(callCancelled{call})
 	if len(h.upstream.cancelled) != 1 || len(h.calls.byID) != 1 {
-		t.Fatalf("cancelled %v, %d calls held; want it cancelled, and held until its result",
+		t.Fatalf("cancelled attempts %v, %d calls in the table; want one of each until the attempt's result",
 			h.upstream.cancelled, len(h.calls.byID))
 	}
 	h.receive(attemptEnded{h.upstream.result(scheduler.Cancelled)})
 	h.advance(3 * time.Second)
 	if len(h.responses) != 0 || len(h.calls.byID) != 0 {
-		t.Errorf("responses %v, %d calls held; want none", h.responses, len(h.calls.byID))
+		t.Errorf("responses %v, %d calls in the table; want none", h.responses, len(h.calls.byID))
 	}
 }
 
-// TestShutdownCancelsAttempts begins a shutdown with a write in flight: its attempt is left alone until the shutdown's
-// deadline, cancelled then, and its client still gets a response.
+// TestShutdownCancelsAttempts begins a shutdown with a write in flight. Its attempt must be cancelled at the shutdown's
+// deadline and not before, and its client must still get a response.
 func TestShutdownCancelsAttempts(t *testing.T) {
 	h := newHarness(t)
 	h.receive(callSubmitted{h.newCall("put", h.now)})
 	h.receive(shutdownRequested{h.now.Add(time.Second)})
 	h.advance(900 * time.Millisecond)
 	if len(h.upstream.cancelled) != 0 || len(h.responses) != 0 {
-		t.Fatalf("before the deadline: cancelled %v, responses %+v; want none", h.upstream.cancelled, h.responses)
+		t.Fatalf("before the deadline: cancelled attempts %v, responses %+v; want none", h.upstream.cancelled, h.responses)
 	}
 	h.advance(200 * time.Millisecond)
 	if len(h.upstream.cancelled) == 0 {
-		t.Fatal("the attempt is in flight after the deadline")
+		t.Fatal("the attempt is still in flight after the deadline")
 	}
 	h.receive(attemptEnded{h.upstream.result(scheduler.Cancelled)})
 	if len(h.responses) != 1 || h.responses[0].Status != Failed {
-		t.Errorf("responses %+v, want one failure", h.responses)
+		t.Errorf("responses %+v, want one that is Failed", h.responses)
 	}
 }
 
-// TestShutdownDeadlineOutlastsEarlierTimer begins a shutdown with an attempt in flight at a target that hangs, while an earlier
-// timer of the scheduler is set, and steps the dispatcher at its timers alone, as a process without other traffic does.
+// TestEarlierTimerKeepsShutdownDeadline begins a shutdown with an attempt in flight at a target that hangs, while an earlier
+// timer of the scheduler is set. It steps the dispatcher only when a timer is due, as happens in a process without other
+// traffic. The attempt must be cancelled at the shutdown's deadline.
 //
-// Rule: the attempt is cancelled at the shutdown's deadline. Failure: the earlier timer takes the deadline's along when it comes
-// due, and the attempt is cancelled only at the next event, or never: SIGKILL finds the request without a response.
-func TestShutdownDeadlineOutlastsEarlierTimer(t *testing.T) {
+// Guards against the earlier timer clearing the deadline's timer when it is due. The attempt would then be cancelled only at
+// the next event or never, and SIGKILL could end the process before the request has a response.
+func TestEarlierTimerKeepsShutdownDeadline(t *testing.T) {
 	h := newHarness(t)
 	call := h.newCall("put", h.now)
 	call.ClientTimeout = time.Minute
 	h.receive(callSubmitted{call})
 	deadline := h.now.Add(time.Second)
 	h.receive(shutdownRequested{deadline})
-	h.setTimer(h.now.Add(500 * time.Millisecond)) // as for a timer of the scheduler
+	h.setTimer(h.now.Add(500 * time.Millisecond)) // stands for a timer of the scheduler
 	for len(h.upstream.cancelled) == 0 {
 		if h.nextTimer.IsZero() || h.nextTimer.After(deadline) {
-			t.Fatalf("the next timer is %v after the deadline, with the attempt still in flight", h.nextTimer.Sub(deadline))
+			t.Fatalf("the next timer is %v after the deadline, but the attempt is still in flight", h.nextTimer.Sub(deadline))
 		}
 		h.now = h.nextTimer
 		h.step(h.now, nil)
@@ -269,20 +270,19 @@
 	}
 }
 
-// TestSchedulerTimeNeverGoesBack steps the dispatcher with times out of order.
+// TestSchedulerTimeNeverGoesBack steps the dispatcher with a time before that of the previous step.
 func TestSchedulerTimeNeverGoesBack(t *testing.T) {
 	h := newHarness(t)
 	before := h.lastStep
 	h.step(h.now.Add(-time.Second), []message{callSubmitted{h.newCall("get", h.now)}})
 	if h.lastStep < before {
-		t.Errorf("time went from %v to %v", before, h.lastStep)
+		t.Errorf("scheduler time went back from %v to %v", before, h.lastStep)
 	}
 }
 
-// TestRetryStartsWithinDedupWindow
-//
-// A target drops a repeat of a request with an idempotency key only within its dedup window, so a retry must not begin after
-// that. The scheduler says within what time an attempt must start, and the dispatcher passes that on as a time.
+// TestRetryStartsWithinDedupWindow checks that a retry of a request with an idempotency key must start within the target's
+// dedup window, since the target drops repeats only in that time. The dispatcher must convert the scheduler's StartWithin to
+// the attempt's StartBy.
 func TestRetryStartsWithinDedupWindow(t *testing.T) {
 	const dedupWindow = time.Second
 	h := newHarness(t)
@@ -303,29 +303,29 @@
 			want = began.Add(dedupWindow)
 		}
 		if got := h.upstream.sent[1].StartBy; !got.Equal(want) {
-			t.Errorf("%s: must start by %v, want %v", class, got, want)
+			t.Errorf("%s: retry has StartBy %v, want %v", class, got, want)
 		}
 		h.receive(attemptEnded{h.upstream.result(scheduler.Succeeded)})
 	}
 }
 
-// echo is an upstream that ends each attempt with success, from a goroutine of its own.
-type echo struct{ dispatcher *Dispatcher }
+// echoUpstream is an upstream that reports each attempt as succeeded, from a separate goroutine.
+type echoUpstream struct{ dispatcher *Dispatcher }
 
-func (e *echo) Send(a Attempt) {
+func (e *echoUpstream) Send(a Attempt) {
 	result := AttemptResult{RequestID: a.RequestID, Number: a.Number, Target: a.Target, Status: scheduler.Succeeded}
 	go e.dispatcher.ReportResult(result)
 }
-func (e *echo) Cancel(string, string) {}
+func (e *echoUpstream) Cancel(string, string) {}
 
 // loadClient submits calls from many goroutines and counts their responses.
 type loadClient struct {
 	dispatcher *Dispatcher
-	open       sync.WaitGroup // accepted calls without a response
+	open       sync.WaitGroup // accepted calls that have no response yet
 
 	mu        sync.Mutex
 	accepted  int
-	responses map[string]int // by volume, which is each call's own
+	responses map[string]int // number of responses by volume; each call has a volume of its own
 }
 
 func (c *loadClient) submit(volume string) {
@@ -350,10 +350,10 @@
 	c.mu.Unlock()
 }
 
-// TestNothingIsLostUnderLoad submits calls from many goroutines, more than may be open at a time: each accepted call gets
-// exactly one response, and Submit says which are not accepted.
-func TestNothingIsLostUnderLoad(t *testing.T) {
-	upstream := &echo{}
+// TestEveryCallGetsOneResponseUnderLoad submits more calls than may be open at a time, from many goroutines. Each call that
+// Submit accepts must get exactly one response.
+func TestEveryCallGetsOneResponseUnderLoad(t *testing.T) {
+	upstream := &echoUpstream{}
 	d := New(newScheduler(t), upstream, NewClock(), Options{MaxOpenCalls: 500})
 	upstream.dispatcher = d
 	ctx, stop := context.WithCancel(context.Background())
@@ -373,11 +373,11 @@
 	submitting.Wait()
 	client.open.Wait()
 	if len(client.responses) != client.accepted {
-		t.Errorf("%d calls accepted, %d answered", client.accepted, len(client.responses))
+		t.Errorf("%d calls accepted, %d got a response", client.accepted, len(client.responses))
 	}
 	for volume, n := range client.responses {
 		if n != 1 {
-			t.Errorf("%s: %d responses", volume, n)
+			t.Errorf("%s: %d responses, want 1", volume, n)
 		}
 	}
 }
--- a/internal/dispatcher/messages.go
+++ b/internal/dispatcher/messages.go
@@ -7,7 +7,7 @@
 	"dapplegate/scheduler"
 )
 
-// message is what the event loop receives from other goroutines: one of the types below.
+// message is an input that the event loop receives from another goroutine: one of the types below.
 type message interface{ message() }
 
 type (
@@ -24,9 +24,11 @@
 func (endpointsUpdated) message()  {}
 func (shutdownRequested) message() {}
 
-// applyMessages applies a batch of messages to the calls, and returns the scheduler's events for it, with the timer if that is
-// due. Endpoint lists go first: otherwise a request ahead of one could be sent to a target that is already known to be
-// draining. The slice is valid until the next call.
+// applyMessages applies a batch of messages to the calls and returns the resulting scheduler events, including the timer if
+// it is due. The returned slice is valid until the next call.
+//
+// Endpoint lists come first. Otherwise a request that precedes a list in the batch could be sent to a target that is already
+// known to be draining.
 func (d *Dispatcher) applyMessages(now time.Time, messages []message) []scheduler.Event {
 	d.requestIDs.expire(now)
 	d.events = d.events[:0]
@@ -49,13 +51,13 @@
 		d.nextTimer = time.Time{}
 		d.events = append(d.events, scheduler.Timer{})
 	}
-	d.cancelAtShutdown(now) // sets its timer anew, so it comes after the one that is due
+	d.cancelAtShutdownDeadline(now) // after nextTimer is cleared, because it sets the timer again
 	d.endpointEvents = append(d.endpointEvents, d.events...)
 	return d.endpointEvents
 }
 
-// accept opens a call, unless its request id is reserved: targets know requests by these ids, and would take a request under
-// the id of another for a hedged request.
+// accept opens a call, unless its request ID is reserved. Targets identify requests by these IDs, and would treat a second
+// request with the same ID as a hedged request.
 func (d *Dispatcher) accept(now time.Time, call *Call) {
 	if !d.requestIDs.reserve(call.ClientRequestID) {
 		d.openCalls.Add(-1)
@@ -64,7 +66,7 @@
 		return
 	}
 	d.calls.add(call)
-	// The client's timeout runs from the arrival: a busy process must not count from when it gets to the request.
+	// The client's timeout starts when the request arrives, which may be long before a busy process reads the request.
 	age := now.Sub(call.ReceivedAt)
 	call.Timeout = call.ClientTimeout - age - d.options.ResponseWriteMargin
 	d.logCall(eventRequestAccepted, call, slog.String(fieldClass, call.Class),
@@ -72,13 +74,13 @@
 	d.events = append(d.events, call.Request)
 }
 
-// cancel ends a call whose client has closed its connection: nobody reads a response any more.
+// cancel ends, without a response, a call whose client has closed its connection.
 func (d *Dispatcher) cancel(call *Call) {
 	state := d.calls.get(call.ID)
-	if state == nil || state.call != call || state.answered {
+	if state == nil || state.call != call || state.ended {
 		return
 	}
-	state.answered = true
+	state.ended = true
 	d.logCall(eventRequestEnded, call, slog.String(fieldReason, reasonClientClosed),
 		slog.Int(fieldAttempts, state.attempts), slog.Bool(fieldInFlight, state.inFlight))
 	if state.inFlight {
@@ -88,11 +90,11 @@
 	d.releaseIfDone(state)
 }
 
-// onAttemptEnded handles the result of the attempt in flight, and responds if it is a success. Any other result only goes to
-// the scheduler, which decides whether the request gets a retry or ends.
+// onAttemptEnded handles the result of the attempt in flight and responds to the client if the attempt succeeded. After any
+// other result, the scheduler decides whether the request gets a retry or ends.
 func (d *Dispatcher) onAttemptEnded(now time.Time, result AttemptResult) {
 	state := d.calls.get(result.RequestID)
-	if state == nil || !state.awaits(result.Number) {
+	if state == nil || !state.isInFlight(result.Number) {
 		return
 	}
 	latency := now.Sub(state.sentAt)
@@ -108,23 +110,23 @@
 		Target:      result.Target,
 		Status:      result.Status,
 		Latency:     latency,
-		Answered:    state.answered,
+		Answered:    state.ended,
 		LoadReport:  result.LoadReport,
 		VolumeUsage: result.VolumeUsage,
 	})
 	d.releaseIfDone(state)
 }
 
-// beginShutdown passes the time that is left to the scheduler.
+// beginShutdown sets the shutdown's deadline and tells the scheduler how much time is left.
 func (d *Dispatcher) beginShutdown(now, deadline time.Time) {
 	d.shutdownDeadline = deadline
 	d.setTimer(deadline)
 	d.events = append(d.events, scheduler.Shutdown{Within: deadline.Sub(now)})
 }
 
-// cancelAtShutdown cancels all attempts in flight once the shutdown's deadline has passed. Their results follow, and the
-// scheduler ends the requests on these.
-func (d *Dispatcher) cancelAtShutdown(now time.Time) {
+// cancelAtShutdownDeadline cancels all attempts in flight once the shutdown's deadline has passed. The scheduler ends their
+// requests when the results arrive.
+func (d *Dispatcher) cancelAtShutdownDeadline(now time.Time) {
 	if d.shutdownDeadline.IsZero() {
 		return
 	}
--- a/internal/dispatcher/requestids.go
+++ b/internal/dispatcher/requestids.go
@@ -2,46 +2,46 @@
 
 import "time"
 
-// executedIDLifetime is how long, at least, the id of a request that may have been executed stays reserved.
+// executedIDLifetime is the minimum time for which the ID of a request that may have been executed stays reserved.
 const executedIDLifetime = 5 * time.Second
 
-// requestIDs keeps clients from using a request id twice. Targets know requests by these ids: two requests under one id
-// would look to them like a request and its hedged request, or execute a write twice. An id is reserved while its request
-// is open, and for executedIDLifetime or longer after a request that may have been executed. The id of a request that no
-// target may have executed is free at once, so that a client may repeat a rejected request under it.
+// requestIDs prevents clients from using a request ID twice. Targets identify requests by these IDs. They would treat a
+// second request with the same ID as a hedged request, or execute a write twice. An ID is reserved while its request is
+// open, and for executedIDLifetime or longer after the end of a request that may have been executed. If no target can have
+// executed the request, its ID is free at once, so that the client can send a rejected request again with the same ID.
 //
-// Ids of ended requests are held in two generations, so that expiry costs no work for each id. Expiry is checked at the start of
-// each step, before ids are reserved or released.
+// The IDs of ended requests are kept in two generations, so that they expire without work for each ID. Expiry is checked at
+// the start of each step, before IDs are reserved or released.
 type requestIDs struct {
-	open           map[string]bool
-	executed       map[string]bool // ended since the last rotation
-	executedBefore map[string]bool // ended between the two last rotations
-	lastRotation   time.Time
+	open         map[string]bool
+	executed     map[string]bool // requests that may have been executed and ended since the last rotation
+	prevExecuted map[string]bool // the same for requests that ended between the last two rotations
+	lastRotation time.Time
 }
 
 func newRequestIDs() requestIDs {
 	return requestIDs{
-		open:           map[string]bool{},
-		executed:       map[string]bool{},
-		executedBefore: map[string]bool{},
+		open:         map[string]bool{},
+		executed:     map[string]bool{},
+		prevExecuted: map[string]bool{},
 	}
 }
 
-// reserve takes the id for a request that opens. It returns false if the id is reserved. Requests without an id (empty) are
-// not distinguished.
+// reserve reserves the ID of a new request. It returns false if the ID is already reserved. It always returns true for the
+// empty ID, which requests without an ID have.
 func (r *requestIDs) reserve(id string) bool {
 	if id == "" {
 		return true
 	}
-	if r.open[id] || r.executed[id] || r.executedBefore[id] {
+	if r.open[id] || r.executed[id] || r.prevExecuted[id] {
 		return false
 	}
 	r.open[id] = true
 	return true
 }
 
-// release ends the reservation of an open request's id: at once, or after executedIDLifetime if the request may have been
-// executed.
+// release ends the reservation of an open request's ID: at once, or after executedIDLifetime or longer if the request may
+// have been executed.
 func (r *requestIDs) release(id string, mayHaveExecuted bool) {
 	if id == "" {
 		return
@@ -52,15 +52,15 @@
 	}
 }
 
-// expire frees ids whose lifetime has ended.
+// expire frees the IDs whose lifetime has ended.
 func (r *requestIDs) expire(now time.Time) {
 	sinceRotation := now.Sub(r.lastRotation)
 	if sinceRotation <= executedIDLifetime {
 		return
 	}
-	r.executedBefore = r.executed
-	if sinceRotation > 2*executedIDLifetime { // none has been added for a lifetime
-		r.executedBefore = map[string]bool{}
+	r.prevExecuted = r.executed
+	if sinceRotation > 2*executedIDLifetime { // the last ID was added more than a lifetime ago
+		r.prevExecuted = map[string]bool{}
 	}
 	r.executed = map[string]bool{}
 	r.lastRotation = now
--- a/internal/dispatcher/shutdown.go
+++ b/internal/dispatcher/shutdown.go
@@ -2,37 +2,37 @@
 
 import "time"
 
-// AcceptGrace is how long after SIGTERM a server accepts new connections. Clients go on opening them for 0.4 s, and one
-// that the kernel has accepted but no server has read from would be lost when the listener closes.
+// AcceptGrace is how long after SIGTERM a server accepts new connections. Clients keep opening connections for 0.4 s, and a
+// connection that the kernel has accepted but no server has read from would be lost when the listener closes.
 const AcceptGrace = 450 * time.Millisecond
 
-// ShutdownSchedule is when each part of a graceful shutdown ends, counted from SIGTERM.
+// ShutdownSchedule holds when each phase of a graceful shutdown ends, as the time since SIGTERM.
 type ShutdownSchedule struct {
-	// ServeConnsFor is how long a server reads new requests from the connections that are open: their clients know no other
-	// initiator until the successor is up.
+	// ServeConnsFor is how long a server reads new requests from its open connections. Their clients know no other initiator
+	// until the successor is up.
 	ServeConnsFor time.Duration
-	// AnswerBy is when requests received after AcceptGrace have their responses, so that the successor need not wait.
+	// AnswerBy is when requests received after AcceptGrace must have their responses, so that the successor needn't wait.
 	AnswerBy time.Duration
-	// FinalAnswerBy is when every request has its response: SIGKILL may follow soon after.
+	// FinalAnswerBy is when all requests must have their responses, because SIGKILL may follow soon after.
 	FinalAnswerBy time.Duration
 }
 
 const (
-	// maxAnswerBy bounds AnswerBy, so that the successor need not wait for the longest deadline.
+	// maxAnswerBy limits AnswerBy, so that the successor needn't wait for the longest deadline.
 	maxAnswerBy = 2600 * time.Millisecond
-	// lastRequestTimeout is what is left between ServeConnsFor and AnswerBy for the last requests read.
+	// lastRequestTimeout is how long before AnswerBy servers stop reading requests, so that the last ones can be served.
 	lastRequestTimeout = 800 * time.Millisecond
 )
 
-// SIGKILL may come killDelay after the longest deadline, of which at most maxKillDeadline counts. A request without a
-// response by then is lost; killMargin is by how much a busy process may be late.
+// SIGKILL may come killDelay after the longest deadline, or killDelay after maxKillDeadline if that is shorter. A request
+// that has no response by then is lost. killMargin allows for delays in a busy process.
 const (
 	maxKillDeadline = 3 * time.Second
 	killDelay       = 700 * time.Millisecond
 	killMargin      = 200 * time.Millisecond
 )
 
-// NewShutdownSchedule returns the schedule for clients whose longest deadline is given.
+// NewShutdownSchedule returns the schedule for requests whose longest deadline is maxDeadline.
 func NewShutdownSchedule(maxDeadline time.Duration) ShutdownSchedule {
 	finalAnswerBy := min(maxDeadline, maxKillDeadline) + killDelay - killMargin
 	answerBy := min(maxAnswerBy, finalAnswerBy)
@@ -43,8 +43,9 @@
 	}
 }
 
-// LimitTimeout returns the timeout of a request that was received at the given time. Once the shutdown has begun (nil: it
-// has not), a request received after AcceptGrace gets no more time than there is until AnswerBy; 0: none is left.
+// LimitTimeout returns the timeout of a request that was received at the given time. If the shutdown has begun and the
+// request was received after AcceptGrace, the timeout is limited to the time left until AnswerBy, and is 0 if none is left.
+// shutdownBegan is nil if the shutdown has not begun.
 func (s ShutdownSchedule) LimitTimeout(timeout time.Duration, received time.Time, shutdownBegan *time.Time) time.Duration {
 	if shutdownBegan == nil {
 		return timeout
--- a/internal/dispatcher/wait.go
+++ b/internal/dispatcher/wait.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// WaitUntil returns at the given time, or when the context ends.
+// WaitUntil waits until the given time or until the context is done.
 func WaitUntil(ctx context.Context, until time.Time) {
 	select {
 	case <-time.After(time.Until(until)):
