--- a/internal/endpoints/endpoints.go
+++ b/internal/endpoints/endpoints.go
@@ -1,5 +1,5 @@
-// Package endpoints decodes the endpoint list. Discovery's names for its fields are mapped to the code's
-// terms here.
+// Package endpoints decodes and validates the endpoint list, and maps the field names of discovery's JSON to the terms used
+// in the code.
 package endpoints
 
 import (
@@ -15,34 +15,35 @@
 
 // List is the complete endpoint list, or the entries that changed since an earlier version.
 type List struct {
-	Version  *int64  `json:"version"` // nil only in a list that Check rejects
+	Version  *int64  `json:"version"` // never nil once Validate has succeeded
 	Complete bool    `json:"full"`
 	Entries  []Entry `json:"servers"`
 }
 
-// Entry is a target as the list has it.
+// Entry is a target in the endpoint list.
 type Entry struct {
 	ID        string `json:"id"`
 	Addr      string `json:"addr"` // host:port
 	Zone      string `json:"zone"`
-	Shard     *int   `json:"cell"`       // nil only in an entry of a removed target
-	State     string `json:"state"`      // a key of states, once Check has passed
-	StartedMs int64  `json:"started_ms"` // last start, Unix time in milliseconds; 0: long ago
+	Shard     *int   `json:"cell"`       // once Validate has succeeded, nil only for a removed target
+	State     string `json:"state"`      // a key of targetStates once Validate has succeeded
+	StartedMs int64  `json:"started_ms"` // last start of the target, Unix time in milliseconds; 0 means long ago
 }
 
-// stateRemoved is the state of a target that is not listed any more; only lists of changes have it.
+// stateRemoved marks a target that is no longer listed. It occurs only in lists of changes.
 const stateRemoved = "DELETED"
 
-var states = map[string]scheduler.TargetState{
+// targetStates maps the states in discovery's JSON to those of the scheduler.
+var targetStates = map[string]scheduler.TargetState{
 	"SERVING":    scheduler.Serving,
 	"DRAINING":   scheduler.Draining,
 	stateRemoved: scheduler.Removed,
 }
 
-// FieldError is a field of a list that cannot be used.
+// FieldError reports an invalid field of a list.
 type FieldError struct {
-	Field string // the path of the field in discovery's JSON, such as servers[0].id
-	Err   error
+	Field string // path of the field in discovery's JSON, such as servers[0].id
+	Err   error  // what is wrong with the field
 }
 
 // Error implements error.
@@ -53,13 +54,13 @@
 	return "list: " + e.Field + ": " + e.Err.Error()
 }
 
-// Unwrap returns what is wrong with the field.
+// Unwrap returns Err.
 func (e *FieldError) Unwrap() error { return e.Err }
 
 var errMissing = errors.New("missing")
 
-// Decode decodes a list and checks it: of a list with any entry that cannot be used, nothing is used. Its
-// error is a FieldError if the JSON is sound.
+// Decode decodes and validates a list. A list with any invalid entry is rejected as a whole. The error is a *FieldError if
+// the JSON could be decoded.
 func Decode(data []byte) (*List, error) {
 	var list List
 	if err := jsoniter.ConfigCompatibleWithStandardLibrary.Unmarshal(data, &list); err != nil {
@@ -71,25 +72,26 @@
 	return &list, nil
 }
 
-// Validate returns a FieldError for the first field that cannot be used.
+// Validate returns a *FieldError for the first invalid field.
 func (l *List) Validate() error {
 	if l.Version == nil {
 		return &FieldError{Field: "version", Err: errMissing}
 	}
 	for i := range l.Entries {
-		if field, err := l.Entries[i].check(); err != nil {
+		if field, err := l.Entries[i].validate(); err != nil {
 			return &FieldError{Field: fmt.Sprintf("servers[%d].%s", i, field), Err: err}
 		}
 	}
 	return nil
 }
 
-// check returns the first field that cannot be used, and why. A removed target needs no more than an ID.
-func (e *Entry) check() (field string, err error) {
+// validate returns the name of the first invalid field, and an error that says what is wrong with it. An entry of a removed
+// target needs only its ID and state.
+func (e *Entry) validate() (field string, err error) {
 	if e.ID == "" {
 		return "id", errMissing
 	}
-	if _, known := states[e.State]; !known {
+	if _, known := targetStates[e.State]; !known {
 		return "state", fmt.Errorf("unknown state %q", e.State)
 	}
 	if e.IsRemoved() {
@@ -104,14 +106,14 @@
 	return "", nil
 }
 
-// IsRemoved reports whether the entry takes the target off the list.
+// IsRemoved reports whether the entry removes the target from the list.
 func (e *Entry) IsRemoved() bool { return e.State == stateRemoved }
 
-// TargetState returns the state in the scheduler's terms.
-func (e *Entry) TargetState() scheduler.TargetState { return states[e.State] }
+// TargetState returns the target's state as the scheduler has it.
+func (e *Entry) TargetState() scheduler.TargetState { return targetStates[e.State] }
 
-// Target returns the entry in the scheduler's terms. The caller converts StartedMs to started, which is on the scheduler's
-// clock.
+// Target converts the entry to a scheduler.Target. started is the target's last start in scheduler time, which the caller
+// derives from StartedMs.
 func (e *Entry) Target(started time.Duration) scheduler.Target {
 	target := scheduler.Target{
 		ID:      e.ID,
--- a/internal/endpoints/endpoints_test.go
+++ b/internal/endpoints/endpoints_test.go
@@ -21,52 +21,53 @@
 	return fmt.Sprintf(`{"version":%d,"full":%v,"servers":[%s]}`, version, complete, strings.Join(entries, ","))
 }
 
-// TestFieldErrors checks that the error names the field that cannot be used.
+// TestFieldErrors checks that the error for an invalid list names the invalid field.
 func TestFieldErrors(t *testing.T) {
 	for _, c := range []struct{ name, in, field, want string }{
 		{"no version", `{"full":true,"servers":[]}`, "version", "version is missing"},
 		{"no id", listJSON(1, true, strings.Replace(entryJSON, `"id":"a",`, "", 1)), "servers[0].id", "servers[0].id"},
 		{"no cell", listJSON(1, true, entryJSON, strings.Replace(entryJSON, `"cell":3,`, "", 1)), "servers[1].cell", "servers[1].cell"},
-		{"odd state", listJSON(1, true, strings.Replace(entryJSON, "SERVING", "ODD", 1)), "servers[0].state", `unknown state "ODD"`},
-		{"odd address", listJSON(1, true, strings.Replace(entryJSON, "127.0.0.1:1", "here", 1)), "servers[0].addr", "servers[0].addr"},
+		{"unknown state", listJSON(1, true, strings.Replace(entryJSON, "SERVING", "ODD", 1)), "servers[0].state", `unknown state "ODD"`},
+		{"no port", listJSON(1, true, strings.Replace(entryJSON, "127.0.0.1:1", "here", 1)), "servers[0].addr", "servers[0].addr"},
 	} {
 		_, err := Decode([]byte(c.in))
 		var fieldError *FieldError
 		if !errors.As(err, &fieldError) || fieldError.Field != c.field || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: %v, want %q of %s", c.name, err, c.want, c.field)
+			t.Errorf("%s: error %v, want %q for field %s", c.name, err, c.want, c.field)
 		}
 	}
 }
 
-// TestDecode reads a list of changes; an entry of a removed target has no more than its ID.
+// TestDecode decodes a list of changes, in which the entry of a removed target has only its ID and state.
 func TestDecode(t *testing.T) {
 	list, err := Decode([]byte(listJSON(1, false, entryJSON, `{"id":"b","state":"DELETED"}`)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	const started = 5 * time.Second // on the scheduler's clock
+	const started = 5 * time.Second // in scheduler time
 	want := scheduler.Target{ID: "a", Zone: "z", Shard: 3, Started: started}
 	if got := list.Entries[0].Target(started); got != want {
-		t.Errorf("entry %+v, want %+v", got, want)
+		t.Errorf("target %+v, want %+v", got, want)
 	}
 	if got := list.Entries[0].StartedMs; got != 7 {
-		t.Errorf("started_ms is read as %d, want 7", got)
+		t.Errorf("StartedMs is %d, want 7", got)
 	}
 	if got := list.Entries[1].Target(0); got.State != scheduler.Removed {
-		t.Errorf("removed entry %+v", got)
+		t.Errorf("target of the removed entry %+v, want state Removed", got)
 	}
 }
 
-// TestTruncatedLists cuts a valid list anywhere and feeds garbage: no part passes for a complete one.
+// TestTruncatedLists checks that a valid list is rejected if it is truncated at any point, and that random input doesn't
+// make Decode panic.
 func TestTruncatedLists(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		complete := listJSON(rapid.IntRange(0, 99).Draw(t, "version"), rapid.Bool().Draw(t, "full"), entryJSON, entryJSON)
 		if _, err := Decode([]byte(complete)); err != nil {
 			t.Fatal(err)
 		}
-		cut := complete[:rapid.IntRange(0, len(complete)-1).Draw(t, "cut")]
-		if list, err := Decode([]byte(cut)); err == nil {
-			t.Fatalf("%q passed as %+v", cut, list)
+		truncated := complete[:rapid.IntRange(0, len(complete)-1).Draw(t, "cut")]
+		if list, err := Decode([]byte(truncated)); err == nil {
+			t.Fatalf("truncated list %q was decoded as %+v", truncated, list)
 		}
 		_, _ = Decode(rapid.SliceOf(rapid.Byte()).Draw(t, "garbage")) // must not panic
 	})
--- a/internal/mailbox/mailbox.go
+++ b/internal/mailbox/mailbox.go
@@ -1,12 +1,13 @@
-// Package mailbox provides unbounded queues of messages for goroutines that own their state and receive all input this way.
+// Package mailbox provides unbounded message queues for goroutines that own their state and receive all input as messages.
 package mailbox
 
 import "sync"
 
-// Mailbox is a queue that any goroutine puts messages into and one goroutine, its owner, takes them from.
+// Mailbox is an unbounded queue of messages. Any goroutine may put messages into it; one goroutine, its owner, takes them.
 //
-// It has no bound, so Put neither blocks nor drops: two owners that send to each other cannot deadlock, and no result is
-// lost. What may pile up must be bounded where work is admitted, as by the limits on client connections and open calls.
+// Since it is unbounded, Put neither blocks nor drops a message: two owners that send to each other cannot deadlock, and no
+// result is lost. The number of queued messages must be limited where work is admitted, for example by the limits on client
+// connections and open calls.
 type Mailbox[T any] struct {
 	mu       sync.Mutex
 	messages []T
@@ -18,28 +19,28 @@
 	return &Mailbox[T]{wake: make(chan struct{}, 1)}
 }
 
-// Put adds a message. It never blocks, and is safe for concurrent use.
-func (b *Mailbox[T]) Put(message T) {
-	b.mu.Lock()
-	b.messages = append(b.messages, message)
-	b.mu.Unlock()
+// Put adds a message. It never blocks and is safe for concurrent use.
+func (m *Mailbox[T]) Put(message T) {
+	m.mu.Lock()
+	m.messages = append(m.messages, message)
+	m.mu.Unlock()
 	select {
-	case b.wake <- struct{}{}:
-	default: // the owner has a wake-up pending, and will find this message as well
+	case m.wake <- struct{}{}:
+	default: // a wake-up is pending already, after which the owner takes this message as well
 	}
 }
 
-// Wake returns a channel that is readable when there may be messages to take. A wake-up may be spurious: another Take may
-// have taken the messages.
-func (b *Mailbox[T]) Wake() <-chan struct{} { return b.wake }
+// Wake returns a channel that is readable when there may be messages to take. A wake-up may be spurious, because an earlier
+// Take may have taken the messages already.
+func (m *Mailbox[T]) Wake() <-chan struct{} { return m.wake }
 
-// Take removes and returns all messages, in the order of their Puts; none: an empty slice. Take reuses the memory of spare,
-// which the caller must not use any more: the slice of an earlier Take, or nil.
-func (b *Mailbox[T]) Take(spare []T) []T {
+// Take removes and returns all messages, in the order in which they were put. The slice is empty if there are none. spare is
+// a slice that an earlier Take returned, or nil. Take reuses its memory, so the caller must not use it any more.
+func (m *Mailbox[T]) Take(spare []T) []T {
 	clear(spare)
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	messages := b.messages
-	b.messages = spare[:0]
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	messages := m.messages
+	m.messages = spare[:0]
 	return messages
 }
--- a/internal/mailbox/mailbox_test.go
+++ b/internal/mailbox/mailbox_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// TestTakeReturnsMessagesInOrder takes twice and checks that the second batch holds nothing of the first, although it reuses
-// the memory of an earlier one.
+// TestTakeReturnsMessagesInOrder takes several batches and checks that each has only the messages put since the last Take,
+// although Take reuses the memory of an earlier batch.
 func TestTakeReturnsMessagesInOrder(t *testing.T) {
 	box := New[int]()
 	var spare []int
@@ -24,10 +24,9 @@
 	}
 }
 
-// TestNoMessageIsLeftBehind
-//
-// An owner that misses a wake-up sleeps with messages in its mailbox, and their requests are never answered. Many goroutines
-// put messages while the owner takes them: it must be woken until it has all.
+// TestNoMessageIsLeftBehind has many goroutines put messages while the owner takes them, and checks that the owner is woken
+// until it has all of them. An owner that misses a wake-up would sleep with messages in its mailbox, and the requests they
+// belong to would never get a response.
 func TestNoMessageIsLeftBehind(t *testing.T) {
 	const senders, messagesEach = 8, 1000
 	box := New[int]()
@@ -47,7 +46,7 @@
 			spare = box.Take(spare)
 			received += len(spare)
 		case <-timeout:
-			t.Fatalf("%d of %d messages after a minute", received, senders*messagesEach)
+			t.Fatalf("received %d of %d messages within a minute", received, senders*messagesEach)
 		}
 	}
 	sending.Wait()
--- a/internal/propertytest/propertytest.go
+++ b/internal/propertytest/propertytest.go
@@ -1,4 +1,4 @@
-// Package propertytest runs the property tests of a package with a fixed seed, so that CI has the same verdict every time.
+// Package propertytest runs the property tests of a package with a fixed seed, so that CI gives the same result on each run.
 package propertytest
 
 import (
@@ -7,13 +7,14 @@
 	"testing"
 )
 
-// rapidFlags are the flags of pgregory.net/rapid that fix its seed and keep it from writing files.
+// rapidFlags holds values for flags of pgregory.net/rapid. They fix its seed and keep it from writing failure files.
 var rapidFlags = map[string]string{
 	"rapid.seed":       "1",
 	"rapid.nofailfile": "true",
 }
 
-// Main runs the tests of a package and exits. A TestMain calls it. The package's tests must import rapid, whose flags it sets.
+// Main sets the flags of rapid, runs the tests of a package and exits. It is called by TestMain of a package whose tests
+// import rapid; otherwise the flags don't exist, and Main panics.
 func Main(m *testing.M) {
 	flag.Parse()
 	for name, value := range rapidFlags {
