--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -1,7 +1,7 @@
-// Package socket asks the kernel for the state of a connection or a listener without reading anything from it, and closes
-// either after a check that nothing has arrived that would get no response.
+// Package socket gets the state of connections and listeners from the kernel without reading data from them, and closes them
+// only if nothing has arrived on them that would get no response.
 //
-// A Conn or Listener that has no system socket, such as a net.Pipe in a test, is taken as open with nothing unread.
+// A net.Conn or net.Listener without a system socket, such as a net.Pipe in a test, counts as open with nothing unread.
 package socket
 
 import (
@@ -16,17 +16,17 @@
 // acceptQueuePollInterval is how often CloseListenerWhenEmpty checks the accept queue.
 const acceptQueuePollInterval = time.Millisecond
 
-// maxClockTick is the longest tick of the kernel's clock, by which it counts the age of data.
+// maxClockTick is the longest tick of the clock with which the kernel measures the age of data.
 const maxClockTick = 10 * time.Millisecond
 
-// peekFlags make a receive look at the first byte without taking it and without waiting.
+// peekFlags make a receive call return the first byte without consuming it and without blocking.
 const peekFlags = syscall.MSG_PEEK | syscall.MSG_DONTWAIT
 
-// IsOpenAndIdle reports whether a connection is open and nothing is unread on it. It never waits.
+// IsOpenAndIdle reports whether a connection is open and has no unread bytes. It never blocks.
 //
-// Prevents the use of a pooled connection that the other side has closed, or on which a late response would be taken for that
-// of the next request, because both show as a read that would not wait. It is so at the time of the call: whatever arrives
-// later is for the caller to detect.
+// It detects pooled connections that must not be used again: those that the peer has closed, and those with unread bytes of
+// a late response, which would be taken for the response to the next request. In both cases, a read would not block. The
+// result holds for the time of the call; the caller must detect anything that arrives later.
 func IsOpenAndIdle(conn net.Conn) bool {
 	syscallConn, ok := conn.(syscall.Conn)
 	if !ok {
@@ -36,24 +36,24 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	idle := false
 	var firstByte [1]byte
-	// Control and not Read, which would wait for a read that has begun.
+	// Control is used because RawConn.Read would wait for another read in progress.
 	err = rawConn.Control(func(fd uintptr) {
 		_, _, err := syscall.Recvfrom(int(fd), firstByte[:], peekFlags)
-		quiet = err == syscall.EAGAIN || err == syscall.EWOULDBLOCK
+		idle = err == syscall.EAGAIN || err == syscall.EWOULDBLOCK
 	})
-	return err == nil && quiet
+	return err == nil && idle
 }
 
-// ShutdownIfIdle shuts a connection down in both directions if it is open, nothing is unread on it, and confirm then returns
-// true. It reports whether it did; the caller still has to close the connection. A finalMessage that is not empty is sent
-// first, as far as the send buffer has space at once.
+// ShutdownIfIdle shuts a connection down in both directions if it is open, has no unread bytes, and confirm then returns
+// true. It reports whether it did. The caller must still close the connection. If finalMessage is not empty, as much of it
+// as fits into the send buffer is sent first.
 //
-// Prevents a close over a request that arrives between the check and the close of a busy process, which may take long to run
-// this goroutine again, because the raw system calls follow one another without a call into the Go scheduler. A small window
-// remains between the two system calls: bytes that arrive in it are answered by a reset, as are those that arrive after the
-// shutdown.
+// A busy process may take long to run a goroutine again after a call into the Go scheduler. If that happened between the
+// check and the shutdown, a request could arrive in between and get no response. ShutdownIfIdle therefore uses raw system
+// calls, with no call into the Go scheduler between them. A small window remains between the two system calls: bytes that
+// arrive in it are answered by a reset, as are those that arrive after the shutdown.
 func ShutdownIfIdle(conn net.Conn, finalMessage string, confirm func() bool) bool {
 	syscallConn, ok := conn.(syscall.Conn)
 	if !ok {
@@ -79,7 +79,7 @@
 	return err == nil && shutDown
 }
 
-// TrySend sends a message as far as the send buffer has space at once. It never waits.
+// TrySend sends as much of a message as fits into the send buffer. It never blocks.
 func TrySend(conn net.Conn, message string) {
 	syscallConn, ok := conn.(syscall.Conn)
 	if !ok {
@@ -92,7 +92,7 @@
 	_ = rawConn.Control(func(fd uintptr) { sendNow(fd, []byte(message)) }) // fails on a closed connection
 }
 
-// sendNow is TrySend for a file descriptor, without a call into the Go scheduler.
+// sendNow implements TrySend for a file descriptor, without a call into the Go scheduler.
 func sendNow(fd uintptr, message []byte) {
 	if len(message) == 0 {
 		return
@@ -101,12 +101,12 @@
 		uintptr(unsafe.Pointer(&message[0])), uintptr(len(message)), syscall.MSG_DONTWAIT|syscall.MSG_NOSIGNAL, 0, 0)
 }
 
-// ClosedByPeer reports whether the other side has closed or reset a connection, also if bytes from before are still unread. A
-// close of its write side alone (half-close) counts as well: the two look the same from here. So does a connection that this
-// side has closed.
+// ClosedByPeer reports whether the peer has closed or reset a connection, even if bytes that it sent earlier are still
+// unread. It also returns true if the peer has closed only its write side (half-close), which looks the same on this side,
+// and if this side has closed the connection.
 //
-// Prevents work for a client that has closed, which a read would show only after all unread bytes, such as those of pipelined
-// requests, because the kernel reports the close apart from the data.
+// It avoids work for a client that has closed its connection. A read would show the close only after all unread bytes, such
+// as those of pipelined requests, but the kernel reports it separately from the data.
 func ClosedByPeer(conn net.Conn) bool {
 	syscallConn, ok := conn.(syscall.Conn)
 	if !ok {
@@ -120,19 +120,19 @@
 	return err != nil || closed
 }
 
-// pollNow reports whether a socket has one of the poll events, an error or a hang-up. It never waits. It returns an error if
-// the socket is closed on this side.
-func pollNow(rawConn syscall.RawConn, events int16) (happened bool, err error) {
+// pollNow reports whether one of the poll events, an error or a hang-up is pending on a socket. It never blocks. It returns
+// an error if this side has closed the socket.
+func pollNow(rawConn syscall.RawConn, events int16) (ready bool, err error) {
 	err = rawConn.Control(func(fd uintptr) {
 		count, err := unix.Poll([]unix.PollFd{{Fd: int32(fd), Events: events}}, 0)
-		happened = err == nil && count > 0
+		ready = err == nil && count > 0
 	})
-	return happened, err
+	return ready, err
 }
 
-// SinceLastData returns how long ago the last bytes from the other side arrived at this machine, whether or not they have been
-// read since. It is never more than the true time, and at most two ticks of the kernel's clock less. ok is false where the
-// kernel does not say, or the socket is closed on this side.
+// SinceLastData returns how long ago the last bytes from the peer arrived at this machine, whether or not they have been
+// read since. The result is never longer than the true time, and at most two ticks of the kernel's clock shorter. ok is
+// false if the kernel doesn't provide the time, or if this side has closed the socket.
 func SinceLastData(rawConn syscall.RawConn) (elapsed time.Duration, ok bool) {
 	var info *unix.TCPInfo
 	var infoError error
@@ -146,11 +146,11 @@
 }
 
 // CloseListenerWhenEmpty closes a listener once its accept queue is empty, or at the deadline. Another goroutine must be
-// accepting. It returns the error of Close.
+// accepting connections meanwhile. It returns the error of Close.
 //
-// Prevents the kernel from resetting connections at shutdown that are in the accept queue when the listener closes, whose
-// clients would see them end without a response, because the listener closes only after a check that the queue is empty. A
-// connection that arrives after that check, or is still in the queue at the deadline, is reset.
+// When a listener closes, the kernel resets the connections in its accept queue, and their clients get no response.
+// CloseListenerWhenEmpty avoids this at shutdown by checking that the queue is empty before it closes the listener. A
+// connection that arrives after the check, or is still in the queue at the deadline, is reset.
 func CloseListenerWhenEmpty(listener net.Listener, deadline time.Time) error {
 	syscallConn, ok := listener.(syscall.Conn)
 	if !ok {
--- a/internal/socket/socket_test.go
+++ b/internal/socket/socket_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// waitLimit is longer than anything takes that a test waits for, also on a busy machine.
-const waitLimit = 10 * time.Second
+// testTimeout limits each wait of a test. Even on a busy machine, nothing that a test waits for takes this long.
+const testTimeout = 10 * time.Second
 
 func listen(t *testing.T) net.Listener {
 	t.Helper()
@@ -29,13 +29,13 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = conn.Close() })
-	if err := conn.SetDeadline(time.Now().Add(waitLimit)); err != nil {
+	if err := conn.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	return conn.(*net.TCPConn)
 }
 
-// connPair returns both ends of a connection over the loopback.
+// connPair returns both ends of a connection over the loopback interface.
 func connPair(t *testing.T) (client, accepted *net.TCPConn) {
 	t.Helper()
 	l := listen(t)
@@ -55,55 +55,56 @@
 	}
 }
 
-// await waits until the condition holds: what one end does takes a moment to show at the other.
+// await waits until the condition holds, since an action at one end of a connection takes a moment to show at the other.
 func await(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	giveUpAt := time.Now().Add(waitLimit)
+	giveUpAt := time.Now().Add(testTimeout)
 	for !condition() {
 		if time.Now().After(giveUpAt) {
-			t.Fatalf("not within %v: %s", waitLimit, what)
+			t.Fatalf("timed out after %v, waiting until %s", testTimeout, what)
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-func agree() bool { return true }
+func alwaysConfirm() bool { return true }
 
-// TestIsQuiet checks the three states of a pooled connection, and that the look takes nothing from it.
-func TestIsQuiet(t *testing.T) {
+// TestIsOpenAndIdle checks the three states of a pooled connection (idle, with unread bytes, closed by the peer), and that
+// IsOpenAndIdle consumes no bytes.
+func TestIsOpenAndIdle(t *testing.T) {
 	client, accepted := connPair(t)
 	if !IsOpenAndIdle(accepted) {
-		t.Error("an open connection with nothing unread is not quiet")
+		t.Error("an open connection with nothing unread is not idle")
 	}
 	write(t, client, "ab")
-	await(t, "unread bytes show", func() bool { return !IsOpenAndIdle(accepted) })
+	await(t, "the connection has unread bytes", func() bool { return !IsOpenAndIdle(accepted) })
 	buffer := make([]byte, 2)
 	if _, err := io.ReadFull(accepted, buffer); err != nil || string(buffer) != "ab" {
-		t.Errorf("read %q, %v after the look", buffer, err)
+		t.Errorf("read %q, %v after IsOpenAndIdle", buffer, err)
 	}
 	if !IsOpenAndIdle(accepted) {
-		t.Error("not quiet after all was read")
+		t.Error("not idle after all bytes were read")
 	}
 	if err := client.Close(); err != nil {
 		t.Fatal(err)
 	}
-	await(t, "the close shows", func() bool { return !IsOpenAndIdle(accepted) })
+	await(t, "the close is detected", func() bool { return !IsOpenAndIdle(accepted) })
 }
 
-// TestShutdownIfQuiet shuts an idle connection down: the client gets the final message and the end.
-func TestShutdownIfQuiet(t *testing.T) {
+// TestShutdownIfIdle shuts an idle connection down and checks that the client gets the final message and then end of file.
+func TestShutdownIfIdle(t *testing.T) {
 	client, accepted := connPair(t)
-	if !ShutdownIfIdle(accepted, "bye", agree) {
-		t.Fatal("not shut down")
+	if !ShutdownIfIdle(accepted, "bye", alwaysConfirm) {
+		t.Fatal("the idle connection was not shut down")
 	}
 	if got, err := io.ReadAll(client); err != nil || string(got) != "bye" {
 		t.Errorf("the client read %q, %v", got, err)
 	}
 }
 
-// TestShutdownKeepsUnreadBytes wants a connection left open on which a byte has arrived: it may be a request, which would get
-// no response. confirm is not called.
-func TestShutdownKeepsUnreadBytes(t *testing.T) {
+// TestShutdownIfIdleKeepsConnWithUnreadBytes checks that a connection on which a byte has arrived stays open, and that
+// confirm is not called. The byte may belong to a request, which would get no response.
+func TestShutdownIfIdleKeepsConnWithUnreadBytes(t *testing.T) {
 	client, accepted := connPair(t)
 	write(t, client, "G")
 	await(t, "the byte arrives", func() bool { return !IsOpenAndIdle(accepted) })
@@ -113,21 +114,21 @@
 		return true
 	}
 	if ShutdownIfIdle(accepted, "bye", confirm) || confirmed {
-		t.Errorf("shut down over an unread byte, or confirm was called: %v", confirmed)
+		t.Errorf("shut down with a byte unread, or confirm was called: %v", confirmed)
 	}
 	wantOpen(t, client, accepted)
 }
 
-// TestShutdownNeedsConfirmation wants a connection left open if confirm returns false.
-func TestShutdownNeedsConfirmation(t *testing.T) {
+// TestShutdownIfIdleNeedsConfirmation checks that a connection stays open if confirm returns false.
+func TestShutdownIfIdleNeedsConfirmation(t *testing.T) {
 	client, accepted := connPair(t)
 	if ShutdownIfIdle(accepted, "bye", func() bool { return false }) {
-		t.Error("shut down though confirm returned false")
+		t.Error("shut down although confirm returned false")
 	}
 	wantOpen(t, client, accepted)
 }
 
-// wantOpen wants what the accepted end writes to be the next that the client reads.
+// wantOpen writes a byte at the accepted end and fails the test unless it is the next byte that the client reads.
 func wantOpen(t *testing.T, client, accepted net.Conn) {
 	t.Helper()
 	write(t, accepted, "x")
@@ -137,86 +138,87 @@
 	}
 }
 
-// TestIsPeerClosed has the client write and then close: the close must show while its bytes are still unread.
-func TestIsPeerClosed(t *testing.T) {
+// TestClosedByPeer has the client write and then close its write side. The close must be detected while the client's bytes
+// are still unread.
+func TestClosedByPeer(t *testing.T) {
 	client, accepted := connPair(t)
 	write(t, client, "request")
 	await(t, "the bytes arrive", func() bool { return !IsOpenAndIdle(accepted) })
 	if ClosedByPeer(accepted) {
-		t.Error("closed before the client closed")
+		t.Error("reported as closed before the client closed it")
 	}
 	if err := client.CloseWrite(); err != nil {
 		t.Fatal(err)
 	}
-	await(t, "the close shows behind unread bytes", func() bool { return ClosedByPeer(accepted) })
+	await(t, "the close is detected behind unread bytes", func() bool { return ClosedByPeer(accepted) })
 	if err := accepted.Close(); err != nil {
 		t.Fatal(err)
 	}
 	if !ClosedByPeer(accepted) {
-		t.Error("a connection closed on this side counts as open")
+		t.Error("a connection closed on this side is reported as open")
 	}
 }
 
-// TestCloseListenerWhenEmpty has clients wait in the accept queue while the accepting goroutine is held up.
-//
-// Rule: all are accepted before the listener closes. Failure: the kernel resets what is left in the queue then.
+// TestCloseListenerWhenEmpty has clients wait in the accept queue while the accepting goroutine is delayed. All must be
+// accepted before the listener closes, because the kernel resets the connections that are still in the queue then.
 func TestCloseListenerWhenEmpty(t *testing.T) {
 	const clients = 4
 	l := listen(t)
 	for range clients {
 		dial(t, l)
 	}
-	drained := make(chan error, 1)
-	go func() { drained <- CloseListenerWhenEmpty(l, time.Now().Add(waitLimit)) }()
+	closed := make(chan error, 1)
+	go func() { closed <- CloseListenerWhenEmpty(l, time.Now().Add(testTimeout)) }()
 	for i := range clients {
-		time.Sleep(20 * time.Millisecond) // as if held up
+		time.Sleep(20 * time.Millisecond) // delays the accepting goroutine
 		conn, err := l.Accept()
 		if err != nil {
-			t.Fatalf("accepted %d of %d: %v", i, clients, err)
+			t.Fatalf("accepted %d of %d connections: %v", i, clients, err)
 		}
 		t.Cleanup(func() { _ = conn.Close() })
 	}
-	if err := <-drained; err != nil {
+	if err := <-closed; err != nil {
 		t.Error(err)
 	}
 	if _, err := l.Accept(); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("accept after the drain: %v, want %v", err, net.ErrClosed)
+		t.Errorf("Accept after the listener closed: %v, want %v", err, net.ErrClosed)
 	}
 }
 
-// TestCloseListenerAtDeadline has nobody accept: the listener is closed all the same, and the client is reset.
+// TestCloseListenerAtDeadline accepts no connections. The listener must still be closed at the deadline, and the client's
+// connection reset.
 func TestCloseListenerAtDeadline(t *testing.T) {
 	const wait = 50 * time.Millisecond
 	l := listen(t)
 	client := dial(t, l)
-	begunAt := time.Now()
-	if err := CloseListenerWhenEmpty(l, begunAt.Add(wait)); err != nil {
+	startedAt := time.Now()
+	if err := CloseListenerWhenEmpty(l, startedAt.Add(wait)); err != nil {
 		t.Error(err)
 	}
-	if took := time.Since(begunAt); took < wait {
-		t.Errorf("closed after %v over a connection in the accept queue", took)
+	if took := time.Since(startedAt); took < wait {
+		t.Errorf("closed after %v, before the deadline, with a connection in the accept queue", took)
 	}
 	if _, err := client.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("the client read %v, want %v", err, syscall.ECONNRESET)
 	}
 }
 
-// TestNoSystemSocket takes connections without a system socket as open with nothing unread.
+// TestNoSystemSocket checks that a connection without a system socket counts as open with nothing unread.
 func TestNoSystemSocket(t *testing.T) {
 	conn, peer := net.Pipe()
 	t.Cleanup(func() {
 		_ = conn.Close()
 		_ = peer.Close()
 	})
-	if !IsOpenAndIdle(conn) || ClosedByPeer(conn) || !ShutdownIfIdle(conn, "", agree) {
-		t.Errorf("quiet %v, closed by peer %v", IsOpenAndIdle(conn), ClosedByPeer(conn))
+	if !IsOpenAndIdle(conn) || ClosedByPeer(conn) || !ShutdownIfIdle(conn, "", alwaysConfirm) {
+		t.Errorf("idle %v, closed by peer %v, or not shut down", IsOpenAndIdle(conn), ClosedByPeer(conn))
 	}
 }
 
-// TestSinceLastData checks that the wait of bytes at this machine is known before and after they are read, and that it is never
-// said to be longer than it was.
+// TestSinceLastData checks that the time since the last bytes arrived is known both before and after they are read, and that
+// the result is never longer than the true time.
 func TestSinceLastData(t *testing.T) {
-	const waits = 60 * time.Millisecond
+	const sleep = 60 * time.Millisecond
 	client, accepted := connPair(t)
 	rawConn, err := accepted.SyscallConn()
 	if err != nil {
@@ -227,20 +229,20 @@
 	check := func(when string) {
 		t.Helper()
 		elapsed, ok := SinceLastData(rawConn)
-		if longest := time.Since(sentAt); !ok || elapsed < waits/2 || elapsed > longest {
-			t.Errorf("%s: %v, %v; want at most %v", when, elapsed, ok, longest)
+		if upperBound := time.Since(sentAt); !ok || elapsed < sleep/2 || elapsed > upperBound {
+			t.Errorf("%s: elapsed %v, ok %v; want at least half the sleep, at most %v", when, elapsed, ok, upperBound)
 		}
 	}
-	time.Sleep(waits)
-	check("unread")
+	time.Sleep(sleep)
+	check("before the read")
 	if _, err := io.ReadFull(accepted, make([]byte, 2)); err != nil {
 		t.Fatal(err)
 	}
-	check("read")
+	check("after the read")
 	if err := accepted.Close(); err != nil {
 		t.Fatal(err)
 	}
 	if elapsed, ok := SinceLastData(rawConn); ok {
-		t.Errorf("closed: %v, want nothing", elapsed)
+		t.Errorf("elapsed %v, ok true on a closed connection; want ok false", elapsed)
 	}
 }
