--- a/internal/dispatcher/dispatcher_test.go
+++ b/internal/dispatcher/dispatcher_test.go
@@ -109,9 +109,9 @@
 	}
 	result := h.upstream.result(scheduler.Succeeded)
 	result.Payload = "body"
-	unknown := result
-	unknown.Number = 3
-	h.receive(attemptEnded{unknown}, attemptEnded{result}, attemptEnded{result})
+	neverSent := result
+	neverSent.Number = 3
+	h.receive(attemptEnded{neverSent}, attemptEnded{result}, attemptEnded{result})
 	h.receive(attemptEnded{result})
 	if len(h.responses) != 1 || h.responses[0].Status != Served || h.responses[0].Payload != "body" {
 		t.Fatalf("responses %+v, want one that is Served, with the payload", h.responses)
@@ -121,9 +121,10 @@
 	}
 }
 
-// TestTimeoutRunsFromArrival checks that a client's timeout starts when the request arrives. A busy process may read the
-// request long after that. If the timeout started then, the response would be written after the client has stopped waiting.
-func TestTimeoutRunsFromArrival(t *testing.T) {
+// TestClientTimeoutStartsAtArrival checks that a client's timeout starts when the request arrives. A busy process may read
+// the request long after that. If the timeout started then, the response would be written after the client has stopped
+// waiting.
+func TestClientTimeoutStartsAtArrival(t *testing.T) {
 	h := newHarness(t)
 	h.receive(callSubmitted{h.newCall("get", h.now.Add(-1500*time.Millisecond))})
 	if len(h.upstream.sent) != 1 {
@@ -169,18 +170,18 @@
 			h.receive(attemptEnded{h.upstream.result(scheduler.Errored)})
 		}
 		h.advance(3 * time.Second)
-		ended := ""
+		endLines := ""
 		for line := range strings.Lines(log.String()) {
 			if strings.Contains(line, eventRequestEnded) {
-				ended += line
+				endLines += line
 			}
 		}
-		if strings.Count(ended, "\n") != 1 {
-			t.Fatalf("request with attempt: %v; logged %q at its end, want one line", hasAttempt, ended)
+		if strings.Count(endLines, "\n") != 1 {
+			t.Fatalf("request with attempt: %v; logged %q at its end, want one line", hasAttempt, endLines)
 		}
 		wantField := fieldLastAttempt + "=" + scheduler.Errored.String()
-		if strings.Contains(ended, fieldLastAttempt+"=") != hasAttempt || strings.Contains(ended, wantField) != hasAttempt {
-			t.Errorf("request with attempt: %v; logged %q at its end, want the last attempt's status if any", hasAttempt, ended)
+		if strings.Contains(endLines, fieldLastAttempt+"=") != hasAttempt || strings.Contains(endLines, wantField) != hasAttempt {
+			t.Errorf("request with attempt: %v; logged %q at its end, want the last attempt's status if any", hasAttempt, endLines)
 		}
 	}
 }
--- a/internal/dispatcher/requestids_test.go
+++ b/internal/dispatcher/requestids_test.go
@@ -29,7 +29,7 @@
 		t.Helper()
 		h.submitWithID(t, "a", "put")
 		if len(h.responses) == 0 || h.lastResponse().Status != Duplicate {
-			t.Errorf("%s: responses %+v, want a duplicate", when, h.responses)
+			t.Errorf("%s: responses %+v, want Duplicate as the last", when, h.responses)
 		}
 	}
 
--- a/internal/dispatcher/shutdown.go
+++ b/internal/dispatcher/shutdown.go
@@ -50,9 +50,9 @@
 	if shutdownBegan == nil {
 		return timeout
 	}
-	since := received.Sub(*shutdownBegan)
-	if since <= AcceptGrace {
+	sinceShutdown := received.Sub(*shutdownBegan)
+	if sinceShutdown <= AcceptGrace {
 		return timeout
 	}
-	return max(min(timeout, s.AnswerBy-since), 0)
+	return max(min(timeout, s.AnswerBy-sinceShutdown), 0)
 }
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -1,5 +1,5 @@
 // Package socket gets the state of connections and listeners from the kernel without reading data from them, and closes them
-// only if nothing has arrived on them that would get no response.
+// after checking that nothing has arrived on them that would get no response.
 //
 // A net.Conn or net.Listener without a system socket, such as a net.Pipe in a test, counts as open with nothing unread.
 package socket
