--- a/internal/endpoints/endpoints.go
+++ b/internal/endpoints/endpoints.go
@@ -112,14 +112,14 @@
 // TargetState returns the target's state as the scheduler has it.
 func (e *Entry) TargetState() scheduler.TargetState { return targetStates[e.State] }
 
-// Target converts the entry to a scheduler.Target. started is the target's last start in scheduler time, which the caller
+// Target converts the entry to a scheduler.Target. startedAt is the target's last start in scheduler time, which the caller
 // derives from StartedMs.
-func (e *Entry) Target(started time.Duration) scheduler.Target {
+func (e *Entry) Target(startedAt time.Duration) scheduler.Target {
 	target := scheduler.Target{
 		ID:        e.ID,
 		Zone:      e.Zone,
 		State:     e.TargetState(),
-		StartedAt: started,
+		StartedAt: startedAt,
 	}
 	if e.Shard != nil {
 		target.Shard = *e.Shard
--- a/internal/endpoints/endpoints_test.go
+++ b/internal/endpoints/endpoints_test.go
@@ -44,9 +44,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	const started = 5 * time.Second // in scheduler time
-	want := scheduler.Target{ID: "a", Zone: "z", Shard: 3, StartedAt: started}
-	if got := list.Entries[0].Target(started); got != want {
+	const startedAt = 5 * time.Second // in scheduler time
+	want := scheduler.Target{ID: "a", Zone: "z", Shard: 3, StartedAt: startedAt}
+	if got := list.Entries[0].Target(startedAt); got != want {
 		t.Errorf("target %+v, want %+v", got, want)
 	}
 	if got := list.Entries[0].StartedMs; got != 7 {
