--- a/cmd/initiator/agent.go
+++ b/cmd/initiator/agent.go
@@ -38,7 +38,7 @@
 func runAgent(ctx context.Context, settings *config.Agent, log *slog.Logger) error {
 	listener, err := net.Listen("tcp", settings.API())
 	if err != nil {
-		return settings.APIError(err)
+		return settings.APIAddrError(err)
 	}
 	store, err := configstore.Start(configstore.Options{
 		ID:       settings.ID,
--- a/cmd/initiator/follow.go
+++ b/cmd/initiator/follow.go
@@ -15,7 +15,7 @@
 func follow(ctx context.Context, agents []string, getenv func(string) string, operatorFile string, log *slog.Logger) error {
 	name := getenv(config.EnvName)
 	if name == "" {
-		return config.Missing(config.EnvName)
+		return config.MissingField(config.EnvName)
 	}
 	watchCtx, stopWatch := context.WithCancel(ctx)
 	defer stopWatch()
@@ -38,7 +38,7 @@
 // watchEntry sends each new version of the named configuration, until the context ends.
 func watchEntry(ctx context.Context, client *configstore.Client, name string, log *slog.Logger) <-chan configstore.Entry {
 	entries := make(chan configstore.Entry)
-	go client.Follow(ctx, name, log, func(entry configstore.Entry) {
+	go client.Watch(ctx, name, log, func(entry configstore.Entry) {
 		select {
 		case entries <- entry:
 		case <-ctx.Done():
--- a/cmd/initiator/initiator.go
+++ b/cmd/initiator/initiator.go
@@ -69,7 +69,7 @@
 
 // serve runs an initiator until the context ends, and then until its graceful shutdown is complete. The limits apply to the
 // whole process: those of a version that then cannot be served stay in force.
-func serve(ctx context.Context, cfg *config.Config, operator *config.Operator, log *slog.Logger, options runOptions) error {
+func serve(ctx context.Context, cfg *config.Config, operator *config.OperatorFile, log *slog.Logger, options runOptions) error {
 	applyLimits(cfg.Limits)
 	in, err := newInitiator(cfg, operator, log)
 	if err != nil {
@@ -85,10 +85,10 @@
 }
 
 // newInitiator builds the parts of an initiator and starts none of them.
-func newInitiator(cfg *config.Config, operator *config.Operator, log *slog.Logger) (*initiator, error) {
+func newInitiator(cfg *config.Config, operator *config.OperatorFile, log *slog.Logger) (*initiator, error) {
 	decider, err := scheduler.New(cfg.Scheduler, cfg.Seed)
 	if err != nil {
-		return nil, config.Under("settings", err)
+		return nil, config.PrefixField("settings", err)
 	}
 	in := &initiator{config: cfg, log: log, clock: dispatcher.NewClock()}
 	in.registry = upstream.NewRegistry(upstream.Options{
@@ -111,7 +111,7 @@
 }
 
 // newDialer returns the protocol towards targets: NVMe over TCP if the operator has set it up, and HTTP otherwise.
-func newDialer(cfg *config.Config, operator *config.Operator) upstream.Dialer {
+func newDialer(cfg *config.Config, operator *config.OperatorFile) upstream.Dialer {
 	if operator.NVMe != nil {
 		return nvme.NewHost(nvmeHostOptions(operator.NVMe))
 	}
@@ -129,7 +129,7 @@
 
 // newServers returns the clients' servers. With NVMe over TCP the HTTP server answers health checks alone, since all
 // targets speak NVMe.
-func (in *initiator) newServers(operator *config.Operator) map[string]server {
+func (in *initiator) newServers(operator *config.OperatorFile) map[string]server {
 	cfg := in.config
 	servers := map[string]server{
 		cfg.Listen: clienthttp.New(in.dispatcher, clienthttp.Options{
--- a/cmd/initiator/serve.go
+++ b/cmd/initiator/serve.go
@@ -72,7 +72,7 @@
 }
 
 // loadConfig reads the platform's configuration and the operator's file, if one is named.
-func loadConfig(getenv func(string) string, operatorFile string) (*config.Config, *config.Operator, error) {
+func loadConfig(getenv func(string) string, operatorFile string) (*config.Config, *config.OperatorFile, error) {
 	cfg, err := config.Load(getenv)
 	if err != nil {
 		return nil, nil, err
@@ -82,9 +82,9 @@
 }
 
 // readOperator reads the operator's file; an empty path stands for a file that sets up nothing.
-func readOperator(path string, cfg *config.Config) (*config.Operator, error) {
+func readOperator(path string, cfg *config.Config) (*config.OperatorFile, error) {
 	if path == "" {
-		return &config.Operator{}, nil
+		return &config.OperatorFile{}, nil
 	}
-	return config.ReadOperator(path, cfg)
+	return config.ReadOperatorFile(path, cfg)
 }
--- a/cmd/initiator/testbed_test.go
+++ b/cmd/initiator/testbed_test.go
@@ -140,7 +140,7 @@
 }
 
 // mustLoad writes and loads the testbed's configuration, with an operator's file if its text is not empty.
-func (b *testbed) mustLoad(t *testing.T, operatorText string) (*config.Config, *config.Operator) {
+func (b *testbed) mustLoad(t *testing.T, operatorText string) (*config.Config, *config.OperatorFile) {
 	t.Helper()
 	dir := t.TempDir()
 	configFile := filepath.Join(dir, "config.json")
--- a/cmd/simadapter/adapter.go
+++ b/cmd/simadapter/adapter.go
@@ -131,11 +131,11 @@
 	}
 	settings, err := event.Options.SchedulerSettings()
 	if err != nil {
-		return config.Under("options", err)
+		return config.PrefixField("options", err)
 	}
 	s, err := scheduler.New(settings, seed)
 	if err != nil {
-		return config.Under("options", err)
+		return config.PrefixField("options", err)
 	}
 	a.schedulers[in.initiatorID] = s
 	in.events = nil
--- a/cmd/simadapter/wire.go
+++ b/cmd/simadapter/wire.go
@@ -90,7 +90,7 @@
 func require(fields ...requiredField) error {
 	for _, f := range fields {
 		if !f.present {
-			return config.Missing(f.name)
+			return config.MissingField(f.name)
 		}
 	}
 	return nil
--- a/internal/config/agent.go
+++ b/internal/config/agent.go
@@ -28,8 +28,8 @@
 // API returns the host:port of this server's HTTP API.
 func (a *Agent) API() string { return a.Peers[a.peerIndex()].API }
 
-// APIError returns an error about the address that API returns, with the path of its field.
-func (a *Agent) APIError(err error) *FieldError {
+// APIAddrError returns an error about the address that API returns, with the path of its field.
+func (a *Agent) APIAddrError(err error) *FieldError {
 	return &FieldError{Field: fmt.Sprintf("agent.peer[%d].api", a.peerIndex()), Err: err}
 }
 
@@ -41,9 +41,9 @@
 func (a *Agent) validate() *FieldError {
 	switch {
 	case a.Dir == "":
-		return Missing("dir")
+		return MissingField("dir")
 	case len(a.Peers) == 0:
-		return Missing("peer")
+		return MissingField("peer")
 	}
 	ids := map[string]bool{}
 	for i, peer := range a.Peers {
@@ -52,7 +52,7 @@
 		}
 		ids[peer.ID] = true
 		if err := peer.validateAddresses(); err != nil {
-			return Under(fmt.Sprintf("peer[%d]", i), err)
+			return PrefixField(fmt.Sprintf("peer[%d]", i), err)
 		}
 	}
 	if !ids[a.ID] {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -71,7 +71,7 @@
 func Load(getenv func(string) string) (*Config, error) {
 	path := getenv(EnvConfigFile)
 	if path == "" {
-		return nil, Missing(EnvConfigFile)
+		return nil, MissingField(EnvConfigFile)
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -117,7 +117,7 @@
 // validate checks the fields that are used as they are, and fills in the defaults of the limits.
 func (f *configFile) validate() error {
 	if f.Name == "" {
-		return Missing("name")
+		return MissingField("name")
 	}
 	if err := checkAddress("listen", f.Listen); err != nil {
 		return err
@@ -131,11 +131,11 @@
 		}
 	}
 	if err := f.Limits.validate(); err != nil {
-		return Under("limits", err)
+		return PrefixField("limits", err)
 	}
 	f.Limits.applyDefaults()
 	if f.Settings == nil {
-		return Missing("settings")
+		return MissingField("settings")
 	}
 	return nil
 }
@@ -148,10 +148,10 @@
 	}
 	settings, err := f.Settings.SchedulerSettings()
 	if err != nil {
-		return nil, Under("settings", err)
+		return nil, PrefixField("settings", err)
 	}
 	if _, err := scheduler.New(settings, seed); err != nil {
-		return nil, Under("settings", err)
+		return nil, PrefixField("settings", err)
 	}
 	limits := f.Settings.Limits
 	return &Config{
@@ -224,7 +224,7 @@
 // checkAddress requires a host:port with a numeric port other than 0. An absent address is ErrMissing.
 func checkAddress(field, address string) error {
 	if address == "" {
-		return Missing(field)
+		return MissingField(field)
 	}
 	if err := checkHostPort(address); err != nil {
 		return &FieldError{Field: field, Err: err}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -127,12 +127,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	readText := func(text string) (*Operator, error) {
+	readText := func(text string) (*OperatorFile, error) {
 		path := filepath.Join(t.TempDir(), "operator.toml")
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		return ReadOperator(path, platform)
+		return ReadOperatorFile(path, platform)
 	}
 	operator, err := readText(string(raw))
 	if err != nil {
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -26,12 +26,12 @@
 // ErrMissing is wrapped by the errors of absent fields.
 var ErrMissing = errors.New("required field is missing")
 
-// Missing returns the error of a required field that is absent.
-func Missing(field string) *FieldError { return &FieldError{Field: field, Err: ErrMissing} }
+// MissingField returns the error of a required field that is absent.
+func MissingField(field string) *FieldError { return &FieldError{Field: field, Err: ErrMissing} }
 
-// Under returns an error of the object that the field parent holds. The path of a FieldError is extended by parent; any other
+// PrefixField returns an error of the object that the field parent holds. The path of a FieldError is extended by parent; any other
 // error becomes that of parent itself.
-func Under(parent string, err error) *FieldError {
+func PrefixField(parent string, err error) *FieldError {
 	var field *FieldError
 	if errors.As(err, &field) {
 		return &FieldError{Field: parent + "." + field.Field, Err: field.Err}
--- a/internal/config/nvme.go
+++ b/internal/config/nvme.go
@@ -142,7 +142,7 @@
 		namespace := &n.Namespaces[i]
 		path := fmt.Sprintf("namespace[%d]", i)
 		if err := namespace.validate(classes, plans); err != nil {
-			return Under(path, err)
+			return PrefixField(path, err)
 		}
 		if ids[namespace.ID] {
 			return fieldError(path+".id", "%d is there twice", namespace.ID)
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -6,25 +6,25 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Operator is the operator's file (TOML). It sets up what the platform's configuration does not know; without the file all
+// OperatorFile is the operator's file (TOML). It sets up what the platform's configuration does not know; without the file all
 // of it is off.
-type Operator struct {
+type OperatorFile struct {
 	// NVMe serves NVMe over TCP instead of the platform's HTTP; nil: off.
 	NVMe *NVMe `toml:"nvme"`
 	// Agent runs a server of the configuration store; nil: off.
 	Agent *Agent `toml:"agent"`
 }
 
-// ReadOperator reads the operator's file at path and validates it against the platform's configuration. Unknown fields are
+// ReadOperatorFile reads the operator's file at path and validates it against the platform's configuration. Unknown fields are
 // errors: a misspelt field would otherwise silently have no effect. Errors about a field are FieldErrors.
-func ReadOperator(path string, platform *Config) (*Operator, error) {
+func ReadOperatorFile(path string, platform *Config) (*OperatorFile, error) {
 	operator, err := readOperator(path)
 	if err != nil || operator.NVMe == nil {
 		return operator, err
 	}
 	operator.NVMe.applyDefaults()
 	if err := operator.NVMe.validate(platform); err != nil {
-		return operator, operatorError(Under("nvme", err))
+		return operator, operatorError(PrefixField("nvme", err))
 	}
 	return operator, nil
 }
@@ -36,14 +36,14 @@
 		return nil, err
 	}
 	if operator.Agent == nil {
-		return nil, operatorError(Missing("agent"))
+		return nil, operatorError(MissingField("agent"))
 	}
 	return operator.Agent, nil
 }
 
 // readOperator decodes the file and validates what does not depend on the platform's configuration.
-func readOperator(path string) (*Operator, error) {
-	var operator Operator
+func readOperator(path string) (*OperatorFile, error) {
+	var operator OperatorFile
 	meta, err := toml.DecodeFile(path, &operator)
 	if err != nil {
 		return nil, operatorError(err)
@@ -53,7 +53,7 @@
 	}
 	if operator.Agent != nil {
 		if err := operator.Agent.validate(); err != nil {
-			return nil, operatorError(Under("agent", err))
+			return nil, operatorError(PrefixField("agent", err))
 		}
 	}
 	return &operator, nil
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -80,7 +80,7 @@
 // has an unknown value, with a path that starts at the settings object; what the values must satisfy, scheduler.New checks.
 func (w *WireSettings) SchedulerSettings() (scheduler.Settings, error) {
 	if w.PeersTotal == nil {
-		return scheduler.Settings{}, Missing("peersTotal")
+		return scheduler.Settings{}, MissingField("peersTotal")
 	}
 	settings := scheduler.Settings{
 		Initiators:        *w.PeersTotal,
@@ -99,7 +99,7 @@
 	for i, wire := range w.Classes {
 		class, err := wire.class()
 		if err != nil {
-			return settings, Under(fmt.Sprintf("classes[%d]", i), err)
+			return settings, PrefixField(fmt.Sprintf("classes[%d]", i), err)
 		}
 		settings.Classes = append(settings.Classes, class)
 	}
--- a/internal/configstore/follow.go
+++ b/internal/configstore/follow.go
@@ -9,15 +9,15 @@
 	"time"
 )
 
-// Follow watches an initiator's configuration until ctx ends: it calls notify with the present one, and then with each newer
+// Watch watches an initiator's configuration until ctx ends: it calls notify with the present one, and then with each newer
 // version that it sees. Of several writes in short order it may see only the last; a deletion is not notified. It is no
 // follower in the sense of Raft, and accepts what any server has, so that an initiator starts and keeps running also without a
 // leader.
 //
 // Versions only grow: a server that lags behind the one asked before cannot bring an older configuration back. Servers that
 // were rebuilt without their data begin with low versions again. Until these exceed the last version seen, nothing is
-// notified, and nothing is logged; a new call of Follow begins anew.
-func (c *Client) Follow(ctx context.Context, name string, log *slog.Logger, notify func(Entry)) {
+// notified, and nothing is logged; a new call of Watch begins anew.
+func (c *Client) Watch(ctx context.Context, name string, log *slog.Logger, notify func(Entry)) {
 	var version uint64
 	for attempt := 0; ctx.Err() == nil; attempt++ {
 		addr := c.Addrs[attempt%len(c.Addrs)]
--- a/internal/configstore/server_test.go
+++ b/internal/configstore/server_test.go
@@ -160,7 +160,7 @@
 	defer cancel()
 	notified := make(chan Entry, 16)
 	watcher := &Client{Addrs: c.Addrs}
-	go watcher.Follow(ctx, "n1", discardLog, func(e Entry) { notified <- e })
+	go watcher.Watch(ctx, "n1", discardLog, func(e Entry) { notified <- e })
 	first := c.mustPut("n1", `{"a":1}`, "")
 	c.mustPut("n2", `{"b":1}`, "")
 	lost := c.leader()
