--- a/internal/config/agent.go
+++ b/internal/config/agent.go
@@ -5,19 +5,19 @@
 	"slices"
 )
 
-// Agent sets up one server of the configuration store.
+// Agent configures one server of the configuration store.
 type Agent struct {
-	// ID names this server; it must be the id of one of the peers.
+	// ID identifies this server; it must be the ID of one of the peers.
 	ID string `toml:"id"`
-	// Dir is the folder of the durable data; required.
+	// Dir is the directory of the durable data; required.
 	Dir string `toml:"dir"`
-	// Peers are all servers of the store, this one included; at least one.
+	// Peers are all servers of the store, including this one; at least one.
 	Peers []Peer `toml:"peer"`
 }
 
-// Peer is a server of the configuration store, as each server lists it.
+// Peer is a server of the configuration store, as each server's configuration lists it.
 type Peer struct {
-	// ID names the server; unique among the peers.
+	// ID identifies the server; it is unique among the peers.
 	ID string `toml:"id"`
 	// Raft is the host:port of the Raft transport.
 	Raft string `toml:"raft"`
@@ -28,12 +28,12 @@
 // API returns the host:port of this server's HTTP API.
 func (a *Agent) API() string { return a.Peers[a.peerIndex()].API }
 
-// APIAddrError returns an error about the address that API returns, with the path of its field.
+// APIAddrError returns a FieldError about the address that API returns.
 func (a *Agent) APIAddrError(err error) *FieldError {
 	return &FieldError{Field: fmt.Sprintf("agent.peer[%d].api", a.peerIndex()), Err: err}
 }
 
-// peerIndex returns the index of this server among the peers. A validated Agent has it.
+// peerIndex returns the index of this server among the peers. In a validated Agent, the server is one of them.
 func (a *Agent) peerIndex() int {
 	return slices.IndexFunc(a.Peers, func(peer Peer) bool { return peer.ID == a.ID })
 }
@@ -48,7 +48,7 @@
 	ids := map[string]bool{}
 	for i, peer := range a.Peers {
 		if peer.ID == "" || ids[peer.ID] {
-			return fieldError(fmt.Sprintf("peer[%d].id", i), "missing or there twice")
+			return fieldError(fmt.Sprintf("peer[%d].id", i), "missing or already used by another peer")
 		}
 		ids[peer.ID] = true
 		if err := peer.validateAddresses(); err != nil {
@@ -56,7 +56,7 @@
 		}
 	}
 	if !ids[a.ID] {
-		return fieldError("id", "%q is none of the peers", a.ID)
+		return fieldError("id", "%q is not the ID of a peer", a.ID)
 	}
 	return nil
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,3 +1,6 @@
+// Package config reads the configuration of an initiator from the environment, the platform's JSON and the operator's file.
+// A configuration is read at startup, on SIGHUP, and for each version in the configuration store. One that cannot be served
+// is rejected with an error that names the field.
 package config
 
 import (
@@ -13,7 +16,7 @@
 	"dapplegate/scheduler"
 )
 
-// Environment variables that are read. Those other than EnvConfigFile replace fields of the configuration file.
+// Environment variables. All except EnvConfigFile override fields of the configuration file.
 const (
 	// EnvConfigFile holds the path of the configuration file.
 	EnvConfigFile = "PROXY_CONFIG"
@@ -24,7 +27,7 @@
 )
 
 const (
-	// openCallsLimit bounds MaxOpenCalls where the settings allow more, since each open call may hold a request body.
+	// openCallsLimit bounds MaxOpenCalls if the settings allow more, because each open call may hold a request body.
 	openCallsLimit         = 4000
 	dialTimeoutLimit       = 250 * time.Millisecond
 	defaultConnIdleTimeout = 30 * time.Second
@@ -38,24 +41,24 @@
 	Listen string
 	// Discovery is the host:port of the discovery service; required.
 	Discovery string
-	// Seed makes the scheduler's random choices reproducible; default: taken from the clock.
+	// Seed is the seed of the scheduler's random choices, which makes them reproducible; default: taken from the clock.
 	Seed uint64
-	// Limits are the resources that the machine grants the process. The bounds on connections and memory derive from them.
+	// Limits are the resources available to the process. The bounds on connections and memory are derived from them.
 	Limits Limits
-	// KnownEndpoints is the endpoint list of an earlier run, used until discovery answers; nil: none.
+	// KnownEndpoints is the endpoint list of an earlier run, used until discovery responds; nil: none.
 	KnownEndpoints *endpoints.List
-	// Scheduler holds the settings of the decisions; required.
+	// Scheduler holds the scheduler's settings; required.
 	Scheduler scheduler.Settings
-	// MaxOpenCalls is the number of requests that may be queued or in flight at one time; default and upper bound 4000.
+	// MaxOpenCalls is the maximum number of requests that are queued or in flight at one time; default and upper bound 4000.
 	MaxOpenCalls int
-	// ConnIdleTimeout is how long a target keeps an unused connection open; default 30 s. The initiator closes it earlier.
+	// ConnIdleTimeout is how long a target keeps an idle connection open; default 30 s. The initiator closes it earlier.
 	ConnIdleTimeout time.Duration
 	// DialTimeout is how long an attempt waits for a new connection to its target; default and upper bound 250 ms. The dial
-	// itself may take eight times as long.
+	// may continue in the background and take up to eight times as long.
 	DialTimeout time.Duration
 }
 
-// configFile is the JSON form of a configuration, under the platform's field names.
+// configFile is the JSON form of a configuration, with the platform's field names.
 type configFile struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
@@ -66,8 +69,9 @@
 	Settings  *WireSettings   `json:"settings"`
 }
 
-// Load reads and validates the JSON file that PROXY_CONFIG names. PROXY_NAME, PROXY_LISTEN and PROXY_DISCOVERY, where set,
-// replace the fields of the file. Errors about a field or a variable are FieldErrors.
+// Load reads and validates the JSON file named by PROXY_CONFIG. If PROXY_NAME, PROXY_LISTEN or PROXY_DISCOVERY is set, it
+// overrides the field of the file. An absent or invalid field or variable is reported as a *FieldError. JSON that is
+// malformed or has a field of the wrong type is reported as another error.
 func Load(getenv func(string) string) (*Config, error) {
 	path := getenv(EnvConfigFile)
 	if path == "" {
@@ -80,9 +84,9 @@
 	return Parse(raw, getenv)
 }
 
-// Reload is Load for a process that got SIGHUP. From the first SIGHUP on the file's address of discovery counts, not
-// PROXY_DISCOVERY, and a file without one is rejected: the environment dates from the start of the process, the file may have
-// been replaced since.
+// Reload is Load for a process that has received SIGHUP. From the first SIGHUP on, the address of discovery comes from the
+// file instead of PROXY_DISCOVERY, and a file without it is rejected: the environment dates from the start of the process,
+// whereas the file may have been replaced since.
 func Reload(getenv func(string) string) (*Config, error) {
 	return Load(func(name string) string {
 		if name == envDiscovery {
@@ -92,7 +96,8 @@
 	})
 }
 
-// Parse validates a configuration in JSON, with the environment's replacements as in Load. Unknown fields are skipped.
+// Parse decodes and validates a configuration in JSON. The environment overrides fields as in Load. Unknown fields are
+// ignored. The errors are those of Load.
 func Parse(raw []byte, getenv func(string) string) (*Config, error) {
 	var file configFile
 	if err := jsoniter.ConfigCompatibleWithStandardLibrary.Unmarshal(raw, &file); err != nil {
@@ -105,7 +110,7 @@
 	return file.config()
 }
 
-// applyEnvironment replaces the fields for which the environment has a value.
+// applyEnvironment overrides the fields for which the environment has a value.
 func (f *configFile) applyEnvironment(getenv func(string) string) {
 	for variable, field := range map[string]*string{EnvName: &f.Name, envListen: &f.Listen, envDiscovery: &f.Discovery} {
 		if value := getenv(variable); value != "" {
@@ -114,7 +119,8 @@
 	}
 }
 
-// validate checks the fields that are used as they are, and fills in the defaults of the limits.
+// validate checks all fields except the seed and the contents of the settings, and applies the default limits. The config
+// method checks the rest.
 func (f *configFile) validate() error {
 	if f.Name == "" {
 		return MissingField("name")
@@ -140,7 +146,7 @@
 	return nil
 }
 
-// config converts a valid file. The scheduler validates its own settings.
+// config converts a file that validate has accepted. It calls scheduler.New only to validate the settings.
 func (f *configFile) config() (*Config, error) {
 	seed, err := parseSeed(f.Seed)
 	if err != nil {
@@ -168,10 +174,10 @@
 	}, nil
 }
 
-// NoEnvironment is an environment without any variable, for Parse.
+// NoEnvironment is an environment without variables, for Parse.
 func NoEnvironment(string) string { return "" }
 
-// FileEnvironment returns an environment that has the path of the configuration file alone, for Load.
+// FileEnvironment returns an environment in which only the path of the configuration file is set, for Load.
 func FileEnvironment(path string) func(name string) string {
 	return func(name string) string {
 		if name == EnvConfigFile {
@@ -181,11 +187,11 @@
 	}
 }
 
-// SharedDiscovery reports whether one discovery service serves the polls of all initiators in turn, so that they must be
-// spread. On the platform that is so where the endpoint list must be requested.
+// SharedDiscovery reports whether all initiators poll one discovery service, which serves their polls one after the other,
+// so that the polls must be spread over time. On the platform, this is the case if the endpoint list must be requested.
 func (c *Config) SharedDiscovery() bool { return c.Scheduler.WatchEndpoints }
 
-// ClassNames returns the set of configured request classes.
+// ClassNames returns the set of the names of the configured classes.
 func (c *Config) ClassNames() map[string]bool {
 	names := map[string]bool{}
 	for _, class := range c.Scheduler.Classes {
@@ -194,7 +200,7 @@
 	return names
 }
 
-// ClassDeadlines returns, for each class, how long its clients wait for a response.
+// ClassDeadlines returns the deadline of each class by name: how long its clients wait for a response.
 func (c *Config) ClassDeadlines() map[string]time.Duration {
 	deadlines := map[string]time.Duration{}
 	for _, class := range c.Scheduler.Classes {
@@ -212,7 +218,7 @@
 	return longest
 }
 
-// PlanNames returns the set of configured plans.
+// PlanNames returns the set of the names of the configured plans.
 func (c *Config) PlanNames() map[string]bool {
 	names := map[string]bool{}
 	for _, plan := range c.Scheduler.Plans {
@@ -221,7 +227,8 @@
 	return names
 }
 
-// checkAddress requires a host:port with a numeric port other than 0. An absent address is ErrMissing.
+// checkAddress checks the address in a required field. The error is a *FieldError; an absent address is reported as
+// ErrMissing.
 func checkAddress(field, address string) error {
 	if address == "" {
 		return MissingField(field)
@@ -232,6 +239,7 @@
 	return nil
 }
 
+// checkHostPort returns an error unless address is a host:port with a numeric port other than 0.
 func checkHostPort(address string) error {
 	_, port, err := net.SplitHostPort(address)
 	if err != nil {
@@ -243,7 +251,7 @@
 	return nil
 }
 
-// parseSeed reads a hexadecimal seed of 64 bits. An empty one is replaced by a seed from the clock.
+// parseSeed parses a 64-bit seed in hexadecimal. For an empty text it returns a seed from the clock.
 func parseSeed(text string) (uint64, error) {
 	if text == "" {
 		return uint64(time.Now().UnixNano()), nil
@@ -255,7 +263,7 @@
 	return seed, nil
 }
 
-// positiveOr returns value where it is positive, else the fallback.
+// positiveOr returns value if it is positive, and fallback otherwise.
 func positiveOr[T int | time.Duration](value, fallback T) T {
 	if value <= 0 {
 		return fallback
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -15,7 +15,7 @@
 
 func TestMain(m *testing.M) { propertytest.Main(m) }
 
-// validConfig is a configuration as the platform writes it, with one field that is unknown.
+// validConfig is a configuration as the platform writes it, with one unknown field.
 const validConfig = `{"name":"n3","listen":"127.0.0.1:8080","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
  "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"surprise":1,
  "known":{"version":41,"full":true,"servers":[{"id":"a","addr":"127.0.0.1:1","cell":0,"state":"SERVING"}]},
@@ -25,7 +25,7 @@
  "contracts":[{"name":"standard","usualRate":13,"reservation":13,"parts":3,"pays":0.9}],
  "limits":{"sendCap":3,"mostHeld":20000,"connIdleUs":30000000,"dialTimeoutUs":250000}}}`
 
-// TestParse reads a valid configuration: the environment replaces a field, and limits above the process's own are lowered.
+// TestParse parses a valid configuration. The environment overrides a field, and MaxOpenCalls is lowered to openCallsLimit.
 func TestParse(t *testing.T) {
 	c, err := Parse([]byte(validConfig), func(name string) string {
 		return map[string]string{"PROXY_LISTEN": "127.0.0.2:8081"}[name]
@@ -35,15 +35,16 @@
 	}
 	if c.Listen != "127.0.0.2:8081" || c.Seed != 0x8c1f30d27a5be964 || c.DialTimeout != 250*time.Millisecond ||
 		c.MaxOpenCalls != openCallsLimit || len(c.Scheduler.Classes) != 3 || *c.KnownEndpoints.Version != 41 {
-		t.Errorf("read as %+v", c)
+		t.Errorf("parsed as %+v", c)
 	}
-	// All parts together must fit into the descriptors, with connections that are accepted only to be closed.
+	// All connections and the reserved descriptors together must stay within the limit. The reserved ones include those of
+	// connections that are accepted only to reject one request.
 	if total := c.MaxClientConns() + c.MaxTargetConns() + reservedDescriptors; total > c.Limits.Sockets {
-		t.Errorf("%d descriptors for all parts of %d", total, c.Limits.Sockets)
+		t.Errorf("%d descriptors in total, limit %d", total, c.Limits.Sockets)
 	}
 }
 
-// TestInvalidFieldIsNamed checks that a configuration that cannot be served is an error with the field's path.
+// TestInvalidFieldIsNamed checks that the error for a configuration that cannot be served contains the path of the field.
 func TestInvalidFieldIsNamed(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{validConfig, "nonsense", "configuration:"},
@@ -65,23 +66,23 @@
 	} {
 		_, err := Parse([]byte(strings.Replace(validConfig, c.old, c.new, 1)), NoEnvironment)
 		if err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%.30s: %v, want %q", c.new, err, c.want)
+			t.Errorf("replaced by %.30q: error %v, want one that contains %q", c.new, err, c.want)
 		}
 	}
 	for _, env := range []string{"", filepath.Join(t.TempDir(), "absent")} {
 		if _, err := Load(func(string) string { return env }); err == nil || !strings.Contains(err.Error(), "PROXY_CONFIG") {
-			t.Errorf("PROXY_CONFIG=%q: %v", env, err)
+			t.Errorf("PROXY_CONFIG=%q: error %v does not name the variable", env, err)
 		}
 	}
 }
 
-// TestParseDamaged truncates a valid configuration anywhere, changes a byte, and feeds random bytes: a truncated
-// configuration never passes for a complete one, and nothing panics.
+// TestParseDamaged parses a truncated configuration, one with a changed byte, and random bytes. Parse must reject every
+// truncated configuration, return either a configuration or an error for the others, and never panic.
 func TestParseDamaged(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		truncated := validConfig[:rapid.IntRange(0, len(validConfig)-1).Draw(t, "length")]
 		if c, err := Parse([]byte(truncated), NoEnvironment); err == nil {
-			t.Fatalf("%q passed as %+v", truncated, c)
+			t.Fatalf("truncated configuration %q was accepted as %+v", truncated, c)
 		}
 		damaged := []byte(validConfig)
 		damaged[rapid.IntRange(0, len(damaged)-1).Draw(t, "at")] = rapid.Byte().Draw(t, "byte")
@@ -94,7 +95,8 @@
 	})
 }
 
-// TestFieldError checks what a caller can rely on: errors.As finds the field's path, errors.Is an absent field.
+// TestFieldError checks what a caller can rely on: errors.As finds the path of the field, and errors.Is finds ErrMissing if
+// the field is absent.
 func TestFieldError(t *testing.T) {
 	for _, c := range []struct {
 		old, new, field string
@@ -111,13 +113,13 @@
 		_, err := Parse([]byte(strings.Replace(validConfig, c.old, c.new, 1)), NoEnvironment)
 		var field *FieldError
 		if !errors.As(err, &field) || field.Field != c.field || errors.Is(err, ErrMissing) != c.missing {
-			t.Errorf("%s: %v, want field %q, missing %v", c.new, err, c.field, c.missing)
+			t.Errorf("replaced by %q: error %v, want field %q, missing %v", c.new, err, c.field, c.missing)
 		}
 	}
 }
 
-// TestOperatorFile reads the file under deploy/, and then with one field after the other made invalid: the error has the
-// field's path.
+// TestOperatorFile reads deploy/nvme.toml, first as it is and then with one field at a time made invalid. The error must
+// contain the path of the invalid field.
 func TestOperatorFile(t *testing.T) {
 	platform, err := Parse([]byte(validConfig), NoEnvironment)
 	if err != nil {
@@ -148,7 +150,7 @@
 	for _, c := range []struct{ old, new, want string }{
 		{"listen", "lisen", "nvme.lisen: unknown field"},
 		{"127.0.0.1:4420", "here", "nvme.listen"},
-		{"127.0.0.1:4420", platform.Listen, "nvme.listen: " + platform.Listen + " is where health checks are answered"},
+		{"127.0.0.1:4420", platform.Listen, "nvme.listen: " + platform.Listen + " is already the address of health checks"},
 		{`host_id = "5f`, `host_id = "zz`, "nvme.host_id"},
 		{"queue_depth = 64", "queue_depth = 1", "nvme.queue_depth"},
 		{"keep_alive_ms = 5000", "keep_alive_ms = 5", "nvme.keep_alive_ms"},
@@ -162,7 +164,7 @@
 		_, err := readText(strings.Replace(string(raw), c.old, c.new, 1))
 		var field *FieldError
 		if !errors.As(err, &field) || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: %v, want a field error with %q", c.new, err, c.want)
+			t.Errorf("replaced by %q: error %v, want a FieldError that contains %q", c.new, err, c.want)
 		}
 	}
 }
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -5,11 +5,11 @@
 	"fmt"
 )
 
-// FieldError says which field of a configuration, or which environment variable, cannot be used, and why. Callers find it
-// with errors.As; where the field is absent, errors.Is finds ErrMissing.
+// FieldError reports a configuration field or an environment variable that cannot be used. Callers find it with errors.As.
+// If the field is absent, the error wraps ErrMissing.
 type FieldError struct {
-	Field string // path of the field, such as "limits.cores" or "nvme.namespace[0].plan"
-	Err   error  // what is wrong with it
+	Field string // path of the field, such as "limits.cores" or "nvme.namespace[0].plan", or the name of the variable
+	Err   error  // why it cannot be used
 }
 
 // Error returns the field's path and the reason.
@@ -18,23 +18,23 @@
 // Unwrap returns the reason without the field.
 func (e *FieldError) Unwrap() error { return e.Err }
 
-// fieldError returns a FieldError with a formatted reason; %w wraps as in fmt.Errorf.
+// fieldError returns a FieldError whose reason is formatted as by fmt.Errorf.
 func fieldError(field, format string, args ...any) *FieldError {
 	return &FieldError{Field: field, Err: fmt.Errorf(format, args...)}
 }
 
-// ErrMissing is wrapped by the errors of absent fields.
+// ErrMissing is the reason in the FieldError of an absent required field.
 var ErrMissing = errors.New("required field is missing")
 
-// MissingField returns the error of a required field that is absent.
+// MissingField returns the error for a required field that is absent.
 func MissingField(field string) *FieldError { return &FieldError{Field: field, Err: ErrMissing} }
 
-// PrefixField returns an error of the object that the field parent holds. The path of a FieldError is extended by parent; any other
-// error becomes that of parent itself.
+// PrefixField converts an error about the object in the field parent to a FieldError of the object that contains parent. If
+// err is a FieldError, parent is prepended to its path; any other error is attributed to parent itself.
 func PrefixField(parent string, err error) *FieldError {
-	var field *FieldError
-	if errors.As(err, &field) {
-		return &FieldError{Field: parent + "." + field.Field, Err: field.Err}
+	var fieldErr *FieldError
+	if errors.As(err, &fieldErr) {
+		return &FieldError{Field: parent + "." + fieldErr.Field, Err: fieldErr.Err}
 	}
 	return &FieldError{Field: parent, Err: err}
 }
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -2,13 +2,13 @@
 
 import "math"
 
-// Limits are the resources that the machine grants the process.
+// Limits are the resources available to the process.
 type Limits struct {
-	// Cores is the processor share; default 1.
+	// Cores is the number of processor cores, which may be fractional; default 1.
 	Cores float64 `json:"cores"`
-	// MemoryMiB is the memory; default 192. The platform's memory_mb is in MiB.
+	// MemoryMiB is the memory in MiB; default 192. The platform's name is memory_mb, but the unit is MiB.
 	MemoryMiB int `json:"memory_mb"`
-	// Sockets is the number of file descriptors; at least 64, default 1024.
+	// Sockets is the maximum number of file descriptors; at least 64, default 1024.
 	Sockets int `json:"sockets"`
 }
 
@@ -19,26 +19,27 @@
 	minSockets       = 64
 )
 
-// Shares of the resources. Descriptors: four tenths go to targets, reservedDescriptors to the process itself, clients get
-// what is left.
+// How the resources are divided. Four tenths of the descriptors are for connections to targets, reservedDescriptors are for
+// the process itself, and client connections get the rest.
 const (
 	bytesPerMiB = 1 << 20
 
-	// reservedDescriptors are for discovery, the listeners, logs and the runtime, and for the connections above MaxClientConns
-	// that clienthttp accepts to reject one request each (its maxOverLimit, 24).
+	// reservedDescriptors are for discovery, the listeners, logs and the runtime, and for the connections above
+	// MaxClientConns that clienthttp accepts only to reject one request on each (its maxOverLimit, 24).
 	reservedDescriptors = 56
 
-	// clientConnBytes is the approximate memory of a client connection: buffers, goroutine stack and one request.
+	// clientConnBytes is the approximate memory use of a client connection: buffers, goroutine stack and one request.
 	clientConnBytes = 24 << 10
 
-	// minClientConns is the number of client connections with limits that would leave fewer, or none.
+	// minClientConns is the lower bound of MaxClientConns, for limits that leave room for fewer connections or for none.
 	minClientConns = 8
 
-	// maxConnsPerTarget exceeds the attempts that the scheduler ever has in flight at one target, overdue ones included.
+	// maxConnsPerTarget exceeds the number of attempts, overdue ones included, that the scheduler ever has in flight to one
+	// target.
 	maxConnsPerTarget = 40
 )
 
-// validate checks what was configured; a field of 0 takes its default.
+// validate checks the configured values. A field may be 0, which stands for its default.
 func (l *Limits) validate() *FieldError {
 	switch {
 	case l.Cores < 0 || math.IsNaN(l.Cores):
@@ -51,7 +52,7 @@
 	return nil
 }
 
-// applyDefaults replaces fields of 0.
+// applyDefaults replaces fields that are 0 with their defaults.
 func (l *Limits) applyDefaults() {
 	if l.Cores == 0 {
 		l.Cores = defaultCores
@@ -64,24 +65,24 @@
 	}
 }
 
-// MaxClientConns is the number of client connections at a time: the descriptors that targets and the process leave, as long
-// as the connections fit into a third of the memory.
+// MaxClientConns is the maximum number of concurrent client connections: one for each descriptor that connections to targets
+// and the process itself leave, but no more than fit into a third of the memory, and at least minClientConns.
 func (c *Config) MaxClientConns() int {
 	byDescriptors := c.Limits.Sockets - c.MaxTargetConns() - reservedDescriptors
 	byMemory := c.Limits.MemoryMiB * bytesPerMiB / 3 / clientConnBytes
 	return max(min(byDescriptors, byMemory), minClientConns)
 }
 
-// EvictIdleAbove is the number of open client connections, with a request or without, above which each new one evicts one that
-// has been idle long enough: a sixth of the descriptors, so that idle clients leave room for busy ones.
+// EvictIdleAbove is the number of open client connections, busy or idle, above which each new connection evicts one that has
+// been idle long enough. It is a sixth of the descriptors, so that idle clients leave room for busy ones.
 func (c *Config) EvictIdleAbove() int { return c.Limits.Sockets / 6 }
 
-// MaxTargetConns is the number of connections to all targets together: four tenths of the descriptors.
+// MaxTargetConns is the maximum number of connections to all targets together: four tenths of the descriptors.
 func (c *Config) MaxTargetConns() int { return c.Limits.Sockets * 4 / 10 }
 
-// MaxConnsPerTarget is the number of connections to one target.
+// MaxConnsPerTarget is the maximum number of connections to one target.
 func (c *Config) MaxConnsPerTarget() int { return min(maxConnsPerTarget, c.MaxTargetConns()) }
 
-// MaxBufferedBytes bounds, over HTTP, the response bodies that are being read at one time and, over NVMe, the data of the
-// commands in flight: a quarter of the memory.
+// MaxBufferedBytes is a quarter of the memory. Over HTTP it bounds the total size of the response bodies that are being read
+// at one time; over NVMe it bounds the data of the commands in flight.
 func (c *Config) MaxBufferedBytes() int64 { return int64(c.Limits.MemoryMiB) * bytesPerMiB / 4 }
--- a/internal/config/nvme.go
+++ b/internal/config/nvme.go
@@ -8,59 +8,60 @@
 	"time"
 )
 
-// NVMe sets up NVMe over TCP instead of the platform's HTTP, towards hosts and targets alike.
+// NVMe configures NVMe over TCP, which replaces the platform's HTTP towards both hosts and targets.
 type NVMe struct {
-	// Listen is the host:port where hosts connect; required, and another than that of the platform's configuration.
+	// Listen is the host:port where hosts connect; required, and different from Listen in the platform's configuration.
 	Listen string `toml:"listen"`
-	// Subsystem is the NQN under which hosts connect, 1 to 223 bytes.
+	// Subsystem is the NQN of the subsystem that hosts connect to, 1 to 223 bytes.
 	Subsystem string `toml:"subsystem"`
 	// TargetSubsystem is the NQN of the targets' subsystem, 1 to 223 bytes.
 	TargetSubsystem string `toml:"target_subsystem"`
-	// HostNQN is this initiator's NQN towards targets, 1 to 223 bytes.
+	// HostNQN is the NQN of this initiator as a host of the targets, 1 to 223 bytes.
 	HostNQN string `toml:"host_nqn"`
-	// HostID is the host identifier towards targets, 32 hexadecimal digits.
+	// HostID is the host identifier of this initiator as a host of the targets, 32 hexadecimal digits.
 	HostID string `toml:"host_id"`
-	// QueueDepth is the number of entries of a host's I/O queue, 2 to 1024; default 64.
+	// QueueDepth is the number of entries in a host's I/O queue, 2 to 1024; default 64.
 	QueueDepth int `toml:"queue_depth"`
-	// KeepAliveMs is the keep-alive timeout towards targets in milliseconds, at least 200; default 5000.
+	// KeepAliveMs is the keep-alive timeout of associations with targets in milliseconds, at least 200; default 5000.
 	KeepAliveMs int `toml:"keep_alive_ms"`
-	// Digests asks targets for header and data digests; default off. Hosts choose for themselves.
+	// Digests requests header and data digests from targets; default off. Each host decides about digests on its own
+	// connections.
 	Digests bool `toml:"digests"`
 	// Namespaces are the namespaces served to hosts; at least one.
 	Namespaces []Namespace `toml:"namespace"`
 }
 
-// Namespace maps the commands of one namespace to requests.
+// Namespace configures one namespace and how its commands are mapped to requests.
 type Namespace struct {
 	// ID is the namespace identifier, other than 0 and the broadcast value 0xFFFFFFFF; unique.
 	ID uint32 `toml:"id"`
-	// Volume is the volume of all its requests, 16 hexadecimal digits; also the namespace's EUI-64.
+	// Volume is the volume of all requests of the namespace, 16 hexadecimal digits. It is also the namespace's EUI-64.
 	Volume string `toml:"volume"`
-	// Plan is the plan of the volume, one of the settings' contracts.
+	// Plan is the plan of the volume, one of the contracts in the platform's settings.
 	Plan string `toml:"plan"`
-	// Hosts is the number of initiators that carry the volume, at least 1.
+	// Hosts is the number of initiators that carry requests of the volume, at least 1.
 	Hosts int `toml:"hosts"`
 	// BlockBytes is the logical block size, a power of two from 512 to 4096.
 	BlockBytes int `toml:"block_bytes"`
 	// Blocks is the size in logical blocks, 1 to 2^48.
 	Blocks uint64 `toml:"blocks"`
-	// StripeBlocks is the size of an extent in blocks, at least 1. Extents lie on the shards in turn.
+	// StripeBlocks is the size of an extent in blocks, at least 1. Extents are distributed round-robin over the shards.
 	StripeBlocks uint64 `toml:"stripe_blocks"`
 	// Shards are the shards that hold the extents; at least one.
 	Shards []int `toml:"shards"`
-	// UnitBlocks is how many blocks count as one unit of work, at least 1.
+	// UnitBlocks is the number of blocks that count as one unit of work, at least 1.
 	UnitBlocks uint32 `toml:"unit_blocks"`
-	// Read is the class of reads, Write that of writes.
+	// Read is the class of reads; Write is the class of writes.
 	Read  string `toml:"read"`
 	Write string `toml:"write"`
-	// Bulk is the class of reads of BulkBlocks or more; empty: Read.
+	// Bulk is the class of bulk reads, which have BulkBlocks blocks or more; empty: bulk reads have the class Read.
 	Bulk string `toml:"bulk"`
-	// BulkBlocks is the size from which on a read is a bulk read, at least 1 where Bulk is set.
+	// BulkBlocks is the minimum size of a bulk read in blocks, at least 1 if Bulk is set.
 	BulkBlocks uint32 `toml:"bulk_blocks"`
 }
 
 const (
-	maxNQNBytes          = 223 // of the NVMe base specification
+	maxNQNBytes          = 223 // limit of the NVMe base specification
 	hostIDBytes          = 16
 	volumeDigits         = 16
 	minQueueDepth        = 2
@@ -77,7 +78,7 @@
 // HostIdentifier returns the bytes of HostID.
 func (n *NVMe) HostIdentifier() [hostIDBytes]byte {
 	var id [hostIDBytes]byte
-	raw, _ := hex.DecodeString(n.HostID) // validate has checked it
+	raw, _ := hex.DecodeString(n.HostID) // validate has checked that it can be decoded
 	copy(id[:], raw)
 	return id
 }
@@ -96,24 +97,24 @@
 	}
 }
 
-// validate checks the section against the classes and plans of the platform's configuration.
+// validate checks the section, also against the address, classes and plans in the platform's configuration.
 func (n *NVMe) validate(platform *Config) *FieldError {
 	if err := checkHostPort(n.Listen); err != nil {
 		return &FieldError{Field: "listen", Err: err}
 	}
 	if n.Listen == platform.Listen {
-		return fieldError("listen", "%s is where health checks are answered over HTTP", n.Listen)
+		return fieldError("listen", "%s is already the address of health checks over HTTP", n.Listen)
 	}
 	if err := n.validateNames(); err != nil {
 		return err
 	}
 	switch {
 	case n.QueueDepth < minQueueDepth || n.QueueDepth > maxQueueDepth:
-		return fieldError("queue_depth", "wanted %d to %d", minQueueDepth, maxQueueDepth)
+		return fieldError("queue_depth", "must be from %d to %d", minQueueDepth, maxQueueDepth)
 	case n.KeepAliveMs < minKeepAliveMs:
-		return fieldError("keep_alive_ms", "at least %d", minKeepAliveMs)
+		return fieldError("keep_alive_ms", "must be at least %d", minKeepAliveMs)
 	case len(n.Namespaces) == 0:
-		return fieldError("namespace", "at least one")
+		return fieldError("namespace", "at least one is required")
 	}
 	return n.validateNamespaces(platform)
 }
@@ -125,11 +126,11 @@
 		{"host_nqn", n.HostNQN},
 	} {
 		if name.nqn == "" || len(name.nqn) > maxNQNBytes {
-			return fieldError(name.field, "wanted 1 to %d bytes", maxNQNBytes)
+			return fieldError(name.field, "must have 1 to %d bytes", maxNQNBytes)
 		}
 	}
 	if id, err := hex.DecodeString(n.HostID); err != nil || len(id) != hostIDBytes {
-		return fieldError("host_id", "wanted %d hex digits", 2*hostIDBytes)
+		return fieldError("host_id", "must be %d hexadecimal digits", 2*hostIDBytes)
 	}
 	return nil
 }
@@ -145,7 +146,7 @@
 			return PrefixField(path, err)
 		}
 		if ids[namespace.ID] {
-			return fieldError(path+".id", "%d is there twice", namespace.ID)
+			return fieldError(path+".id", "namespace %d is configured twice", namespace.ID)
 		}
 		ids[namespace.ID] = true
 	}
@@ -154,16 +155,16 @@
 
 func (n *Namespace) validate(classes, plans map[string]bool) *FieldError {
 	if n.ID == 0 || n.ID == broadcastNamespaceID {
-		return fieldError("id", "not a namespace id")
+		return fieldError("id", "must not be 0 or the broadcast value 0xFFFFFFFF")
 	}
 	if err := checkVolume(n.Volume); err != nil {
 		return err
 	}
 	switch {
 	case !plans[n.Plan]:
-		return fieldError("plan", "%q is not in the settings", n.Plan)
+		return fieldError("plan", "plan %q is not in the settings", n.Plan)
 	case n.Hosts < 1:
-		return fieldError("hosts", "at least 1")
+		return fieldError("hosts", "must be at least 1")
 	}
 	if err := n.validateLayout(); err != nil {
 		return err
@@ -173,29 +174,29 @@
 
 func checkVolume(volume string) *FieldError {
 	if _, err := strconv.ParseUint(volume, 16, 64); err != nil || len(volume) != volumeDigits {
-		return fieldError("volume", "wanted %d hex digits", volumeDigits)
+		return fieldError("volume", "must be %d hexadecimal digits", volumeDigits)
 	}
 	return nil
 }
 
-// validateLayout checks the sizes, and the shards that the blocks lie on.
+// validateLayout checks the sizes and the shards that hold the blocks.
 func (n *Namespace) validateLayout() *FieldError {
 	isPowerOfTwo := bits.OnesCount(uint(n.BlockBytes)) == 1
 	switch {
 	case n.BlockBytes < minBlockBytes || n.BlockBytes > maxBlockBytes || !isPowerOfTwo:
-		return fieldError("block_bytes", "wanted a power of two from %d to %d", minBlockBytes, maxBlockBytes)
+		return fieldError("block_bytes", "must be a power of two from %d to %d", minBlockBytes, maxBlockBytes)
 	case n.Blocks == 0 || n.Blocks > maxBlocks:
-		return fieldError("blocks", "out of range")
+		return fieldError("blocks", "must be from 1 to 2^48")
 	case n.StripeBlocks == 0:
-		return fieldError("stripe_blocks", "at least 1")
+		return fieldError("stripe_blocks", "must be at least 1")
 	case n.UnitBlocks == 0:
-		return fieldError("unit_blocks", "at least 1")
+		return fieldError("unit_blocks", "must be at least 1")
 	case len(n.Shards) == 0:
-		return fieldError("shards", "at least one")
+		return fieldError("shards", "at least one is required")
 	}
 	for i, shard := range n.Shards {
 		if shard < 0 {
-			return fieldError(fmt.Sprintf("shards[%d]", i), "negative")
+			return fieldError(fmt.Sprintf("shards[%d]", i), "must not be negative")
 		}
 	}
 	return nil
@@ -205,7 +206,7 @@
 	names := []struct{ field, class string }{{"read", n.Read}, {"write", n.Write}}
 	if n.Bulk != "" {
 		if n.BulkBlocks == 0 {
-			return fieldError("bulk_blocks", "at least 1 where bulk is set")
+			return fieldError("bulk_blocks", "must be at least 1 if bulk is set")
 		}
 		names = append(names, struct{ field, class string }{"bulk", n.Bulk})
 	}
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -6,8 +6,8 @@
 	"github.com/BurntSushi/toml"
 )
 
-// OperatorFile is the operator's file (TOML). It sets up what the platform's configuration does not know; without the file all
-// of it is off.
+// OperatorFile is the operator's file (TOML). It configures features that the platform's configuration does not cover.
+// Without the file, all of them are off.
 type OperatorFile struct {
 	// NVMe serves NVMe over TCP instead of the platform's HTTP; nil: off.
 	NVMe *NVMe `toml:"nvme"`
@@ -15,8 +15,9 @@
 	Agent *Agent `toml:"agent"`
 }
 
-// ReadOperatorFile reads the operator's file at path and validates it against the platform's configuration. Unknown fields are
-// errors: a misspelt field would otherwise silently have no effect. Errors about a field are FieldErrors.
+// ReadOperatorFile reads the operator's file at path and validates it against the platform's configuration. Unknown fields
+// are rejected, because a misspelt field would otherwise silently have no effect. An absent, invalid or unknown field is
+// reported as a *FieldError. TOML that is malformed or has a field of the wrong type is reported as another error.
 func ReadOperatorFile(path string, platform *Config) (*OperatorFile, error) {
 	operator, err := readOperator(path)
 	if err != nil || operator.NVMe == nil {
@@ -29,7 +30,7 @@
 	return operator, nil
 }
 
-// ReadAgent reads the operator's file at path and returns its agent, which must be there.
+// ReadAgent reads the operator's file at path and returns its agent section, which is required.
 func ReadAgent(path string) (*Agent, error) {
 	operator, err := readOperator(path)
 	if err != nil {
@@ -41,7 +42,7 @@
 	return operator.Agent, nil
 }
 
-// readOperator decodes the file and validates what does not depend on the platform's configuration.
+// readOperator decodes the file and validates everything that does not depend on the platform's configuration.
 func readOperator(path string) (*OperatorFile, error) {
 	var operator OperatorFile
 	meta, err := toml.DecodeFile(path, &operator)
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -1,5 +1,3 @@
-// Package config reads a configuration (environment, JSON, the operator's file) into typed values, at the start, at SIGHUP and
-// for each version of the configuration store, and rejects what cannot be served with an error that names the field.
 package config
 
 import (
@@ -9,9 +7,9 @@
 	"dapplegate/scheduler"
 )
 
-// WireSettings is the settings object as the platform writes it, in the simulator's first message and in the
-// configuration alike. Durations are in microseconds. Unknown fields are skipped. The names that the platform uses
-// stand here alone; SchedulerSettings maps them to the scheduler's.
+// WireSettings is the platform's JSON form of the scheduler's settings. It is part of the configuration and of the
+// simulator's first message. Durations are in microseconds. Unknown fields are ignored. The platform's field names are used
+// in the wire types only; SchedulerSettings maps them to the scheduler's terms.
 type WireSettings struct {
 	PeersTotal   *int           `json:"peersTotal"` // required
 	Classes      []wireClass    `json:"classes"`
@@ -23,6 +21,7 @@
 	TickUs       int64          `json:"tickUs"`
 }
 
+// wireClass is the platform's form of a scheduler.Class.
 type wireClass struct {
 	Name       string  `json:"name"`
 	PromiseUs  int64   `json:"promiseUs"`
@@ -34,6 +33,7 @@
 	Worth      float64 `json:"worth"`
 }
 
+// wireContract is the platform's form of a scheduler.Plan.
 type wireContract struct {
 	Name        string  `json:"name"`
 	UsualRate   float64 `json:"usualRate"`
@@ -65,19 +65,20 @@
 	FallUs             int64    `json:"fallUs"`
 	TipMultiple        float64  `json:"tipMultiple"`
 	SettleAfterDoubtUs int64    `json:"settleAfterDoubtUs"`
-	ResendRatio        *float64 `json:"resendRatio"` // absent: there is no retry budget
+	ResendRatio        *float64 `json:"resendRatio"` // nil: there is no retry budget
 	ExtraFree          float64  `json:"extraFree"`
 	ResendSpanUs       int64    `json:"resendSpanUs"`
 }
 
-// registryModeOnRequest is the registryMode in which the endpoint list must be requested.
+// registryModeOnRequest is the value of registryMode with which the initiator must request the endpoint list from discovery.
 const registryModeOnRequest = "on_request"
 
-// Microseconds turns the platform's microseconds into a duration.
+// Microseconds converts a number of microseconds, as in the platform's messages, to a duration.
 func Microseconds(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
 
-// SchedulerSettings returns the settings in the scheduler's terms. Its error is a *FieldError of the field that is missing or
-// has an unknown value, with a path that starts at the settings object; what the values must satisfy, scheduler.New checks.
+// SchedulerSettings converts the settings to the scheduler's terms. If a required field is missing or a field has an unknown
+// value, the error is a *FieldError whose path is relative to the settings object. The other constraints on the values are
+// checked by scheduler.New.
 func (w *WireSettings) SchedulerSettings() (scheduler.Settings, error) {
 	if w.PeersTotal == nil {
 		return scheduler.Settings{}, MissingField("peersTotal")
