--- a/internal/config/nvme.go
+++ b/internal/config/nvme.go
@@ -97,7 +97,7 @@
 	}
 }
 
-// validate checks the section, also against the address, classes and plans in the platform's configuration.
+// validate checks the section. The listen address, the classes and the plans must fit those in the platform's configuration.
 func (n *NVMe) validate(platform *Config) *FieldError {
 	if err := checkHostPort(n.Listen); err != nil {
 		return &FieldError{Field: "listen", Err: err}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -43,6 +43,7 @@
 	LimitBurst  float64 `json:"limitBurst"`
 }
 
+// wireExtra holds request sizes, share factors, the slow-start budget and the usage report period.
 type wireExtra struct {
 	ColdBears  float64 `json:"coldBears"`
 	Largest    float64 `json:"largest"`
@@ -52,6 +53,7 @@
 	MeteringUs int64   `json:"meteringUs"`
 }
 
+// wireLimits holds the bounds on attempts and open calls, and the timeouts of connections.
 type wireLimits struct {
 	SendCap       int   `json:"sendCap"`
 	MostHeld      int   `json:"mostHeld"`
@@ -59,6 +61,7 @@
 	DialTimeoutUs int64 `json:"dialTimeoutUs"`
 }
 
+// wireRules holds the other settings of the slow start, the settle time and the retry budget.
 type wireRules struct {
 	ColdShare          float64  `json:"coldShare"`
 	WarmWithinUs       int64    `json:"warmWithinUs"`
@@ -73,7 +76,7 @@
 // registryModeOnRequest is the value of registryMode with which the initiator must request the endpoint list from discovery.
 const registryModeOnRequest = "on_request"
 
-// Microseconds converts a number of microseconds, as in the platform's messages, to a duration.
+// Microseconds converts a number of microseconds to a duration.
 func Microseconds(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
 
 // SchedulerSettings converts the settings to the scheduler's terms. If a required field is missing or a field has an unknown
--- a/internal/configstore/client.go
+++ b/internal/configstore/client.go
@@ -14,28 +14,29 @@
 )
 
 const (
-	// callTimeout bounds Get, List and Put with all their attempts. It is shorter than attemptTimeout: a server that accepts
-	// the request and does not answer takes all of it.
+	// callTimeout bounds Get, List and Put, including all their attempts. It is shorter than attemptTimeout, so a server
+	// that accepts the request and does not respond uses up all of it.
 	callTimeout = 8 * time.Second
 	// watchTimeout is how long a watch waits for a change.
 	watchTimeout = 30 * time.Second
-	// attemptTimeout bounds one HTTP request with its redirects. Only a watch can take so long.
+	// attemptTimeout bounds one HTTP request including its redirects. Only a watch can take this long.
 	attemptTimeout = callTimeout + watchTimeout
 	statusTimeout  = 2 * time.Second
-	// retryInterval is the pause after all servers have failed.
+	// retryInterval is the pause after all servers have failed, and in Watch after one has.
 	retryInterval = 250 * time.Millisecond
 
 	instancesPath = "/v1/instances"
 )
 
-// Client reads and writes configurations. Each call tries the servers in turn, and is redirected to the leader.
+// Client reads and writes configurations. Get, List and Put try the servers in turn and follow their redirects to the
+// leader.
 type Client struct {
 	// Addrs are the host:port addresses of the servers' HTTP APIs; at least one.
 	Addrs []string
 	http  http.Client
 }
 
-// StatusError is a server's HTTP answer other than success and not found.
+// StatusError is the HTTP response of a server that reports a failure other than 404 Not Found.
 type StatusError struct {
 	Status  int    // HTTP status code
 	Message string // the server's reason
@@ -44,15 +45,15 @@
 // Error returns the server's reason.
 func (e *StatusError) Error() string { return e.Message }
 
-// request is what a call sends to one server after the other.
+// request is an HTTP request that a call sends to one server after the other.
 type request struct {
 	method    string
-	path      string // with the query
+	path      string // including the query
 	ifVersion string // value of If-Version; empty: none
 	body      []byte
 }
 
-// response is a successful answer.
+// response is a successful HTTP response.
 type response struct {
 	status int
 	body   []byte
@@ -63,17 +64,18 @@
 	return call[Entry](ctx, c, request{method: http.MethodGet, path: instancePath(name)})
 }
 
-// List returns the names of all initiators that have a configuration, with its version.
+// List returns the version of each configuration by the name of its initiator.
 func (c *Client) List(ctx context.Context) (map[string]uint64, error) {
 	return call[map[string]uint64](ctx, c, request{method: http.MethodGet, path: instancesPath})
 }
 
-// Put writes a configuration; a nil one deletes the entry. A non-empty ifVersion makes the write conditional on the present
-// version, "0" on there being no entry. The returned entry holds no configuration.
+// Put writes a configuration; a nil configuration deletes the entry. If ifVersion is not empty, the write is accepted only
+// if ifVersion is the current version of the entry; "0" requires that there is no entry. The returned entry has no
+// configuration.
 //
-// A rejected write is a *StatusError with a status of 4xx. Its 409 Conflict may also mean that an earlier attempt of this call,
-// whose answer was lost, has taken effect: Get tells. After a *StatusError with 503 Service Unavailable, and after any other
-// error, the write may still take effect.
+// If the write is rejected, the error is a *StatusError with a status of 4xx. The status 409 Conflict may also mean that an
+// earlier attempt of this call has taken effect and its response was lost; Get shows whether it has. After a *StatusError
+// with 503 Service Unavailable, and after any other error, the write may still take effect.
 func (c *Client) Put(ctx context.Context, name string, config []byte, ifVersion string) (Entry, error) {
 	method := http.MethodPut
 	if config == nil {
@@ -82,20 +84,20 @@
 	return call[Entry](ctx, c, request{method: method, path: instancePath(name), ifVersion: ifVersion, body: config})
 }
 
-// Status asks each server for its state. One that does not answer has its address as ID and the error as State.
+// Status queries the status of each server. For a server that does not respond, ID is its address and State is the error.
 func (c *Client) Status(ctx context.Context) []Status {
-	states := make([]Status, 0, len(c.Addrs))
+	statuses := make([]Status, 0, len(c.Addrs))
 	for _, addr := range c.Addrs {
-		state, err := c.status(ctx, addr)
+		status, err := c.queryStatus(ctx, addr)
 		if err != nil {
-			state = Status{ID: addr, State: err.Error()}
+			status = Status{ID: addr, State: err.Error()}
 		}
-		states = append(states, state)
+		statuses = append(statuses, status)
 	}
-	return states
+	return statuses
 }
 
-func (c *Client) status(ctx context.Context, addr string) (Status, error) {
+func (c *Client) queryStatus(ctx context.Context, addr string) (Status, error) {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	resp, err := c.attempt(ctx, addr, request{method: http.MethodGet, path: "/v1/status"})
@@ -105,7 +107,7 @@
 	return decode[Status](resp.body)
 }
 
-// call sends a request, with retries for callTimeout, and decodes the answer.
+// call sends a request, with retries until callTimeout, and decodes the response.
 func call[T any](ctx context.Context, c *Client, req request) (result T, _ error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -116,11 +118,11 @@
 	return decode[T](resp.body)
 }
 
-// tryServers tries the servers in turn, again and again, until one gives a final answer or ctx ends. A server that cannot be
-// reached or knows no leader gives none: during an election all of them fail for a while.
+// tryServers tries the servers in turn, repeatedly, until one gives a final response or ctx ends. A failure to reach a
+// server is not final, nor is a response that no leader is known: during an election, all servers fail for a while.
 func (c *Client) tryServers(ctx context.Context, req request) (response, error) {
 	if len(c.Addrs) == 0 {
-		return response{}, errors.New("no agents are named")
+		return response{}, errors.New("no agent addresses are configured")
 	}
 	for {
 		var lastErr error
@@ -139,16 +141,16 @@
 	}
 }
 
-// isFinal reports whether an error ends the call: any other server would give the same answer.
+// isFinal reports whether an error ends the call, because every other server would give the same response.
 func isFinal(err error) bool {
-	var status *StatusError
-	if errors.As(err, &status) {
-		return status.Status != http.StatusServiceUnavailable
+	var statusErr *StatusError
+	if errors.As(err, &statusErr) {
+		return statusErr.Status != http.StatusServiceUnavailable
 	}
 	return errors.Is(err, ErrNotFound)
 }
 
-// attempt sends a request to one server, and on to the leader where that one redirects.
+// attempt sends a request to one server and follows its redirect to the leader.
 func (c *Client) attempt(ctx context.Context, addr string, req request) (response, error) {
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
@@ -166,9 +168,9 @@
 	return readResponse(httpResp)
 }
 
-// readResponse reads and closes an answer. Its status decides on the error.
+// readResponse reads an HTTP response and closes its body. It converts statuses other than success to errors.
 func readResponse(resp *http.Response) (response, error) {
-	defer func() { _ = resp.Body.Close() }() // only read from
+	defer func() { _ = resp.Body.Close() }() // the body is only read, so the error is irrelevant
 	body, err := io.ReadAll(io.LimitReader(resp.Body, 2*maxConfigBytes))
 	switch {
 	case err != nil:
@@ -183,7 +185,7 @@
 
 func decode[T any](body []byte) (result T, _ error) {
 	if err := json.Unmarshal(body, &result); err != nil {
-		return result, fmt.Errorf("agent's answer: %w", err)
+		return result, fmt.Errorf("decoding the agent's response: %w", err)
 	}
 	return result, nil
 }
--- a/internal/configstore/handlers.go
+++ b/internal/configstore/handlers.go
@@ -13,16 +13,17 @@
 )
 
 const (
-	// ifVersionHeader makes a write conditional on the version of the present entry; 0: there is none.
+	// ifVersionHeader is the header with the required version of the current entry; 0: no entry may exist.
 	ifVersionHeader = "If-Version"
 
-	// enqueueTimeout bounds the wait until Raft takes a change for its log. The wait for the majority has no bound of its own.
+	// enqueueTimeout bounds the wait until Raft accepts a change for its log. The wait for a majority to confirm it has no
+	// timeout of its own.
 	enqueueTimeout  = 5 * time.Second
 	maxConfigBytes  = 4 << 20
 	maxWatchTimeout = time.Minute
 )
 
-// routes returns the HTTP API: reads and writes go to the leader, reads with the parameter "stale" to any server.
+// routes returns the HTTP API. The leader handles reads and writes; any server handles reads with the parameter "stale".
 func (s *Server) routes() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/status", s.handleStatus)
@@ -35,9 +36,9 @@
 
 // Status is a server's view of the Raft group.
 type Status struct {
-	ID      string `json:"id"`      // of the server; from Client.Status its address if it did not answer
-	State   string `json:"state"`   // Leader, Follower, Candidate or Shutdown; from Client.Status the error of a failed call
-	Leader  string `json:"leader"`  // ID; empty: none is known
+	ID      string `json:"id"`      // ID of the server; in Client.Status its address if it did not respond
+	State   string `json:"state"`   // Leader, Follower, Candidate or Shutdown; in Client.Status the error of a failed call
+	Leader  string `json:"leader"`  // ID of the leader; empty: none is known
 	Applied uint64 `json:"applied"` // index of the last log entry applied
 }
 
@@ -58,8 +59,8 @@
 	writeJSON(w, s.store.versions())
 }
 
-// handleGet returns an entry. With the parameters "after" and "wait_ms" it waits until the entry has another version than
-// after, and answers 204 if it keeps that version for so long.
+// handleGet responds with an entry. With the parameters "after" and "wait_ms" it waits until the entry has a version other
+// than after, and responds with 204 if the version is still the same after wait_ms.
 func (s *Server) handleGet(w http.ResponseWriter, r *http.Request) {
 	if !acceptsStale(r) && s.redirectToLeader(w, r) {
 		return
@@ -74,12 +75,12 @@
 	case errors.Is(err, ErrNotFound):
 		http.Error(w, err.Error(), http.StatusNotFound)
 	default:
-		// The client has gone; nobody reads a response.
+		// The client has disconnected, so nobody would read a response.
 	}
 }
 
-// watchParameters returns the version that the caller knows, and how long to wait for another; 0 where they are absent or
-// are no numbers.
+// watchParameters returns the version that the client knows and how long to wait for another. A parameter that is absent or
+// not a number counts as 0.
 func watchParameters(query url.Values) (known uint64, timeout time.Duration) {
 	known, _ = strconv.ParseUint(query.Get("after"), 10, 64)
 	milliseconds, _ := strconv.Atoi(query.Get("wait_ms"))
@@ -87,7 +88,7 @@
 	return known, min(timeout, maxWatchTimeout)
 }
 
-// handlePut writes an entry. A configuration that an initiator could not start from is rejected before it reaches the log.
+// handlePut writes an entry. A configuration with which the initiator could not start is rejected before it reaches the log.
 func (s *Server) handlePut(w http.ResponseWriter, r *http.Request) {
 	if s.redirectToLeader(w, r) {
 		return
@@ -106,7 +107,7 @@
 		http.Error(w, err.Error(), http.StatusUnprocessableEntity)
 		return
 	}
-	s.apply(w, change{Name: name, Config: config, If: condition})
+	s.apply(w, change{Name: name, Config: config, IfVersion: condition})
 }
 
 func (s *Server) handleDelete(w http.ResponseWriter, r *http.Request) {
@@ -114,11 +115,12 @@
 		return
 	}
 	if condition, ok := parseCondition(w, r); ok {
-		s.apply(w, change{Name: r.PathValue("name"), If: condition})
+		s.apply(w, change{Name: r.PathValue("name"), IfVersion: condition})
 	}
 }
 
-// parseCondition returns the version that If-Version requires, nil without the header. It rejects one that is no number.
+// parseCondition returns the version that If-Version requires, or nil without the header. If the value is not a number, it
+// responds with an error and returns false.
 func parseCondition(w http.ResponseWriter, r *http.Request) (condition *uint64, ok bool) {
 	text := r.Header.Get(ifVersionHeader)
 	if text == "" {
@@ -132,7 +134,7 @@
 	return &version, true
 }
 
-// apply replicates a change and answers with the new entry, without its configuration.
+// apply replicates a change and responds with the new entry, without its configuration.
 func (s *Server) apply(w http.ResponseWriter, c change) {
 	command, err := json.Marshal(c)
 	if err != nil {
@@ -141,14 +143,14 @@
 	}
 	future := s.raft.Apply(command, enqueueTimeout)
 	if err := future.Error(); err != nil {
-		// The change may or may not be in the log: the caller reads the entry, or writes again under If-Version.
+		// The change may or may not be in the log. The client has to read the entry, or write again with If-Version.
 		http.Error(w, "not confirmed: "+err.Error(), http.StatusServiceUnavailable)
 		return
 	}
 	writeApplied(w, future)
 }
 
-// writeApplied answers with the result of store.Apply.
+// writeApplied responds with the result of store.Apply.
 func writeApplied(w http.ResponseWriter, future raft.ApplyFuture) {
 	var conflict *conflictError
 	switch result := future.Response().(type) {
@@ -164,9 +166,10 @@
 	}
 }
 
-// redirectToLeader redirects the client to the leader, or answers 503 if none is known. It returns false, with nothing
-// answered, where this server leads, which a majority has confirmed just now: no other server can have confirmed a write that
-// is not in this one's log. It does not wait until the log is applied, see the package comment.
+// redirectToLeader redirects the client to the leader, or responds with 503 if no leader is known. If this server is the
+// leader, it returns false without a response. In this case a majority has just confirmed the leadership, so no other server
+// can have confirmed a write that is not in this server's log. redirectToLeader does not wait until the log is
+// applied; see the package comment.
 func (s *Server) redirectToLeader(w http.ResponseWriter, r *http.Request) bool {
 	if s.raft.isLeader() {
 		return false
@@ -182,12 +185,12 @@
 	return true
 }
 
-// acceptsStale reports whether the caller accepts what this server has, which may lag behind the leader.
+// acceptsStale reports whether the client accepts the entries of this server, which may lag behind those of the leader.
 func acceptsStale(r *http.Request) bool { return r.URL.Query().Has("stale") }
 
-// writeJSON answers 200 with v as JSON.
+// writeJSON responds with status 200 and v as JSON.
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(http.StatusOK)
-	_ = json.NewEncoder(w).Encode(v) // fails only where the client has gone
+	_ = json.NewEncoder(w).Encode(v) // fails only if the client has disconnected
 }
--- a/internal/configstore/raft.go
+++ b/internal/configstore/raft.go
@@ -16,36 +16,36 @@
 const (
 	logFile           = "raft.db"
 	retainedSnapshots = 2
-	transportConns    = 3 // kept open to each peer
+	transportConns    = 3 // pooled connections to each peer
 	transportTimeout  = 5 * time.Second
 )
 
-// raftNode is this server's member of the Raft group, with its durable log and its transport.
+// raftNode is this server's node of the Raft group, with its durable log and its transport.
 type raftNode struct {
 	*raft.Raft
 	log       *raftboltdb.BoltStore
 	transport *raft.NetworkTransport
 }
 
-// openRaft opens the durable data in opt.Dir and starts this server's member of the Raft group. It bootstraps the group if
+// openRaft opens the durable data in opts.Dir and starts this server's node of the Raft group. It bootstraps the group if
 // there is no data yet.
-func openRaft(opt Options, self Peer, fsm raft.FSM) (_ *raftNode, err error) {
+func openRaft(opts Options, self Peer, fsm raft.FSM) (_ *raftNode, err error) {
 	n := &raftNode{}
 	defer func() {
 		if err != nil {
 			n.release()
 		}
 	}()
-	logger := hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Warn, Output: logWriter{opt.Logger}})
-	snapshots, err := n.openStorage(opt.Dir, logger)
+	logger := hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Warn, Output: logWriter{opts.Logger}})
+	snapshots, err := n.openStorage(opts.Dir, logger)
 	if err != nil {
 		return nil, fmt.Errorf("agent.dir: %w", err)
 	}
 	if err := n.openTransport(self.Raft, logger); err != nil {
 		return nil, fmt.Errorf("agent.peers raft: %w", err)
 	}
-	config := raftConfig(opt, logger)
-	if err := n.bootstrap(config, snapshots, opt.Peers); err != nil {
+	config := raftConfig(opts, logger)
+	if err := n.bootstrap(config, snapshots, opts.Peers); err != nil {
 		return nil, err
 	}
 	if n.Raft, err = raft.NewRaft(config, fsm, n.log, n.log, snapshots, n.transport); err != nil {
@@ -74,20 +74,20 @@
 	return err
 }
 
-func raftConfig(opt Options, logger hclog.Logger) *raft.Config {
+func raftConfig(opts Options, logger hclog.Logger) *raft.Config {
 	config := raft.DefaultConfig()
-	config.LocalID = raft.ServerID(opt.ID)
+	config.LocalID = raft.ServerID(opts.ID)
 	config.Logger = logger
-	if opt.ElectionTimeout > 0 {
-		config.HeartbeatTimeout = opt.ElectionTimeout
-		config.ElectionTimeout = opt.ElectionTimeout
-		config.LeaderLeaseTimeout = opt.ElectionTimeout / 2 // Raft wants it below the heartbeat timeout
+	if opts.ElectionTimeout > 0 {
+		config.HeartbeatTimeout = opts.ElectionTimeout
+		config.ElectionTimeout = opts.ElectionTimeout
+		config.LeaderLeaseTimeout = opts.ElectionTimeout / 2 // Raft allows at most the heartbeat timeout
 	}
 	return config
 }
 
-// bootstrap writes the peers as the group's first configuration, unless this server has Raft state already: a second bootstrap
-// would forget what the group has confirmed since.
+// bootstrap writes the peers as the initial membership of the group, unless this server already has Raft state: a
+// second bootstrap, which the Raft library rejects, would lose what the group has confirmed since the first.
 func (n *raftNode) bootstrap(config *raft.Config, snapshots raft.SnapshotStore, peers []Peer) error {
 	exists, err := raft.HasExistingState(n.log, n.log, snapshots)
 	if err != nil || exists {
@@ -100,20 +100,20 @@
 	return raft.BootstrapCluster(config, n.log, n.log, snapshots, n.transport, members)
 }
 
-// isLeader reports whether this server leads, confirmed by a majority just now. It does not say that this server has applied
-// all that is committed.
+// isLeader reports whether this server is the leader and a majority has just confirmed it. Even then, the server may not
+// have applied all committed log entries yet.
 func (n *raftNode) isLeader() bool {
 	return n.State() == raft.Leader && n.VerifyLeader().Error() == nil
 }
 
-// close stops this server, which stays a voter of the group, and closes the durable data.
+// close stops the node and closes the durable data. The server remains a voter of the group.
 func (n *raftNode) close() error {
 	err := n.Shutdown().Error()
 	n.release()
 	return err
 }
 
-// release closes what is open. Nothing is written to it any more, so its errors say nothing.
+// release closes the transport and the log if they are open. It ignores errors, because nothing is written to them anymore.
 func (n *raftNode) release() {
 	if n.transport != nil {
 		_ = n.transport.Close()
@@ -123,11 +123,11 @@
 	}
 }
 
-// logWriter passes the lines of the Raft library to a structured logger.
+// logWriter forwards the log lines of the Raft library to a structured logger.
 type logWriter struct{ log *slog.Logger }
 
-// Write implements io.Writer for one line.
+// Write implements io.Writer. It expects one line, and drops the newline at its end.
 func (w logWriter) Write(line []byte) (int, error) {
-	w.log.Warn("raft", slog.String("line", string(line[:max(0, len(line)-1)])))
+	w.log.Warn("message from the Raft library", slog.String("line", string(line[:max(0, len(line)-1)])))
 	return len(line), nil
 }
--- a/internal/configstore/server.go
+++ b/internal/configstore/server.go
@@ -13,29 +13,31 @@
 const (
 	readHeaderTimeout = 5 * time.Second
 	readTimeout       = 30 * time.Second
-	// shutdownTimeout is how long Shutdown waits for open requests; watches that still wait are then cut off.
+	// shutdownTimeout is how long Shutdown waits for open requests. Requests that are still open then, such as watches, are
+	// cut off.
 	shutdownTimeout = time.Second
 )
 
-// Peer is a server as all servers know it.
+// Peer is one of the servers of the group, with its addresses.
 type Peer struct {
 	ID   string // unique among the peers
 	Raft string // host:port of the Raft transport
 	API  string // host:port of the HTTP API
 }
 
-// Options set up one server.
+// Options configures one server.
 type Options struct {
 	// ID is the ID of this server among Peers.
 	ID string
-	// Dir is the folder of the log, the votes and the snapshots; it is made if it does not exist.
+	// Dir is the directory of the log, the votes and the snapshots; it is created if it does not exist.
 	Dir string
-	// Peers are all servers, this one included.
+	// Peers are all servers, including this one.
 	Peers []Peer
-	// Validate returns an error if an initiator of that name could not start from the configuration; such a one is rejected.
+	// Validate returns an error if the named initiator could not start with the configuration. A write of such a
+	// configuration is rejected.
 	Validate func(name string, config []byte) error
 	Logger   *slog.Logger
-	// ElectionTimeout is Raft's heartbeat and election timeout; 0: one second. Tests shorten it.
+	// ElectionTimeout is Raft's heartbeat timeout and election timeout; 0: one second. Tests shorten it.
 	ElectionTimeout time.Duration
 }
 
@@ -47,15 +49,16 @@
 	http    http.Server
 }
 
-// Start opens the durable data and starts this server's member of the Raft group. A server without data bootstraps the group
-// from Options.Peers; one with data continues from its log. Errors start with the operator's field that they come from.
-func Start(opt Options) (*Server, error) {
-	self, err := opt.self()
+// Start opens the durable data and starts this server's node of the Raft group. A server without data bootstraps the group
+// from Options.Peers; a server with data continues from its log. An error that is caused by a field of the operator's file
+// starts with the path of that field.
+func Start(opts Options) (*Server, error) {
+	self, err := opts.self()
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{options: opt, store: newStore()}
-	if s.raft, err = openRaft(opt, self, s.store); err != nil {
+	s := &Server{options: opts, store: newStore()}
+	if s.raft, err = openRaft(opts, self, s.store); err != nil {
 		return nil, err
 	}
 	s.http = http.Server{Handler: s.routes(), ReadHeaderTimeout: readHeaderTimeout, ReadTimeout: readTimeout}
@@ -69,10 +72,10 @@
 			return peer, nil
 		}
 	}
-	return Peer{}, fmt.Errorf("agent.id: %q is none of the peers", o.ID)
+	return Peer{}, fmt.Errorf("agent.id: %q is not the ID of a peer", o.ID)
 }
 
-// Serve answers the HTTP API on l until Shutdown.
+// Serve serves the HTTP API on l until Shutdown is called.
 func (s *Server) Serve(l net.Listener) error {
 	if err := s.http.Serve(l); !errors.Is(err, http.ErrServerClosed) {
 		return err
@@ -80,12 +83,13 @@
 	return nil
 }
 
-// Shutdown ends the HTTP API, stops this server's part in the Raft group, where it stays a voter, and closes the durable data.
+// Shutdown stops the HTTP API and this server's node of the Raft group, and closes the durable data. The server remains a
+// voter of the group.
 func (s *Server) Shutdown() error {
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	if s.http.Shutdown(ctx) != nil {
-		_ = s.http.Close() // the server ends either way
+		_ = s.http.Close() // the server stops either way
 	}
 	return s.raft.close()
 }
--- a/internal/configstore/server_test.go
+++ b/internal/configstore/server_test.go
@@ -19,7 +19,7 @@
 
 var discardLog = slog.New(slog.DiscardHandler)
 
-// validateJSON stands for the check whether an initiator could start from a configuration.
+// validateJSON stands in for the check whether an initiator could start with a configuration.
 func validateJSON(_ string, config []byte) error {
 	if !json.Valid(config) {
 		return errors.New("name: required field is missing")
@@ -27,7 +27,7 @@
 	return nil
 }
 
-// freeAddrs returns loopback addresses that nobody listens on.
+// freeAddrs returns n loopback addresses with unused ports.
 func freeAddrs(t *testing.T, n int) []string {
 	t.Helper()
 	var addrs []string
@@ -50,12 +50,14 @@
 	clusterSize = 3
 	// electionTimeout is shorter than the default, so that the tests take less time.
 	electionTimeout = 500 * time.Millisecond
-	// eventTimeout and eventPollInterval are for events that take a while, such as an election on a busy machine.
+	// eventTimeout and eventPollInterval are for waiting for events that take a while, such as an election on a busy
+	// machine.
 	eventTimeout      = time.Minute
 	eventPollInterval = 20 * time.Millisecond
 )
 
-// cluster is a group of servers on the loopback, each with a folder that outlives it, and a client of all of them.
+// cluster is a group of servers on the loopback interface and a client of all of them. Each server has a directory that
+// remains when the server stops.
 type cluster struct {
 	t       *testing.T
 	peers   []Peer
@@ -114,12 +116,12 @@
 	c.servers[i] = nil
 }
 
-// eventually waits for a condition that takes a while, such as an election.
-func (c *cluster) eventually(what string, condition func() bool) {
+// eventually waits until a condition that takes a while is met, such as an election.
+func (c *cluster) eventually(event string, condition func() bool) {
 	c.t.Helper()
 	for end := time.Now().Add(eventTimeout); !condition(); time.Sleep(eventPollInterval) {
 		if time.Now().After(end) {
-			c.t.Fatalf("not within %v: %s", eventTimeout, what)
+			c.t.Fatalf("timeout after %v waiting for %s", eventTimeout, event)
 		}
 	}
 }
@@ -138,7 +140,7 @@
 	return leader
 }
 
-// mustPut writes a configuration, again until it is confirmed.
+// mustPut writes a configuration, with retries until the write is confirmed.
 func (c *cluster) mustPut(name, config, ifVersion string) Entry {
 	c.t.Helper()
 	for end := time.Now().Add(eventTimeout); ; time.Sleep(eventPollInterval) {
@@ -147,13 +149,14 @@
 			return entry
 		}
 		if time.Now().After(end) {
-			c.t.Fatalf("put of %s was not confirmed within %v, at last: %v", name, eventTimeout, err)
+			c.t.Fatalf("put of %s was not confirmed within %v, last error: %v", name, eventTimeout, err)
 		}
 	}
 }
 
-// TestLeaderLost loses the leader between two writes: the remaining majority takes the second one, the lost server catches
-// up from its durable data when it is back, and a watching client sees each configuration once, in order.
+// TestLeaderLost stops the leader between two writes. The remaining majority must accept the second write, the stopped
+// server must catch up from its durable data when it is restarted, and a watching client must see each configuration once,
+// in order.
 func TestLeaderLost(t *testing.T) {
 	c := newCluster(t)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -163,23 +166,23 @@
 	go watcher.Watch(ctx, "n1", discardLog, func(e Entry) { notified <- e })
 	first := c.mustPut("n1", `{"a":1}`, "")
 	c.mustPut("n2", `{"b":1}`, "")
-	lost := c.leader()
-	c.stop(lost)
+	stopped := c.leader()
+	c.stop(stopped)
 	second := c.mustPut("n1", `{"a":2}`, "")
 	if second.Version <= first.Version {
 		t.Errorf("version went from %d to %d", first.Version, second.Version)
 	}
 	entry, err := c.Get(ctx, "n1")
 	if err != nil || string(entry.Config) != `{"a":2}` || entry.Version != second.Version {
-		t.Errorf("after the leader was lost: %+v, %v", entry, err)
+		t.Errorf("get after the leader was stopped: %+v, error %v", entry, err)
 	}
-	c.start(lost)
-	c.eventually("the lost server has caught up", func() bool {
-		entry, found, _ := c.servers[lost].store.get("n1")
+	c.start(stopped)
+	c.eventually("the stopped server to catch up", func() bool {
+		entry, found, _ := c.servers[stopped].store.get("n1")
 		return found && string(entry.Config) == `{"a":2}`
 	})
 	if all, err := c.List(ctx); err != nil || len(all) != 2 {
-		t.Errorf("instances %v, %v", all, err)
+		t.Errorf("instances %v, error %v, want 2 instances", all, err)
 	}
 	for _, want := range []string{`{"a":1}`, `{"a":2}`} {
 		select {
@@ -193,13 +196,13 @@
 	}
 	for _, status := range c.Status(ctx) {
 		if !strings.HasPrefix(status.ID, "agent-") || status.Leader == "" {
-			t.Errorf("status %+v", status)
+			t.Errorf("status %+v, want the ID of an agent and a leader", status)
 		}
 	}
 }
 
-// TestRejectedWrites checks which writes are rejected, with their HTTP status: a configuration that no initiator could start
-// from, and a write over another version than the writer has seen.
+// TestRejectedWrites checks that writes are rejected, and with which HTTP status: a configuration with which no initiator
+// could start, a condition that is not a version, and a write whose required version is not the current one.
 func TestRejectedWrites(t *testing.T) {
 	c := newCluster(t)
 	ctx := context.Background()
@@ -207,24 +210,25 @@
 	rejected := func(name, config, ifVersion string, status int, message string) {
 		t.Helper()
 		_, err := c.Put(ctx, "n1", []byte(config), ifVersion)
-		var answer *StatusError
-		if !errors.As(err, &answer) || answer.Status != status || !strings.Contains(err.Error(), message) {
-			t.Errorf("%s: %v, want %d with %q", name, err, status, message)
+		var statusErr *StatusError
+		if !errors.As(err, &statusErr) || statusErr.Status != status || !strings.Contains(err.Error(), message) {
+			t.Errorf("%s: error %v, want status %d and a message that contains %q", name, err, status, message)
 		}
 	}
-	rejected("second first write", `{"a":2}`, "0", http.StatusConflict, "another version")
-	rejected("bad configuration", "nonsense", "", http.StatusUnprocessableEntity, "required field")
-	rejected("condition that is no version", `{"a":2}`, "latest", http.StatusBadRequest, "not a version")
+	rejected("write that requires no entry", `{"a":2}`, "0", http.StatusConflict, "another version")
+	rejected("invalid configuration", "nonsense", "", http.StatusUnprocessableEntity, "required field")
+	rejected("condition that is not a version", `{"a":2}`, "latest", http.StatusBadRequest, "not a version")
 	c.mustPut("n1", `{"a":3}`, fmt.Sprint(entry.Version))
 	if _, err := c.Put(ctx, "n1", nil, ""); err != nil {
 		t.Errorf("delete: %v", err)
 	}
 	if _, err := c.Get(ctx, "n1"); !errors.Is(err, ErrNotFound) {
-		t.Errorf("after the delete: %v", err)
+		t.Errorf("get after the delete: error %v, want ErrNotFound", err)
 	}
 }
 
-// TestNoMajority leaves one server of three: it confirms no write, since the write could be lost with it.
+// TestNoMajority stops two of three servers. The remaining one must not confirm a write, which would be lost if that server
+// were lost.
 func TestNoMajority(t *testing.T) {
 	c := newCluster(t)
 	c.mustPut("n1", `{"a":1}`, "")
@@ -237,7 +241,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
 	if entry, err := c.Put(ctx, "n1", []byte(`{"a":2}`), ""); err == nil {
-		t.Errorf("a single server confirmed %+v", entry)
+		t.Errorf("a single server of the group confirmed %+v", entry)
 	}
 }
 
@@ -248,7 +252,7 @@
 func (*memorySink) Cancel() error { return nil }
 func (*memorySink) Close() error  { return nil }
 
-// TestSnapshot persists a store and restores it into another one.
+// TestSnapshot persists the entries of one store and restores them into another.
 func TestSnapshot(t *testing.T) {
 	original := newStore()
 	original.Apply(&raft.Log{Index: 4, Data: []byte(`{"name":"n1","config":{"a":1}}`)})
--- a/internal/configstore/store.go
+++ b/internal/configstore/store.go
@@ -13,60 +13,60 @@
 	"github.com/hashicorp/raft"
 )
 
-// Entry is the configuration of one initiator. It is stored in snapshots and sent to clients.
+// Entry is the configuration of one initiator. Entries are stored in snapshots and sent to clients.
 type Entry struct {
 	Name    string          `json:"name"`
 	Version uint64          `json:"version"`          // index of the log entry that wrote it
-	Config  json.RawMessage `json:"config,omitempty"` // empty: deleted
+	Config  json.RawMessage `json:"config,omitempty"` // empty: deleted, or omitted in the response to a write
 }
 
-// change is the command that a log entry holds.
+// change is the command in a log entry. It writes or deletes one Entry.
 type change struct {
-	Name   string          `json:"name"`
-	Config json.RawMessage `json:"config,omitempty"` // empty: delete the entry
-	If     *uint64         `json:"if,omitempty"`     // required version of the present entry, 0: there is none; nil: any
+	Name      string          `json:"name"`
+	Config    json.RawMessage `json:"config,omitempty"` // empty: delete the entry
+	IfVersion *uint64         `json:"if,omitempty"`     // required version of the current entry; 0: no entry; nil: any
 }
 
-// ErrNotFound says that there is no configuration of that name.
+// ErrNotFound reports that there is no configuration with the requested name.
 var ErrNotFound = errors.New("no such instance")
 
-// errNotModified says that the entry still has the version that the caller knows.
+// errNotModified reports that the entry still has the version that the caller knows.
 var errNotModified = errors.New("the entry has not changed")
 
-// conflictError rejects a change whose required version is not the present one.
+// conflictError rejects a change whose required version differs from the current one.
 type conflictError struct {
 	name    string
-	version uint64 // the present one
+	version uint64 // current version
 }
 
 func (e *conflictError) Error() string {
 	return fmt.Sprintf("%s: the entry has another version: %d", e.name, e.version)
 }
 
-// store is the state machine that the log is applied to. All servers that have applied the same part of the log have the
-// same store.
+// store is the state machine to which the log is applied. Servers that have applied the same part of the log have the same
+// entries.
 type store struct {
 	mu      sync.Mutex
 	entries map[string]Entry
-	changed chan struct{} // closed and replaced at each change
+	changed chan struct{} // closed and replaced on each change
 }
 
 func newStore() *store {
 	return &store{entries: map[string]Entry{}, changed: make(chan struct{})}
 }
 
-// Apply implements raft.FSM. It returns the new Entry, a *conflictError, or the error of a log entry that cannot be read.
-func (s *store) Apply(l *raft.Log) any {
+// Apply implements raft.FSM. It returns the new Entry, a *conflictError, or an error if the log entry cannot be decoded.
+func (s *store) Apply(logEntry *raft.Log) any {
 	var c change
-	if err := json.Unmarshal(l.Data, &c); err != nil {
-		return fmt.Errorf("log entry %d: %w", l.Index, err)
+	if err := json.Unmarshal(logEntry.Data, &c); err != nil {
+		return fmt.Errorf("log entry %d: %w", logEntry.Index, err)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if present := s.entries[c.Name]; c.If != nil && present.Version != *c.If {
-		return &conflictError{name: c.Name, version: present.Version}
+	if current := s.entries[c.Name]; c.IfVersion != nil && current.Version != *c.IfVersion {
+		return &conflictError{name: c.Name, version: current.Version}
 	}
-	entry := Entry{Name: c.Name, Version: l.Index, Config: c.Config}
+	entry := Entry{Name: c.Name, Version: logEntry.Index, Config: c.Config}
 	if len(c.Config) == 0 {
 		delete(s.entries, c.Name)
 	} else {
@@ -76,13 +76,13 @@
 	return entry
 }
 
-// broadcast wakes all waiters. The caller holds mu.
+// broadcast wakes all goroutines that wait for a change. The caller must hold mu.
 func (s *store) broadcast() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// get returns an entry, and a channel that is closed at the next change of any entry.
+// get returns the named entry, and a channel that is closed on the next change of any entry.
 func (s *store) get(name string) (entry Entry, found bool, changed <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -90,8 +90,8 @@
 	return entry, found, s.changed
 }
 
-// wait returns the entry as soon as there is one with another version than known. When the timeout is over it returns
-// errNotModified or ErrNotFound, and when ctx ends, its error.
+// wait returns the named entry as soon as it exists with a version other than known. After the timeout it returns
+// errNotModified or, if there is no entry, ErrNotFound. If ctx ends first, it returns the error of ctx.
 func (s *store) wait(ctx context.Context, name string, known uint64, timeout time.Duration) (Entry, error) {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
@@ -125,7 +125,7 @@
 	return versions
 }
 
-// snapshot is a copy of the entries, written as one JSON object.
+// snapshot is a copy of the entries by name. It is persisted as one JSON object.
 type snapshot map[string]Entry
 
 // Snapshot implements raft.FSM.
@@ -136,8 +136,8 @@
 }
 
 // Persist implements raft.FSMSnapshot.
-func (m snapshot) Persist(sink raft.SnapshotSink) error {
-	if err := json.NewEncoder(sink).Encode(map[string]Entry(m)); err != nil {
+func (s snapshot) Persist(sink raft.SnapshotSink) error {
+	if err := json.NewEncoder(sink).Encode(map[string]Entry(s)); err != nil {
 		return errors.Join(err, sink.Cancel())
 	}
 	return sink.Close()
@@ -146,9 +146,9 @@
 // Release implements raft.FSMSnapshot.
 func (snapshot) Release() {}
 
-// Restore implements raft.FSM. It replaces all entries.
+// Restore implements raft.FSM. It replaces all entries with those of a snapshot.
 func (s *store) Restore(in io.ReadCloser) error {
-	defer func() { _ = in.Close() }() // only read from
+	defer func() { _ = in.Close() }() // in is only read, so the error is irrelevant
 	entries := map[string]Entry{}
 	if err := json.NewDecoder(in).Decode(&entries); err != nil {
 		return fmt.Errorf("snapshot: %w", err)
--- a/internal/configstore/stored_test.go
+++ b/internal/configstore/stored_test.go
@@ -9,16 +9,16 @@
 	"github.com/hashicorp/raft"
 )
 
-// storedPeer is the only server of the group whose folder is testdata/stored. The code of commit 634ce93 wrote it: three
-// changes, a snapshot of the store, and two changes after it.
+// storedPeer returns the only server of the group whose data is in testdata/stored. The data was written by the code of
+// commit 634ce93: three changes, a snapshot of the store, and two more changes.
 func storedPeer(t *testing.T) Peer {
 	t.Helper()
 	addrs := freeAddrs(t, 2)
 	return Peer{ID: "agent-1", Raft: addrs[0], API: addrs[1]}
 }
 
-// TestReadsStoredData starts a server on a folder that an earlier version wrote: its snapshot and the log after it must give
-// the same entries, since an update of the servers must not lose the initiators' configurations.
+// TestReadsStoredData starts a server on data that an earlier version wrote. The server must restore the same entries from
+// the snapshot and the log after it, because an update of the servers must not lose the initiators' configurations.
 func TestReadsStoredData(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "stored")
 	if err := os.CopyFS(dir, os.DirFS("testdata/stored")); err != nil {
@@ -46,10 +46,10 @@
 	}
 	for name, want := range map[string]string{"n1": `{"name":"n1","generation":2}`, "n2": `{"name":"n2"}`} {
 		if e, found, _ := server.store.get(name); !found || string(e.Config) != want || e.Version == 0 {
-			t.Errorf("%s: %+v, found %v, want %s", name, e, found, want)
+			t.Errorf("%s: entry %+v, found %v, want configuration %s", name, e, found, want)
 		}
 	}
 	if e, found, _ := server.store.get("n3"); found {
-		t.Errorf("n3 was deleted, yet there is %+v", e)
+		t.Errorf("n3 was deleted, but the store has entry %+v", e)
 	}
 }
