--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -142,10 +142,11 @@
 	}
 	deadlines := platform.ClassDeadlines()
 	if len(operator.NVMe.Namespaces) != 1 || deadlines["event-write"] != 1200*time.Millisecond {
-		t.Errorf("%d namespaces, deadlines %v", len(operator.NVMe.Namespaces), deadlines)
+		t.Errorf("%d namespaces, want 1; deadlines %v, want 1.2 s for event-write", len(operator.NVMe.Namespaces), deadlines)
 	}
 	if operator.NVMe.HostIdentifier()[0] != 0x5f || operator.NVMe.KeepAliveTimeout() != 5*time.Second {
-		t.Errorf("host identifier %x, keep-alive timeout %v", operator.NVMe.HostIdentifier(), operator.NVMe.KeepAliveTimeout())
+		t.Errorf("host identifier %x, want 5f first; keep-alive timeout %v, want 5 s",
+			operator.NVMe.HostIdentifier(), operator.NVMe.KeepAliveTimeout())
 	}
 	for _, c := range []struct{ old, new, want string }{
 		{"listen", "lisen", "nvme.lisen: unknown field"},
--- a/internal/config/nvme.go
+++ b/internal/config/nvme.go
@@ -105,7 +105,7 @@
 	if n.Listen == platform.Listen {
 		return fieldError("listen", "%s is already the address of health checks over HTTP", n.Listen)
 	}
-	if err := n.validateNames(); err != nil {
+	if err := n.validateIdentifiers(); err != nil {
 		return err
 	}
 	switch {
@@ -119,7 +119,8 @@
 	return n.validateNamespaces(platform)
 }
 
-func (n *NVMe) validateNames() *FieldError {
+// validateIdentifiers checks the NQNs and the host identifier.
+func (n *NVMe) validateIdentifiers() *FieldError {
 	for _, name := range []struct{ field, nqn string }{
 		{"subsystem", n.Subsystem},
 		{"target_subsystem", n.TargetSubsystem},
--- a/internal/configstore/server_test.go
+++ b/internal/configstore/server_test.go
@@ -269,6 +269,6 @@
 		t.Fatal(err)
 	}
 	if entry, found, _ := restored.get("n1"); !found || entry.Version != 4 || string(entry.Config) != `{"a":1}` {
-		t.Errorf("restored %+v", entry)
+		t.Errorf("restored entry %+v, want version 4 with the original configuration", entry)
 	}
 }
