--- a/cmd/initiator/nvme.go
+++ b/cmd/initiator/nvme.go
@@ -19,12 +19,12 @@
 }
 
 // nvmeServerOptions returns the options of the controller side: this initiator towards its clients' hosts.
-func nvmeServerOptions(cfg *config.Config, settings *config.NVMe, log *slog.Logger) nvme.Options {
+func nvmeServerOptions(cfg *config.Config, settings *config.NVMe, log *slog.Logger) nvme.ServerOptions {
 	namespaces := make([]nvme.Namespace, 0, len(settings.Namespaces))
 	for i := range settings.Namespaces {
 		namespaces = append(namespaces, nvmeNamespace(&settings.Namespaces[i]))
 	}
-	return nvme.Options{
+	return nvme.ServerOptions{
 		Subsystem:        settings.Subsystem,
 		Namespaces:       namespaces,
 		QueueDepth:       settings.QueueDepth,
--- a/internal/nvme/command.go
+++ b/internal/nvme/command.go
@@ -205,6 +205,6 @@
 	NamespaceID uint32
 	StartLBA    uint64
 	Blocks      uint32
-	Bytes       int    // length of the data
+	DataLen     int    // length of the data
 	Data        []byte // to write
 }
--- a/internal/nvme/controllerqueue.go
+++ b/internal/nvme/controllerqueue.go
@@ -142,7 +142,7 @@
 		p.dataTimer.Stop()
 	}
 	if p.io != nil {
-		q.server.bufferedBytes.Add(-int64(p.io.Bytes))
+		q.server.bufferedBytes.Add(-int64(p.io.DataLen))
 	}
 	if p.call != nil {
 		q.server.openCommands.Add(-1)
--- a/internal/nvme/endtoend_test.go
+++ b/internal/nvme/endtoend_test.go
@@ -27,12 +27,12 @@
 
 		const blocks = 200
 		large := bytes.Repeat([]byte("0123456789abcdef"), blocks*blockSize/16)
-		write := &IORequest{Write: true, NamespaceID: 1, StartLBA: 100, Blocks: blocks, Bytes: len(large), Data: large}
+		write := &IORequest{Write: true, NamespaceID: 1, StartLBA: 100, Blocks: blocks, DataLen: len(large), Data: large}
 		result := h.roundTrip(write)
 		if result.Status != scheduler.Succeeded {
 			t.Fatalf("large write: %+v", result)
 		}
-		result = h.roundTrip(&IORequest{NamespaceID: 1, StartLBA: 100, Blocks: blocks, Bytes: len(large)})
+		result = h.roundTrip(&IORequest{NamespaceID: 1, StartLBA: 100, Blocks: blocks, DataLen: len(large)})
 		if data, _ := result.Payload.([]byte); result.Status != scheduler.Succeeded || !bytes.Equal(data, large) {
 			t.Fatalf("large read: %v, %d bytes, %s", result.Status, len(data), result.CloseReason)
 		}
--- a/internal/nvme/helpers_test.go
+++ b/internal/nvme/helpers_test.go
@@ -50,7 +50,7 @@
 // serve runs a server on l until l is closed.
 func serve(t *testing.T, l net.Listener, d Dispatcher, subsystem string) *Server {
 	t.Helper()
-	s := New(d, Options{
+	s := New(d, ServerOptions{
 		Subsystem: subsystem, Namespaces: []Namespace{testNamespace()},
 		QueueDepth: 8, MaxConns: 64, MaxBufferedBytes: 8 << 20,
 		ClassDeadlines: map[string]time.Duration{"position-read": testTimeout, "event-write": testTimeout},
--- a/internal/nvme/host_test.go
+++ b/internal/nvme/host_test.go
@@ -26,7 +26,7 @@
 	}
 	attempt := dispatcher.Attempt{
 		Deadline: time.Now().Add(testTimeout),
-		Payload:  &IORequest{NamespaceID: 1, Blocks: 1, Bytes: blockSize},
+		Payload:  &IORequest{NamespaceID: 1, Blocks: 1, DataLen: blockSize},
 	}
 	result := queue.RoundTrip(attempt, func() bool { return false })
 	if err := queue.Close(); err != nil {
--- a/internal/nvme/iocommand.go
+++ b/internal/nvme/iocommand.go
@@ -44,7 +44,7 @@
 		NamespaceID: namespace.ID,
 		StartLBA:    entry.startLBA(),
 		Blocks:      entry.blocks(),
-		Bytes:       int(entry.blocks()) * namespace.BlockBytes,
+		DataLen:     int(entry.blocks()) * namespace.BlockBytes,
 	}
 }
 
@@ -53,13 +53,13 @@
 	if request.StartLBA >= namespace.Blocks || uint64(request.Blocks) > namespace.Blocks-request.StartLBA {
 		return statusLBAOutOfRange
 	}
-	if request.Bytes > maxTransferLen || int(entry.sglLength()) != request.Bytes {
+	if request.DataLen > maxTransferLen || int(entry.sglLength()) != request.DataLen {
 		return statusInvalidFieldInCommand
 	}
 	isValid := false
 	switch entry.sglType() {
 	case sglDataInCapsule:
-		isValid = request.Write && len(inCapsule) == request.Bytes && request.Bytes <= maxInCapsuleData
+		isValid = request.Write && len(inCapsule) == request.DataLen && request.DataLen <= maxInCapsuleData
 	case sglTransport:
 		isValid = len(inCapsule) == 0
 	}
@@ -73,7 +73,7 @@
 // for now. Connections check and add independently of each other, so that the sum may exceed the limit by one command for
 // each.
 func (q *controllerQueue) reserveBytes(p *pendingCommand, request *IORequest) bool {
-	bytes := int64(request.Bytes)
+	bytes := int64(request.DataLen)
 	if q.server.rejecting.Load() || q.server.bufferedBytes.Load()+bytes > q.server.options.MaxBufferedBytes {
 		return false
 	}
@@ -133,7 +133,7 @@
 		return
 	}
 	data, _ := response.Payload.([]byte)
-	if len(data) != p.io.Bytes {
+	if len(data) != p.io.DataLen {
 		q.fail(p, statusInternalError)
 		return
 	}
--- a/internal/nvme/server.go
+++ b/internal/nvme/server.go
@@ -13,8 +13,8 @@
 	"dapplegate/internal/socket"
 )
 
-// Options set up the controller side.
-type Options struct {
+// ServerOptions set up the controller side.
+type ServerOptions struct {
 	Subsystem  string // NQN under which hosts connect
 	Namespaces []Namespace
 	QueueDepth int // entries of an I/O queue
@@ -58,7 +58,7 @@
 
 // Server is the controller side: an NVMe subsystem that hosts connect to over TCP.
 type Server struct {
-	options    Options
+	options    ServerOptions
 	dispatcher Dispatcher
 	namespaces map[uint32]*Namespace
 	schedule   dispatcher.ShutdownSchedule
@@ -76,7 +76,7 @@
 }
 
 // New returns a server that hands its commands to d. Options.Namespaces must be valid.
-func New(d Dispatcher, opt Options) *Server {
+func New(d Dispatcher, opt ServerOptions) *Server {
 	s := &Server{
 		options:      opt,
 		dispatcher:   d,
--- a/internal/nvme/targetqueue.go
+++ b/internal/nvme/targetqueue.go
@@ -81,7 +81,7 @@
 		op = opWrite
 	}
 	inCapsule := request.Write && len(request.Data) <= q.maxInCapsuleData
-	entry := newCommand(op, q.nextCommandID(), request.Bytes, inCapsule)
+	entry := newCommand(op, q.nextCommandID(), request.DataLen, inCapsule)
 	entry.putU32(sqeNamespaceID, request.NamespaceID)
 	entry.putU64(sqeStartLBA, request.StartLBA)
 	entry.putU16(sqeBlocks, uint16(request.Blocks-1))
@@ -169,7 +169,7 @@
 func (e *exchange) receiveData(p *pdu) error {
 	header := parseTransfer(p)
 	isExpected := !e.request.Write && header.commandID == e.entry.id() && int64(header.offset) == int64(len(e.data))
-	if !isExpected || len(e.data)+len(p.data) > e.request.Bytes || p.dataDigestError {
+	if !isExpected || len(e.data)+len(p.data) > e.request.DataLen || p.dataDigestError {
 		return &controllerError{cause: "data for no read, out of order or damaged"}
 	}
 	e.data = append(e.data, p.data...)
@@ -178,7 +178,7 @@
 
 // finish returns the result of a completed command. A read that succeeded without all of its data is an error.
 func (e *exchange) finish(s status) (status, []byte, error) {
-	if s == statusSuccess && !e.request.Write && len(e.data) != e.request.Bytes {
+	if s == statusSuccess && !e.request.Write && len(e.data) != e.request.DataLen {
 		return 0, nil, &controllerError{cause: "data of a successful read is incomplete"}
 	}
 	return s, e.data, nil
--- a/internal/nvme/writedata.go
+++ b/internal/nvme/writedata.go
@@ -7,13 +7,13 @@
 // memory and a queue entry for as long as the connection lives.
 func (q *controllerQueue) requestData(p *pendingCommand, namespace *Namespace) {
 	timeout := q.server.options.ClassDeadlines[namespace.WriteClass]
-	p.io.Data = make([]byte, p.io.Bytes)
+	p.io.Data = make([]byte, p.io.DataLen)
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.lastTTAG++
 	p.ttag = q.lastTTAG
 	p.dataTimer = time.AfterFunc(timeout, func() { q.end(reasonDataTimeout) })
-	r2t := transfer{commandID: p.entry.id(), ttag: p.ttag, length: uint32(p.io.Bytes)}
+	r2t := transfer{commandID: p.entry.id(), ttag: p.ttag, length: uint32(p.io.DataLen)}
 	q.send(pduR2T, r2t.header())
 }
 
@@ -33,7 +33,7 @@
 	}
 	copy(p.io.Data[header.offset:], part.data)
 	p.received += len(part.data)
-	if p.received == p.io.Bytes {
+	if p.received == p.io.DataLen {
 		p.dataTimer.Stop()
 		q.submit(p)
 	}
@@ -53,7 +53,7 @@
 	}
 	// In 64 bits: the host's offset and length may add up to more than 32.
 	offset, length := int64(header.offset), int64(header.length)
-	end, total := offset+length, int64(p.io.Bytes)
+	end, total := offset+length, int64(p.io.DataLen)
 	switch {
 	case length == 0, length != int64(len(part.data)), length > maxH2CData:
 		return violation(fesInvalidHeader, offsetTransferLength, "data length")
