--- a/internal/nvme/admin.go
+++ b/internal/nvme/admin.go
@@ -1,10 +1,10 @@
 package nvme
 
-// handleAdmin handles an admin command.
+// handleAdmin handles a command on the admin queue. data is the data in its capsule.
 func (q *controllerQueue) handleAdmin(p *pendingCommand, data []byte) {
 	switch p.entry.opcode() {
 	case opKeepAlive:
-		q.association.keepAlive()
+		q.association.restartKeepAliveTimer()
 		q.succeed(p, 0)
 	case opAbort:
 		q.handleAbort(p)
@@ -17,7 +17,7 @@
 	}
 }
 
-// handleAbort aborts a command of any queue of the association. The result is whether it was aborted.
+// handleAbort aborts a command on any queue of the association. The result of the Abort says whether the command was aborted.
 func (q *controllerQueue) handleAbort(p *pendingCommand) {
 	const aborted, notAborted = 0, 1
 	owner := q.association.queue(p.entry.u16(sqeAbortQueueID))
@@ -28,8 +28,8 @@
 	q.succeed(p, notAborted)
 }
 
-// handleFeatures handles the features of the subset: the number of queues, which is fixed, and the host's support of retry
-// delays.
+// handleFeatures handles Set Features and Get Features. The supported features are the number of queues, which is fixed, and
+// the host's support for Advanced Command Retry, which can only be set.
 func (q *controllerQueue) handleFeatures(p *pendingCommand, data []byte) {
 	const bothQueueCounts = (maxIOQueues-1)<<16 | (maxIOQueues - 1) // 0-based
 	feature := p.entry[sqeFeatureID]
--- a/internal/nvme/command.go
+++ b/internal/nvme/command.go
@@ -2,7 +2,7 @@
 
 import "encoding/binary"
 
-// opcode is the first byte of a submission queue entry. Admin and NVM commands have separate ranges of values.
+// opcode is the first byte of a submission queue entry. Its values are defined separately for admin and NVM commands.
 type opcode byte
 
 const (
@@ -17,30 +17,30 @@
 	opKeepAlive   opcode = 0x18
 )
 
-// Fabrics command types.
+// Fabrics command types, which select the command of the opcode opFabrics.
 const (
 	fabricsPropertySet byte = 0x00
 	fabricsConnect     byte = 0x01
 	fabricsPropertyGet byte = 0x04
 )
 
-// Features.
+// Feature identifiers of Set Features and Get Features.
 const (
 	featureNumberOfQueues = 0x07
 	featureHostBehavior   = 0x16
 )
 
-// SGL descriptor types with their subtype.
+// SGL descriptor types, each combined with its subtype.
 const (
-	sglDataInCapsule byte = 0x01 // data block at an offset
-	sglTransport     byte = 0x5A // transport data block
+	sglDataInCapsule byte = 0x01 // data block, with the address as an offset into the capsule
+	sglTransport     byte = 0x5A // transport data block: the data is transferred in data PDUs
 )
 
 // Flags of a submission queue entry.
 const (
-	flagsDataMask  = 0xC0 // PSDT: how the data is described
+	flagsDataMask  = 0xC0 // PSDT: whether PRPs or SGLs describe the data
 	flagsUseSGL    = 0x40
-	flagsFusedMask = 0x03 // FUSE: executed together with another command
+	flagsFusedMask = 0x03 // FUSE: the command is one of a fused pair
 )
 
 // Lengths in bytes.
@@ -48,28 +48,29 @@
 	commandLen      = 64 // submission queue entry
 	connectDataLen  = 1024
 	identifyDataLen = 4096
-	hostBehaviorLen = 512 // data of Set Features, Host Behavior Support
+	hostBehaviorLen = 512 // data of Set Features for Host Behavior Support
 
-	// maxInCapsuleData is how much of a write's data a capsule to this controller may hold.
+	// maxInCapsuleData is the maximum length of the data that a command capsule to this controller may carry.
 	maxInCapsuleData = 8192
-	// maxTransferLen is the largest data of one command. MDTS announces it as a power of two of the smallest pages.
+	// maxTransferLen is the maximum data length of one command. MDTS announces it as a power of two in units of the minimum
+	// page size.
 	maxTransferLen = minPageBytes << mdts
 	mdts           = 5
-	minPageBytes   = 4096 // CAP.MPSMIN is 0
+	minPageBytes   = 4096 // minimum page size for CAP.MPSMIN = 0
 )
 
 const (
-	// maxIOQueues bounds the I/O queues of one association, on both sides. Towards a target that is the attempts in flight at
-	// it, since each has a queue of its own, and its idle connections. Other limits are apart from it: the scheduler's
-	// concurrency limit bounds the attempts at a target, upstream.Options.MaxConnsPerTarget its connections of any protocol.
+	// maxIOQueues is the maximum number of I/O queues of one association, on both sides. Every attempt in flight at a target
+	// and every idle connection to it occupies an I/O queue. Two other limits apply independently: the scheduler's concurrency
+	// limit to the attempts at a target, and upstream.Options.MaxConnsPerTarget to its connections of any protocol.
 	maxIOQueues = 16
-	// adminQueueSize is the smallest maximum that the specification allows for an admin queue, in entries.
+	// adminQueueSize is the lowest maximum size that the specification lets a controller set for admin queues, in entries.
 	adminQueueSize = 32
-	// anyControllerID is the controller ID with which a host asks for a new association.
+	// anyControllerID is the controller ID in a Connect that requests a new association with any controller.
 	anyControllerID = 0xFFFF
 )
 
-// Offsets in a submission queue entry.
+// Offsets in a submission queue entry. The offsets from 40 on depend on the command.
 const (
 	sqeFlags       = 1
 	sqeCommandID   = 2
@@ -78,7 +79,7 @@
 	sqeSGLLength   = 32
 	sqeSGLType     = 39
 
-	sqeIdentifyCNS = 40 // which data structure
+	sqeIdentifyCNS = 40 // CNS: selects the data structure
 
 	sqeFeatureID = 40
 
@@ -86,7 +87,7 @@
 	sqeAbortCommandID = 42
 
 	sqeStartLBA = 40
-	sqeBlocks   = 48 // 0-based
+	sqeBlocks   = 48 // number of logical blocks, 0-based
 
 	sqeConnectFormat    = 40
 	sqeConnectQueueID   = 42
@@ -98,7 +99,7 @@
 	sqePropertyValue  = 48
 )
 
-// Offsets in the data of Connect.
+// Offsets in the data of Connect, and the length of its two NQN fields.
 const (
 	connectHostID       = 0
 	connectControllerID = 16
@@ -113,7 +114,7 @@
 	cqeSQHead    = 8
 	cqeQueueID   = 10
 	cqeCommandID = 12
-	cqeStatus    = 14 // with the phase tag as its lowest bit, which is 0 on fabrics
+	cqeStatus    = 14 // Status Field above the phase tag, which is the lowest bit and always 0 in NVMe over Fabrics
 
 	phaseTagBits = 1
 )
@@ -130,8 +131,9 @@
 func (c *command) startLBA() uint64    { return binary.LittleEndian.Uint64(c[sqeStartLBA:]) }
 func (c *command) blocks() uint32      { return uint32(c.u16(sqeBlocks)) + 1 }
 
-// isValid reports whether the flags are in the subset: SGLs, which NVMe over Fabrics requires, and no fused commands.
-func (c *command) isValid() bool {
+// hasSupportedFlags reports whether the flags are in the subset: data described by SGLs, which NVMe over Fabrics requires,
+// and no fused command.
+func (c *command) hasSupportedFlags() bool {
 	flags := c[sqeFlags]
 	return flags&flagsDataMask == flagsUseSGL && flags&flagsFusedMask == 0
 }
@@ -147,7 +149,7 @@
 func (c *command) putU32(offset int, v uint32) { binary.LittleEndian.PutUint32(c[offset:], v) }
 func (c *command) putU64(offset int, v uint64) { binary.LittleEndian.PutUint64(c[offset:], v) }
 
-// newCommand returns an entry for data of some length, which is in the capsule or transferred by data PDUs.
+// newCommand returns an entry for a command with dataLen bytes of data, in the capsule or transferred in data PDUs.
 func newCommand(op opcode, commandID uint16, dataLen int, inCapsule bool) *command {
 	c := &command{}
 	c[0] = byte(op)
@@ -161,7 +163,7 @@
 	return c
 }
 
-// newFabricsCommand returns an entry of a Fabrics command; its data, if any, is in the capsule.
+// newFabricsCommand returns an entry for a Fabrics command. Its data, if any, is in the capsule.
 func newFabricsCommand(fabricsType byte, commandID uint16, dataLen int) *command {
 	c := newCommand(opFabrics, commandID, dataLen, dataLen > 0)
 	c[sqeFabricsType] = fabricsType
@@ -170,14 +172,14 @@
 
 // completion is a completion queue entry.
 type completion struct {
-	result    uint64 // command specific
+	result    uint64 // its meaning depends on the command
 	sqHead    uint16
 	queueID   uint16
 	commandID uint16
 	status    status
 }
 
-// header returns the entry as the fields of a response capsule after the common header.
+// header encodes the entry as the header of a response capsule without the common header.
 func (c completion) header() []byte {
 	header := make([]byte, capsuleRespHeaderLen-commonHeaderLen)
 	binary.LittleEndian.PutUint64(header[cqeResult:], c.result)
@@ -199,12 +201,12 @@
 	}
 }
 
-// IORequest is the payload of a dispatcher call: one read or write. The response's payload is the data read, as []byte.
+// IORequest is a read or write, as the payload of a dispatcher call. The payload of the response is the data read, as []byte.
 type IORequest struct {
 	Write       bool
 	NamespaceID uint32
 	StartLBA    uint64
 	Blocks      uint32
-	DataLen     int    // length of the data
-	Data        []byte // to write
+	DataLen     int    // bytes to read or write
+	Data        []byte // data to write; unset for a read
 }
--- a/internal/nvme/connect.go
+++ b/internal/nvme/connect.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// connectRequest is a Connect command with its data.
+// connectRequest holds the fields of a Connect command and its data.
 type connectRequest struct {
 	queueID          uint16
 	queueSize        int
 	keepAliveTimeout time.Duration // 0: none
-	controllerID     uint16        // anyControllerID on the admin queue
+	controllerID     uint16        // must be anyControllerID for the admin queue
 	subsystem        string
 	hostNQN          string
 }
@@ -27,14 +27,14 @@
 	}
 }
 
-// parseNQN reads a name that is filled up with zeros.
+// parseNQN returns the name in an NQN field, without the zeros that pad it.
 func parseNQN(field []byte) string {
 	name, _, _ := bytes.Cut(field[:nqnFieldLen], []byte{0})
 	return string(name)
 }
 
-// connect handles the first command of a connection, which must be Connect: it makes an association, or joins an I/O queue to
-// one.
+// connect handles the first command of a connection, which must be Connect. It creates an association for an admin queue, or
+// adds an I/O queue to an existing one.
 func (q *controllerQueue) connect(p *pendingCommand, data []byte) {
 	switch {
 	case !p.entry.isConnect():
@@ -57,13 +57,13 @@
 	q.mu.Lock()
 	q.id = request.queueID
 	q.size = uint16(request.queueSize)
-	q.sqHead = 1 // past the Connect
+	q.sqHead = 1 // past the entry of Connect
 	q.connected.Store(true)
 	q.mu.Unlock()
 	q.succeed(p, uint64(a.controllerID))
 }
 
-// connect returns the association of a queue, or the status with which Connect fails.
+// connect returns the association that the queue now belongs to, or the error status with which Connect is completed.
 func (s *Server) connect(q *controllerQueue, request connectRequest) (*controllerAssociation, status) {
 	if !s.isAcceptable(request) {
 		return nil, statusConnectInvalidParameters | statusDoNotRetry
@@ -74,7 +74,8 @@
 	return s.connectIO(q, request)
 }
 
-// isAcceptable checks the names and the queue size. An admin queue may be larger than the I/O queues.
+// isAcceptable reports whether the NQNs and the queue size are valid. The maximum size of an admin queue is at least
+// adminQueueSize, even if QueueDepth is lower.
 func (s *Server) isAcceptable(request connectRequest) bool {
 	maxSize := s.options.QueueDepth
 	if request.queueID == 0 {
@@ -100,7 +101,7 @@
 	if a == nil || a.hostNQN != request.hostNQN || request.queueID > maxIOQueues {
 		return nil, statusConnectInvalidParameters | statusDoNotRetry
 	}
-	if !a.join(q, request.queueID) {
+	if !a.addIOQueue(q, request.queueID) {
 		return nil, statusCommandSequenceError | statusDoNotRetry
 	}
 	return a, statusSuccess
--- a/internal/nvme/controllerassociation.go
+++ b/internal/nvme/controllerassociation.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-// maxControllerID is the highest controller ID that is given out; the values above it are reserved.
+// maxControllerID is the highest controller ID that is assigned; the values above it are reserved.
 const maxControllerID = 0xFF00
 
-// controllerAssociation is the controller side of a host's association with one controller: an admin queue and I/O queues. It
-// ends with the admin queue.
+// controllerAssociation is the controller side of an association between a host and a controller. It has an admin queue and
+// I/O queues, and ends when the admin queue ends.
 type controllerAssociation struct {
 	controllerID uint16
 	server       *Server
 	hostNQN      string
 
 	keepAliveTimeout time.Duration
-	keepAliveTimer   *time.Timer // nil: the host asked for none
+	keepAliveTimer   *time.Timer // nil: the host requested no keep-alive timeout
 
 	mu            sync.Mutex
 	queues        map[uint16]*controllerQueue // by queue ID
 	cc            uint32                      // property CC
 	csts          uint32                      // property CSTS
-	advancedRetry bool                        // the host honours retry delays (ACRE)
+	advancedRetry bool                        // the host has enabled Advanced Command Retry (ACRE)
 }
 
-// newAssociation makes an association for a host's admin queue, with the next free controller ID. It returns nil if all are in
-// use.
+// newAssociation creates an association for a host's admin queue, with the next unused controller ID. It returns nil if all
+// controller IDs are in use.
 func (s *Server) newAssociation(admin *controllerQueue, hostNQN string, keepAliveTimeout time.Duration) *controllerAssociation {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	id := s.freeControllerID()
+	id := s.nextControllerID()
 	if id == 0 {
 		return nil
 	}
@@ -48,8 +48,8 @@
 	return a
 }
 
-// freeControllerID returns the next controller ID that is not in use, 0 if there is none. The caller holds mu.
-func (s *Server) freeControllerID() uint16 {
+// nextControllerID returns the next unused controller ID, or 0 if all are in use. The caller must hold mu.
+func (s *Server) nextControllerID() uint16 {
 	for range maxControllerID {
 		s.lastControllerID = s.lastControllerID%maxControllerID + 1
 		if s.associations[s.lastControllerID] == nil {
@@ -65,8 +65,9 @@
 	return s.associations[controllerID]
 }
 
-// join adds an I/O queue. It returns false if the controller is not ready, or has a queue of that ID.
-func (a *controllerAssociation) join(q *controllerQueue, queueID uint16) bool {
+// addIOQueue adds an I/O queue. It returns false if the controller is not ready, the queue ID is in use, or the admin queue
+// has ended.
+func (a *controllerAssociation) addIOQueue(q *controllerQueue, queueID uint16) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.csts&cstsReady == 0 || a.queues[queueID] != nil || a.queues[0] == nil {
@@ -76,8 +77,8 @@
 	return true
 }
 
-// leave removes a queue whose connection is closed. If it is the admin queue, the association ends.
-func (a *controllerAssociation) leave(q *controllerQueue) {
+// removeQueue removes a queue whose connection is closed. Removing the admin queue ends the association.
+func (a *controllerAssociation) removeQueue(q *controllerQueue) {
 	a.mu.Lock()
 	if a.queues[q.id] == q {
 		delete(a.queues, q.id)
@@ -92,7 +93,7 @@
 	a.endAllQueues(reasonAssociationEnded)
 }
 
-// queue returns the queue of an ID, or nil.
+// queue returns the queue with the given ID, or nil if there is none.
 func (a *controllerAssociation) queue(id uint16) *controllerQueue {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -120,8 +121,8 @@
 	}
 }
 
-// keepAlive restarts the keep-alive timer.
-func (a *controllerAssociation) keepAlive() {
+// restartKeepAliveTimer restarts the keep-alive timer, if the host requested a keep-alive timeout.
+func (a *controllerAssociation) restartKeepAliveTimer() {
 	if a.keepAliveTimer != nil {
 		a.keepAliveTimer.Reset(a.keepAliveTimeout)
 	}
--- a/internal/nvme/controllerqueue.go
+++ b/internal/nvme/controllerqueue.go
@@ -15,57 +15,57 @@
 )
 
 const (
-	handshakeTimeout = 2 * time.Second // from accept to Connect
-	writeTimeout     = 5 * time.Second // of one PDU
-	readBufferLen    = 16 << 10
+	handshakeTimeout = 2 * time.Second // from accept to the completion of Connect
+	writeTimeout     = 5 * time.Second // for one PDU
+	readBufferLen    = 16 << 10        // bytes
 )
 
-// controllerQueue is a connection of a host: the submission and completion queue of one ID in an association. The reader's
-// goroutine, readLoop, handles PDUs from the host. The writer's, writeLoop, sends those in the outbox and closes the
-// connection. Any goroutine may end the queue, abort its commands or complete them.
+// controllerQueue is a connection of a host. Once connected, it is the submission and completion queue of one queue ID in an
+// association. The reader goroutine (readLoop) handles PDUs from the host. The writer goroutine (writeLoop) sends the PDUs in
+// the outbox and closes the connection. Any goroutine may end the queue, and abort or complete its commands.
 type controllerQueue struct {
 	server     *Server
 	conn       net.Conn
 	acceptedAt time.Time
 	framing    framing
 
-	outbox    *mailbox.Mailbox[[]byte] // PDUs to send; nil ends the connection
+	outbox    *mailbox.Mailbox[[]byte] // PDUs to send; a nil entry ends the connection
 	endOnce   sync.Once
-	endReason string
-	done      chan struct{} // closed after the connection
+	endReason string        // why the connection ended, for the log
+	done      chan struct{} // closed once the connection is closed and the association left
 
-	// connected says that Connect has completed. The accepting goroutine reads it.
+	// connected is set once Connect has completed. The goroutine that accepts connections reads it.
 	connected atomic.Bool
 	// association is nil before Connect. The reader writes it once, in connect, without mu; the writer reads it in close.
 	association *controllerAssociation
 
 	mu sync.Mutex
-	// The reader writes id and size once, in connect, under mu, and reads them without it; others read them under mu. The
-	// writer reads id and commandCount without mu when it closes the connection.
+	// The reader writes id and size once, in connect, with mu held, and reads them without it. Other goroutines read them with
+	// mu held, except that the writer reads id and commandCount without mu when it closes the connection.
 	id           uint16                     // queue ID; 0: admin queue
-	size         uint16                     // entries; 0 before Connect
+	size         uint16                     // number of entries; 0 before Connect
 	sqHead       uint16                     // submission queue head pointer
-	commandCount int                        // since the connection was accepted; the reader counts under mu
-	commands     map[uint16]*pendingCommand // without a completion, by command ID; nil: the connection is closed
-	lastTTAG     uint16                     // of the queue's last R2T; wraps to 0 after 65535
+	commandCount int                        // commands since the connection was accepted; written by the reader with mu held
+	commands     map[uint16]*pendingCommand // commands without a completion, by command ID; nil: the connection is closed
+	lastTTAG     uint16                     // transfer tag of the queue's last R2T; wraps to 0 after 65535
 }
 
-// pendingCommand is a command without a completion.
+// pendingCommand is a command that has not been completed yet.
 type pendingCommand struct {
-	entry command
-	io    *IORequest       // nil: not a read or write, or rejected at once
-	call  *dispatcher.Call // nil: not at the dispatcher
+	entry     command
+	ioRequest *IORequest       // nil: not a read or write, or not accepted
+	call      *dispatcher.Call // nil: not submitted to the dispatcher
 
-	// The rest is of a write whose data the host sends after an R2T.
+	// The fields below are used for a write whose data the host sends after an R2T.
 
-	// ttag is the tag of the R2T. 0 means that no data is expected. The counter of tags wraps, so that every 65536th
-	// R2T of a queue has tag 0 too, and its data is taken for unexpected.
+	// ttag is the transfer tag of the R2T; 0 means that no data is expected. Because the tag counter wraps, every 65536th R2T
+	// of a queue has tag 0 as well, and the data that the host sends for it is treated as unexpected.
 	ttag      uint16
-	received  int // bytes
-	dataTimer *time.Timer
+	received  int         // bytes of data received
+	dataTimer *time.Timer // ends the connection if the data does not arrive in time
 }
 
-func newQueue(s *Server, conn net.Conn) *controllerQueue {
+func newControllerQueue(s *Server, conn net.Conn) *controllerQueue {
 	return &controllerQueue{
 		server:     s,
 		conn:       conn,
@@ -76,7 +76,8 @@
 	}
 }
 
-// end closes the connection after the PDUs that are in the outbox. Only the first reason counts.
+// end makes the writer close the connection after it has sent the PDUs in the outbox. Only the reason of the first call is
+// logged.
 func (q *controllerQueue) end(reason string) {
 	q.endOnce.Do(func() {
 		q.endReason = reason
@@ -84,7 +85,7 @@
 	})
 }
 
-// writeLoop sends what is in the outbox until the connection ends.
+// writeLoop sends the PDUs in the outbox until the queue is ended or a write fails, and then closes the connection.
 func (q *controllerQueue) writeLoop() {
 	defer q.close()
 	var spare [][]byte
@@ -112,10 +113,10 @@
 	return err
 }
 
-// close closes the connection, cancels its commands, whose host no longer waits, and leaves the association; with the admin
-// queue that ends.
+// close closes the connection, cancels its pending commands, since their host no longer waits for them, and removes the queue
+// from the association. Removing the admin queue ends the association.
 func (q *controllerQueue) close() {
-	_ = q.conn.Close() // nothing is written any more
+	_ = q.conn.Close() // an error is of no consequence, since nothing is written any more
 	q.mu.Lock()
 	abandoned := q.commands
 	q.commands = nil
@@ -130,27 +131,27 @@
 	delete(q.server.queues, q)
 	q.server.mu.Unlock()
 	if q.association != nil {
-		q.association.leave(q)
+		q.association.removeQueue(q)
 	}
-	q.server.logEnd(q, q.endReason)
+	q.server.logConnectionEnd(q, q.endReason)
 	close(q.done)
 }
 
-// release returns the resources of a command that is no longer pending.
+// release releases the resources of a command that is no longer pending.
 func (q *controllerQueue) release(p *pendingCommand) {
 	if p.dataTimer != nil {
 		p.dataTimer.Stop()
 	}
-	if p.io != nil {
-		q.server.bufferedBytes.Add(-int64(p.io.DataLen))
+	if p.ioRequest != nil {
+		q.server.bufferedBytes.Add(-int64(p.ioRequest.DataLen))
 	}
 	if p.call != nil {
 		q.server.openCommands.Add(-1)
 	}
 }
 
-// readLoop handles PDUs until the connection fails or the host ends it. A violation of the protocol is answered with a
-// termination request.
+// readLoop handles PDUs until the connection fails or the host ends it or violates the protocol. It answers a violation with
+// a termination request.
 func (q *controllerQueue) readLoop() {
 	err := q.serve()
 	var violation *protocolError
@@ -164,7 +165,7 @@
 	q.end(endReason(err))
 }
 
-// endReason returns the log reason for what ended the reader.
+// endReason returns the logged reason for the error that ended the reader.
 func endReason(err error) string {
 	var violation *protocolError
 	var netErr net.Error
@@ -174,23 +175,23 @@
 	case errors.Is(err, errHostTerminated):
 		return reasonHostTerminated
 	case errors.As(err, &netErr) && netErr.Timeout():
-		return reasonHandshakeTimeout // no other read has a deadline
+		return reasonHandshakeTimeout // only reads before the completion of Connect have a deadline
 	case errors.Is(err, io.EOF):
 		return reasonHostClosed
 	}
 	return reasonHostReset
 }
 
-// serve does the handshake, and handles PDUs until an error, which it returns.
+// serve performs the handshake and then handles PDUs until an error occurs, which it returns.
 func (q *controllerQueue) serve() error {
-	in := bufio.NewReaderSize(q.conn, readBufferLen)
+	reader := bufio.NewReaderSize(q.conn, readBufferLen)
 	q.setReadDeadline(time.Now().Add(handshakeTimeout))
-	if err := q.handshake(in); err != nil {
+	if err := q.handshake(reader); err != nil {
 		return err
 	}
 	handshaking := true
 	for {
-		p, err := readPDU(in, q.framing)
+		p, err := readPDU(reader, q.framing)
 		if err != nil {
 			return err
 		}
@@ -204,12 +205,12 @@
 	}
 }
 
-// setReadDeadline bounds reads until t. It fails only on a closed connection, which the next read reports.
+// setReadDeadline sets the deadline for reads. It fails only on a closed connection, which the next read reports.
 func (q *controllerQueue) setReadDeadline(t time.Time) { _ = q.conn.SetReadDeadline(t) }
 
-// handshake answers ICReq with ICResp: the host chooses the digests and the alignment of the data it gets.
-func (q *controllerQueue) handshake(in io.Reader) error {
-	p, err := readPDU(in, framing{})
+// handshake answers ICReq with ICResp. The host chooses the digests, and the alignment of the data that it receives.
+func (q *controllerQueue) handshake(reader io.Reader) error {
+	p, err := readPDU(reader, framing{})
 	if err != nil {
 		return err
 	}
@@ -217,11 +218,11 @@
 		return &protocolError{fes: fesSequence, cause: "connection must begin with ICReq", header: p.header}
 	}
 	if p.u16(offsetFormatVersion) != 0 {
-		return &protocolError{fes: fesUnsupported, fei: offsetFormatVersion, cause: "PDU format version", header: p.header}
+		return &protocolError{fes: fesUnsupported, fei: offsetFormatVersion, cause: "unsupported PDU format", header: p.header}
 	}
 	dataAlignment := p.header[offsetDataAlignment]
 	if dataAlignment > maxDataAlignment {
-		return &protocolError{fes: fesInvalidHeader, fei: offsetDataAlignment, cause: "data alignment", header: p.header}
+		return &protocolError{fes: fesInvalidHeader, fei: offsetDataAlignment, cause: "invalid data alignment", header: p.header}
 	}
 	digests := p.header[offsetDigests] & (enableHeaderDigest | enableDataDigest)
 	q.framing = newFraming(digests, dataAlignment)
@@ -229,7 +230,7 @@
 	return nil
 }
 
-// handle handles a PDU after the handshake.
+// handle handles a PDU received after the handshake.
 func (q *controllerQueue) handle(p *pdu) error {
 	switch p.kind {
 	case pduCapsuleCmd:
@@ -239,22 +240,22 @@
 	case pduH2CTermReq:
 		return errHostTerminated
 	}
-	return &protocolError{fes: fesSequence, cause: "PDU type not for a controller", header: p.header}
+	return &protocolError{fes: fesSequence, cause: "PDU type that a host must not send", header: p.header}
 }
 
-// send puts a PDU without data into the outbox.
+// send puts a PDU without data into the outbox, for the writer to send.
 func (q *controllerQueue) send(kind pduType, header []byte) {
 	q.outbox.Put(appendPDU(nil, q.framing, kind, 0, header, nil))
 }
 
-// handleCommand accepts a command capsule and dispatches it by queue and opcode.
+// handleCommand handles a command capsule according to its opcode and the queue it arrived on.
 func (q *controllerQueue) handleCommand(capsule *pdu) error {
 	p, err := q.register(capsule)
 	if p == nil || err != nil {
 		return err
 	}
 	switch {
-	case !p.entry.isValid():
+	case !p.entry.hasSupportedFlags():
 		q.fail(p, statusInvalidFieldInCommand)
 	case capsule.dataDigestError:
 		q.complete(p, statusTransientTransport, 0, nil) // without DNR: nothing has been executed
@@ -270,8 +271,8 @@
 	return nil
 }
 
-// register makes the entry of a command capsule a pending command. It returns nil if it has none: the connection is closed,
-// or the command ID is in use, which is completed at once.
+// register adds the command in a capsule to the pending commands. It returns nil if there is nothing to execute: the
+// connection is closed, or the command ID is in use, for which register completes the new command with an error.
 func (q *controllerQueue) register(capsule *pdu) (*pendingCommand, error) {
 	p := &pendingCommand{}
 	copy(p.entry[:], capsule.header[commonHeaderLen:])
@@ -286,7 +287,7 @@
 	case q.commands == nil:
 		return nil, nil
 	case q.size > 0 && len(q.commands) >= int(q.size):
-		return nil, &protocolError{fes: fesSequence, cause: "more commands than the queue holds", header: capsule.header}
+		return nil, &protocolError{fes: fesSequence, cause: "more commands than queue entries", header: capsule.header}
 	case q.commands[id] != nil:
 		q.sendCompletion(id, statusCommandIDConflict|statusDoNotRetry, 0)
 		return nil, nil
@@ -300,13 +301,13 @@
 	q.complete(p, s|statusDoNotRetry, 0, nil)
 }
 
-// succeed completes a command with a command specific result.
+// succeed completes a command successfully, with a command-specific result.
 func (q *controllerQueue) succeed(p *pendingCommand, result uint64) {
 	q.complete(p, statusSuccess, result, nil)
 }
 
-// complete sends the completion of a command, with its data before it. It returns false if the command is not pending any
-// more: a command has exactly one completion.
+// complete puts the data and the completion of a command into the outbox. It returns false if the command is no longer
+// pending, so that a command is completed exactly once.
 func (q *controllerQueue) complete(p *pendingCommand, s status, result uint64, data []byte) bool {
 	id := p.entry.id()
 	q.mu.Lock()
@@ -319,8 +320,8 @@
 		q.outbox.Put(pdu)
 	}
 	q.sendCompletion(id, s, result)
-	// Released only now: Shutdown ends connections as soon as no command is open, and this completion would be lost if it
-	// were not in the outbox before that.
+	// The command must not be released before its completion is in the outbox: Shutdown ends the connections as soon as no
+	// command is open, and the completion would be lost.
 	q.release(p)
 	return true
 }
@@ -330,7 +331,7 @@
 	q.send(pduCapsuleResp, completion{result: result, sqHead: q.sqHead, queueID: q.id, commandID: commandID, status: s}.header())
 }
 
-// abort completes a command that the host aborts on the admin queue. It returns false if there is no such command.
+// abort aborts a command, as requested by the host on the admin queue. It returns false if the command is not pending.
 func (q *controllerQueue) abort(commandID uint16) bool {
 	q.mu.Lock()
 	p := q.commands[commandID]
--- a/internal/nvme/endtoend_test.go
+++ b/internal/nvme/endtoend_test.go
@@ -9,19 +9,20 @@
 	"dapplegate/scheduler"
 )
 
-// TestEndToEnd reads back what was written, through initiator and target: a small write, whose data is in the capsule, and a
-// large one, whose data the initiator asks the client for, and the target the initiator, by R2T; with digests and without.
+// TestEndToEnd writes data through the initiator to a target and reads it back, with and without digests. The data of the
+// small write is in the capsule. The data of the large write is requested with R2Ts, by the initiator from the client and by
+// the target from the initiator.
 func TestEndToEnd(t *testing.T) {
 	for _, digests := range []bool{false, true} {
-		_, target := startServer(t, newStorage(), targetNQN)
+		_, target := startServer(t, newFakeStorage(), targetSubsystem)
 		in := startInitiator(t, digests, 5*time.Second, target)
 		h := connectHost(t, in.addr, digests)
 		id := h.write(7, "small")
-		if result, _ := h.next(); result.commandID != id || result.status != statusSuccess {
+		if result, _ := h.nextCompletion(); result.commandID != id || result.status != statusSuccess {
 			t.Fatalf("write: %+v", result)
 		}
 		h.read(7)
-		if result, data := h.next(); result.status != statusSuccess || string(bytes.TrimRight(data, "\x00")) != "small" {
+		if result, data := h.nextCompletion(); result.status != statusSuccess || string(bytes.TrimRight(data, "\x00")) != "small" {
 			t.Fatalf("read: %+v, %q", result, data)
 		}
 
@@ -39,12 +40,12 @@
 	}
 }
 
-// TestQueueDepth has several commands in flight on one queue: each gets exactly one completion, and is executed once.
+// TestQueueDepth checks that each of several commands in flight on one queue is executed once and completed exactly once.
 func TestQueueDepth(t *testing.T) {
 	const commands = 6
-	storage := newStorage()
+	storage := newFakeStorage()
 	storage.stalled = make(chan struct{})
-	_, target := startServer(t, storage, targetNQN)
+	_, target := startServer(t, storage, targetSubsystem)
 	in := startInitiator(t, false, 5*time.Second, target)
 	h := connectHost(t, in.addr, false)
 	pending := map[uint16]bool{}
@@ -54,7 +55,7 @@
 	<-storage.received
 	close(storage.stalled)
 	for range commands {
-		result, _ := h.next()
+		result, _ := h.nextCompletion()
 		if !pending[result.commandID] || result.status != statusSuccess {
 			t.Fatalf("completion %+v, pending %v", result, pending)
 		}
@@ -67,16 +68,16 @@
 	}
 }
 
-// TestTargetStallsAndDrains lets a target stall with a write in flight, and then lists it as draining. The timeout that the
-// scheduler gives the attempt, a multiple of the latency objective of 300 ms, ends the write before its class deadline. The
-// write may have been executed by then: it has one completion, with DNR, so that the host does not send it again, and it is
-// not sent to another target. Later commands go to the target's successor and to nowhere else, also after the stalled target
-// has resumed.
+// TestTargetStallsAndDrains has a target stall with a write in flight, and then lists the target as draining. The write ends
+// before the deadline of its class, because the scheduler sets a shorter timeout for the attempt, a multiple of the latency
+// objective of 300 ms. Since the write may have been executed by then, it must be completed once, with DNR so that the host
+// does not retry it, and must not be sent to another target. Later commands must go to the target's successor only, also
+// after the stalled target has resumed.
 func TestTargetStallsAndDrains(t *testing.T) {
-	stalled, successor := newStorage(), newStorage()
+	stalled, successor := newFakeStorage(), newFakeStorage()
 	stalled.stalled = make(chan struct{})
-	_, stalledAddr := startServer(t, stalled, targetNQN)
-	_, successorAddr := startServer(t, successor, targetNQN)
+	_, stalledAddr := startServer(t, stalled, targetSubsystem)
+	_, successorAddr := startServer(t, successor, targetSubsystem)
 	in := startInitiator(t, false, 300*time.Millisecond, stalledAddr)
 	h := connectHost(t, in.addr, false)
 	first := h.write(1, "event")
@@ -88,24 +89,24 @@
 
 	statuses := map[uint16]status{}
 	for range 3 {
-		result, _ := h.next()
-		if _, twice := statuses[result.commandID]; twice {
+		result, _ := h.nextCompletion()
+		if _, completed := statuses[result.commandID]; completed {
 			t.Fatalf("command %d completed twice", result.commandID)
 		}
 		statuses[result.commandID] = result.status
 	}
 	if s := statuses[first]; s.code() == statusSuccess || s&statusDoNotRetry == 0 {
-		t.Errorf("the write that may have executed ended with %#x, want a failure with DNR", uint16(s))
+		t.Errorf("status of the write that may have been executed: %#x, want a failure with DNR", uint16(s))
 	}
 	if statuses[second] != statusSuccess || statuses[third] != statusSuccess {
-		t.Errorf("later commands ended with %#x and %#x", uint16(statuses[second]), uint16(statuses[third]))
+		t.Errorf("status of the later commands: %#x and %#x, want success", uint16(statuses[second]), uint16(statuses[third]))
 	}
 
-	close(stalled.stalled) // it executes the commands that it has received
+	close(stalled.stalled) // the target executes the commands that it has received
 	h.write(4, "last")
 	h.expectServed("after the target has resumed")
 	if len(stalled.received) != 0 {
-		t.Errorf("the draining target was sent another command")
+		t.Errorf("the draining target received another command")
 	}
 	for text, want := range map[string]int{"event": 0, "later": 1, "last": 1} {
 		if n := successor.writeCount(text); n != want {
--- a/internal/nvme/helpers_test.go
+++ b/internal/nvme/helpers_test.go
@@ -20,19 +20,19 @@
 func TestMain(m *testing.M) { propertytest.Main(m) }
 
 const (
-	targetNQN    = "nqn.2026-12.example.test:target"    // subsystem of the stand-in targets
-	poolNQN      = "nqn.2026-12.example.test:pool"      // subsystem of the initiator
-	initiatorNQN = "nqn.2026-12.example.test:initiator" // the initiator as a host
-	clientNQN    = "nqn.2026-12.example.test:client"
-	blockSize    = 512
+	targetSubsystem    = "nqn.2026-12.example.test:target"    // NQN of the fake targets' subsystem
+	initiatorSubsystem = "nqn.2026-12.example.test:pool"      // NQN of the initiator's subsystem
+	initiatorHostNQN   = "nqn.2026-12.example.test:initiator" // NQN of the initiator as a host of the targets
+	clientHostNQN      = "nqn.2026-12.example.test:client"    // NQN of a client's host
+	blockSize          = 512
 
-	// testTimeout is long enough for a busy machine.
+	// testTimeout is long enough not to expire on a busy machine.
 	testTimeout = 20 * time.Second
 )
 
 var discardLog = slog.New(slog.DiscardHandler)
 
-// closeAtEnd closes c when the test ends. It may be closed already.
+// closeAtEnd closes c when the test ends. The test may already have closed it.
 func closeAtEnd(t *testing.T, c io.Closer) {
 	t.Helper()
 	t.Cleanup(func() { _ = c.Close() })
@@ -67,7 +67,7 @@
 	return s
 }
 
-// startServer runs a server on a free port of the loopback and returns its address.
+// startServer runs a server on a free loopback port and returns the server and its address.
 func startServer(t *testing.T, d Dispatcher, subsystem string) (*Server, string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -77,24 +77,24 @@
 	return serve(t, l, d, subsystem), l.Addr().String()
 }
 
-// storage is the dispatcher of a stand-in target: it keeps blocks, counts what it executes, and can be stalled.
-type storage struct {
-	received chan *IORequest
+// fakeStorage is the Dispatcher of a fake target. It stores blocks, counts the writes that it executes, and can be stalled.
+type fakeStorage struct {
+	received chan *IORequest // every submitted request
 
 	mu       sync.Mutex
 	blocks   map[uint64][]byte
 	writes   map[string]int      // how often each text was written
-	stalled  chan struct{}       // not nil: commands wait until it is closed
-	response dispatcher.Response // instead of serving, where it is not Served
+	stalled  chan struct{}       // if not nil, commands wait until it is closed
+	response dispatcher.Response // if its status is not Served, the response to every command, which is not executed
 }
 
-func newStorage() *storage {
-	return &storage{blocks: map[uint64][]byte{}, writes: map[string]int{}, received: make(chan *IORequest, 64)}
+func newFakeStorage() *fakeStorage {
+	return &fakeStorage{blocks: map[uint64][]byte{}, writes: map[string]int{}, received: make(chan *IORequest, 64)}
 }
 
-func (*storage) Cancel(*dispatcher.Call) {}
+func (*fakeStorage) Cancel(*dispatcher.Call) {}
 
-func (s *storage) Submit(call *dispatcher.Call) bool {
+func (s *fakeStorage) Submit(call *dispatcher.Call) bool {
 	request := call.Payload.(*IORequest)
 	s.mu.Lock()
 	stalled, response := s.stalled, s.response
@@ -113,8 +113,8 @@
 	return true
 }
 
-// execute reads or writes blocks, and returns what was read.
-func (s *storage) execute(request *IORequest) []byte {
+// execute reads or writes blocks, and returns the data read.
+func (s *fakeStorage) execute(request *IORequest) []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var data []byte
@@ -133,13 +133,13 @@
 }
 
 // writeCount returns how often a text was written.
-func (s *storage) writeCount(text string) int {
+func (s *fakeStorage) writeCount(text string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.writes[text]
 }
 
-// initiator is server, dispatcher, scheduler and host together, with stand-in targets.
+// initiator combines the server, dispatcher, scheduler and host into an initiator, which the tests connect to fake targets.
 type initiator struct {
 	addr       string
 	server     *Server
@@ -154,7 +154,9 @@
 		t.Fatal(err)
 	}
 	in := &initiator{}
-	host := NewHost(HostOptions{Subsystem: targetNQN, HostNQN: initiatorNQN, KeepAliveTimeout: time.Minute, Digests: digests})
+	host := NewHost(HostOptions{
+		Subsystem: targetSubsystem, HostNQN: initiatorHostNQN, KeepAliveTimeout: time.Minute, Digests: digests,
+	})
 	in.registry = upstream.NewRegistry(upstream.Options{Dialer: host, DialTimeout: testTimeout, IdleTimeout: time.Minute,
 		MaxConnsPerTarget: 16, MaxConns: 64, Logger: discardLog},
 		func(r dispatcher.AttemptResult) { in.dispatcher.ReportResult(r) })
@@ -165,7 +167,7 @@
 	for i, addr := range targets {
 		in.setTarget(fmt.Sprint("t", i), addr, scheduler.Serving)
 	}
-	in.server, in.addr = startServer(t, in.dispatcher, poolNQN)
+	in.server, in.addr = startServer(t, in.dispatcher, initiatorSubsystem)
 	return in
 }
 
@@ -181,13 +183,13 @@
 	}
 }
 
-// setTarget applies a change of one target, in the order in which the daemon does: the registry first.
+// setTarget updates one target, in the same order as the daemon: first in the registry, then in the dispatcher.
 func (in *initiator) setTarget(id, addr string, state scheduler.TargetState) {
 	in.registry.Apply([]upstream.Endpoint{{ID: id, Addr: addr, State: state}}, false)
 	in.dispatcher.UpdateEndpoints(scheduler.EndpointList{Targets: []scheduler.Target{{ID: id, State: state}}})
 }
 
-// testHost is a client's host: an admin queue and one I/O queue, whose commands the test sends itself.
+// testHost is a client's host with an admin queue and one I/O queue, on which the test sends commands.
 type testHost struct {
 	t     *testing.T
 	admin *hostConn
@@ -197,7 +199,9 @@
 func connectHost(t *testing.T, addr string, digests bool) *testHost {
 	t.Helper()
 	const ioQueueSize = 8
-	options := HostOptions{Subsystem: poolNQN, HostNQN: clientNQN, KeepAliveTimeout: time.Minute, Digests: digests}
+	options := HostOptions{
+		Subsystem: initiatorSubsystem, HostNQN: clientHostNQN, KeepAliveTimeout: time.Minute, Digests: digests,
+	}
 	h := NewHost(options)
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(cancel)
@@ -233,13 +237,13 @@
 	return entry.id()
 }
 
-// sendRaw sends bytes that need not be a valid PDU on the I/O queue.
+// sendRaw sends bytes, which need not be a valid PDU, on the I/O queue's connection.
 func (h *testHost) sendRaw(b []byte) error {
 	_, err := h.io.Write(b)
 	return err
 }
 
-// ioCommand returns a read or write of some blocks.
+// ioCommand returns the entry for a read or write.
 func (h *testHost) ioCommand(op opcode, startLBA uint64, blocks int, inCapsule bool) *command {
 	entry := newCommand(op, h.io.nextCommandID(), blocks*blockSize, inCapsule)
 	entry.putU32(sqeNamespaceID, 1)
@@ -248,7 +252,7 @@
 	return entry
 }
 
-// write sends a write of one block, which starts with the text.
+// write sends a write of one block that starts with the text, and returns the command ID.
 func (h *testHost) write(lba uint64, text string) uint16 {
 	h.t.Helper()
 	data := make([]byte, blockSize)
@@ -256,14 +260,14 @@
 	return h.send(h.ioCommand(opWrite, lba, 1, true), data)
 }
 
-// read sends a read of one block.
+// read sends a read of one block and returns the command ID.
 func (h *testHost) read(lba uint64) uint16 {
 	h.t.Helper()
 	return h.send(h.ioCommand(opRead, lba, 1, false), nil)
 }
 
-// next returns the next completion on the I/O queue, with the data before it.
-func (h *testHost) next() (completion, []byte) {
+// nextCompletion returns the next completion on the I/O queue, and the data received before it.
+func (h *testHost) nextCompletion() (completion, []byte) {
 	h.t.Helper()
 	var data []byte
 	for {
@@ -288,7 +292,7 @@
 	return p
 }
 
-// roundTrip carries out a command on the I/O queue with the host side of this package. No command may be in flight.
+// roundTrip executes a command on the I/O queue with this package's host side. No other command may be in flight.
 func (h *testHost) roundTrip(request *IORequest) upstream.RoundTripResult {
 	h.t.Helper()
 	queue := &targetQueue{
@@ -300,10 +304,10 @@
 	return queue.RoundTrip(attempt, func() bool { return true })
 }
 
-// expectServed reads the next completion, which must be a success.
+// expectServed fails the test if the next completion is not a success. what describes the command.
 func (h *testHost) expectServed(what string) {
 	h.t.Helper()
-	if result, _ := h.next(); result.status != statusSuccess {
+	if result, _ := h.nextCompletion(); result.status != statusSuccess {
 		h.t.Fatalf("%s: %+v, want success", what, result)
 	}
 }
--- a/internal/nvme/host.go
+++ b/internal/nvme/host.go
@@ -10,17 +10,17 @@
 	"dapplegate/internal/upstream"
 )
 
-// HostOptions set up the host side.
+// HostOptions configures the host side.
 type HostOptions struct {
-	Subsystem        string // NQN of the targets' subsystem
-	HostNQN          string
-	HostID           [16]byte
+	Subsystem        string   // NQN of the targets' subsystem
+	HostNQN          string   // NQN of this host
+	HostID           [16]byte // identifier of this host
 	KeepAliveTimeout time.Duration
-	Digests          bool // ask for header and data digests
+	Digests          bool // request header and data digests
 }
 
-// Host is the host of the targets. It keeps an association with each target, and opens under it an I/O queue of its own for
-// each command in flight: an attempt is then given up by closing its connection, without an effect on any other attempt.
+// Host is the host side: it connects to the targets. It keeps an association with each target, with a separate I/O queue for
+// each command in flight, so that an attempt can be given up by closing its connection without affecting other attempts.
 type Host struct {
 	options HostOptions
 
@@ -30,24 +30,24 @@
 
 var _ upstream.Dialer = (*Host)(nil)
 
-// NewHost returns a host without associations. They are made when first needed.
+// NewHost returns a host without associations. Dial establishes them when they are first needed.
 func NewHost(opt HostOptions) *Host {
 	return &Host{options: opt, associations: map[string]*targetAssociation{}}
 }
 
-// Dial implements upstream.Dialer. It opens an I/O queue at the target, and an association before it if there is none.
+// Dial implements upstream.Dialer. It opens an I/O queue at the target, and establishes the association first if necessary.
 func (h *Host) Dial(ctx context.Context, addr string) (upstream.Conn, error) {
 	a := h.association(addr)
-	slot, err := a.reserveQueue(ctx)
+	slot, err := a.reserveQueueID(ctx)
 	if err != nil {
 		return nil, err
 	}
 	conn, err := h.dialIOQueue(ctx, addr, slot)
 	if err != nil {
-		a.freeQueue(slot.queueID)
-		// Failure: a target that was restarted does not know the association and rejects its queues, so that every Dial fails
-		// until the next Keep Alive. Dropping the association lets the next Dial establish a new one. A target that is only
-		// slow may still have it.
+		a.releaseQueueID(slot.queueID)
+		// A target that has restarted does not know the association and rejects new queues, so every Dial would fail until the
+		// next Keep Alive fails. Dropping the association lets the next Dial establish a new one. After a timeout or a
+		// cancellation the association is kept, since a target that is merely slow may still know it.
 		if !errors.Is(err, os.ErrDeadlineExceeded) && ctx.Err() == nil {
 			a.drop(slot.admin)
 		}
@@ -57,13 +57,13 @@
 	return &targetQueue{hostConn: conn, association: a, id: slot.queueID, maxInCapsuleData: slot.maxInCapsuleData}, nil
 }
 
-// association returns the association with a target; it may have no admin queue yet.
+// association returns the association with a target, which need not be established.
 func (h *Host) association(addr string) *targetAssociation {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	a := h.associations[addr]
 	if a == nil {
-		a = &targetAssociation{host: h, addr: addr, queuesInUse: map[uint16]bool{}, adminLock: make(chan struct{}, 1)}
+		a = &targetAssociation{host: h, addr: addr, queueIDsInUse: map[uint16]bool{}, adminLock: make(chan struct{}, 1)}
 		h.associations[addr] = a
 	}
 	return a
--- a/internal/nvme/host_test.go
+++ b/internal/nvme/host_test.go
@@ -11,18 +11,18 @@
 	"dapplegate/scheduler"
 )
 
-// TestNotSent has the last check before the first byte say no, as for a target that has begun to drain since the attempt was
-// scheduled: not a byte is sent, and the attempt is reported as not sent.
-func TestNotSent(t *testing.T) {
-	near, far := net.Pipe()
+// TestRoundTripNotSent has mayStart, the check before the first byte, return false, as for a target that has begun to drain
+// since the attempt was scheduled. No byte must be sent, and the attempt must be reported as not sent.
+func TestRoundTripNotSent(t *testing.T) {
+	hostEnd, targetEnd := net.Pipe()
 	bytesSent := make(chan int, 1)
 	go func() {
-		b, _ := io.ReadAll(far)
+		b, _ := io.ReadAll(targetEnd)
 		bytesSent <- len(b)
 	}()
 	queue := &targetQueue{
-		hostConn:    &hostConn{Conn: near},
-		association: &targetAssociation{adminLock: make(chan struct{}, 1), queuesInUse: map[uint16]bool{}},
+		hostConn:    &hostConn{Conn: hostEnd},
+		association: &targetAssociation{adminLock: make(chan struct{}, 1), queueIDsInUse: map[uint16]bool{}},
 	}
 	attempt := dispatcher.Attempt{
 		Deadline: time.Now().Add(testTimeout),
@@ -37,15 +37,16 @@
 	}
 }
 
-// TestTargetRestarts restarts a target at its address. It does not know the association of before: the first queue that it
-// refuses must end that, or no command would reach the target until the next keep-alive, a minute later here.
-func TestTargetRestarts(t *testing.T) {
+// TestTargetRestart restarts a target at the same address. The new target does not know the earlier association and rejects
+// its queues. The first rejection must end the association on the host side: otherwise no command would reach the target
+// until the next Keep Alive, which is sent every half minute here.
+func TestTargetRestart(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	addr := l.Addr().String()
-	target := serve(t, l, newStorage(), targetNQN)
+	target := serve(t, l, newFakeStorage(), targetSubsystem)
 	in := startInitiator(t, false, 5*time.Second, addr)
 	h := connectHost(t, in.addr, false)
 	h.read(1)
@@ -57,7 +58,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	serve(t, restarted, newStorage(), targetNQN)
+	serve(t, restarted, newFakeStorage(), targetSubsystem)
 	h.read(2)
 	h.expectServed("after the restart")
 }
--- a/internal/nvme/hostconn.go
+++ b/internal/nvme/hostconn.go
@@ -9,28 +9,28 @@
 	"time"
 )
 
-// Queue sizes that Connect asks for, 0-based as in its SQSIZE field.
+// Queue sizes that Connect requests, 0-based as in its SQSIZE field.
 const (
 	adminQueueSizeField = adminQueueSize - 1
-	ioQueueSizeField    = 1 // the least; one command at a time uses it
+	ioQueueSizeField    = 1 // the minimum, since an I/O queue carries one command at a time
 )
 
-// hostConn is a connection to a controller: one queue.
+// hostConn is the host side of a connection to a controller, which carries one queue.
 type hostConn struct {
 	net.Conn
-	in            *bufio.Reader
+	reader        *bufio.Reader
 	framing       framing
-	maxH2CData    int // data of one H2CData
+	maxH2CData    int // maximum data length of an H2CData PDU, as announced by the controller
 	lastCommandID uint16
 }
 
-// dial opens a connection and does the handshake, until ctx ends. The connection's deadline stays that of ctx.
+// dial opens a connection and performs the handshake, within the deadline of ctx. The connection keeps that deadline.
 func (h *Host) dial(ctx context.Context, addr string) (*hostConn, error) {
 	conn, err := (&net.Dialer{KeepAlive: -1}).DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	c := &hostConn{Conn: conn, in: bufio.NewReaderSize(conn, readBufferLen)}
+	c := &hostConn{Conn: conn, reader: bufio.NewReaderSize(conn, readBufferLen)}
 	if deadline, ok := ctx.Deadline(); ok {
 		c.setDeadline(deadline)
 	}
@@ -41,53 +41,54 @@
 	return c, nil
 }
 
-// setDeadline bounds reads and writes. It fails only on a closed connection, which the next read or write reports.
+// setDeadline sets the deadline for reads and writes. It fails only on a closed connection, which the next read or write
+// reports.
 func (c *hostConn) setDeadline(t time.Time) { _ = c.SetDeadline(t) }
 
-// discard closes a connection that is of no use any more.
+// discard closes a connection that is no longer used.
 func (c *hostConn) discard() { _ = c.Close() }
 
-// handshake sends ICReq and takes the controller's limits from ICResp.
-func (c *hostConn) handshake(askForDigests bool) error {
+// handshake sends ICReq, and takes the negotiated framing and the controller's limits from ICResp.
+func (c *hostConn) handshake(requestDigests bool) error {
 	var digests byte
-	if askForDigests {
+	if requestDigests {
 		digests = enableHeaderDigest | enableDataDigest
 	}
 	if _, err := c.Write(icPDU(pduICReq, digests, 0)); err != nil {
 		return err
 	}
-	p, err := readPDU(c.in, framing{})
+	p, err := readPDU(c.reader, framing{})
 	if err != nil {
 		return err
 	}
-	if !isUsableICResp(p, digests) {
-		return &controllerError{cause: "controller's ICResp is not usable"}
+	if !isValidICResp(p, digests) {
+		return &controllerError{cause: "invalid ICResp from the controller"}
 	}
 	c.framing = newFraming(p.header[offsetDigests], p.header[offsetDataAlignment])
 	c.maxH2CData = int(p.u32(offsetMaxH2CData))
 	return nil
 }
 
-// isUsableICResp checks an ICResp: a controller may enable only digests that the host asked for.
-func isUsableICResp(p *pdu, askedDigests byte) bool {
+// isValidICResp reports whether a PDU is a valid ICResp. A controller may enable only the digests that the host requested.
+func isValidICResp(p *pdu, requestedDigests byte) bool {
 	return p.kind == pduICResp &&
 		p.u16(offsetFormatVersion) == 0 &&
 		p.header[offsetDataAlignment] <= maxDataAlignment &&
-		p.header[offsetDigests]&^askedDigests == 0 &&
+		p.header[offsetDigests]&^requestedDigests == 0 &&
 		p.u32(offsetMaxH2CData) >= minMaxH2CData
 }
 
-// receive reads a PDU. A violation of the protocol is answered with a termination request.
+// receive reads a PDU. It answers a violation of the protocol with a termination request.
 func (c *hostConn) receive() (*pdu, error) {
-	p, err := readPDU(c.in, c.framing)
+	p, err := readPDU(c.reader, c.framing)
 	var violation *protocolError
 	if errors.As(err, &violation) {
-		_, _ = c.Write(terminationPDU(pduH2CTermReq, violation)) // the connection ends either way
+		_, _ = c.Write(terminationPDU(pduH2CTermReq, violation)) // the connection ends even if this fails
 	}
 	return p, err
 }
 
-// sendCommand sends a command capsule.
+// sendCommand sends a command capsule with the data inCapsule, which may be nil.
 func (c *hostConn) sendCommand(entry *command, inCapsule []byte) error {
 	_, err := c.Write(appendPDU(nil, c.framing, pduCapsuleCmd, 0, entry[:], inCapsule))
 	return err
@@ -98,12 +99,13 @@
 	return c.lastCommandID
 }
 
-// execute carries out an admin or Fabrics command, with data in the capsule or none, and returns its completion and the data
-// that the controller sent. A command that ends with an error is a *commandError.
+// execute executes an admin or Fabrics command, whose data, if any, is sent in the capsule. It returns the completion and the
+// data that the controller sent. The error is a *commandError if the command was completed with an error status.
 //
-// Its loop is apart from exchange.run. An admin queue may have Aborts outstanding, whose completions are skipped, and its
-// commands get their data in the capsule and never an R2T; exchange.run takes any completion but its own for an error, sends
-// data for R2Ts, and accepts data that ends with the SUCCESS flag in place of a completion.
+// execute does not share its loop with exchange.run, because they treat PDUs differently. An admin queue may have outstanding
+// Aborts, whose completions execute skips, and the data of its commands is in the capsule, so that there are no R2Ts.
+// exchange.run treats any completion but that of its own command as an error, sends data for R2Ts, and accepts the SUCCESS
+// flag of the last data PDU in place of a completion.
 func (c *hostConn) execute(entry *command, inCapsule []byte) (completion, []byte, error) {
 	if err := c.sendCommand(entry, inCapsule); err != nil {
 		return completion{}, nil, err
@@ -116,15 +118,15 @@
 		}
 		switch p.kind {
 		case pduC2HData:
-			isNext := int64(p.u32(offsetTransferOffset)) == int64(len(data))
-			if !isNext || len(data)+len(p.data) > identifyDataLen || p.dataDigestError {
-				return completion{}, nil, &controllerError{cause: "data out of order"}
+			isInOrder := int64(p.u32(offsetTransferOffset)) == int64(len(data))
+			if !isInOrder || len(data)+len(p.data) > identifyDataLen || p.dataDigestError {
+				return completion{}, nil, &controllerError{cause: "admin data out of order, too long or with a digest error"}
 			}
 			data = append(data, p.data...)
 		case pduCapsuleResp:
 			result := parseCompletion(p)
 			if result.commandID != entry.id() {
-				continue // of an Abort, which nobody waits for
+				continue // completion of an Abort, which nothing waits for
 			}
 			if result.status != statusSuccess {
 				return result, nil, &commandError{opcode: entry.opcode(), status: result.status}
@@ -136,7 +138,7 @@
 	}
 }
 
-// connect sends Connect for a queue and returns the controller ID.
+// connect executes Connect for a queue and returns the controller ID.
 func (c *hostConn) connect(opt HostOptions, queueID, controllerID uint16) (uint16, error) {
 	entry := newFabricsCommand(fabricsConnect, c.nextCommandID(), connectDataLen)
 	entry.putU16(sqeConnectQueueID, queueID)
@@ -150,7 +152,7 @@
 	return uint16(result.result), err
 }
 
-// connectData returns the data of Connect. The names end with at least one zero.
+// connectData returns the data of Connect. Each NQN is terminated by at least one zero byte.
 func connectData(opt HostOptions, controllerID uint16) []byte {
 	data := make([]byte, connectDataLen)
 	copy(data[connectHostID:], opt.HostID[:])
@@ -160,7 +162,7 @@
 	return data
 }
 
-// getProperty reads a property of four bytes.
+// getProperty reads a property of 4 bytes.
 func (c *hostConn) getProperty(offset uint32) (uint64, error) {
 	entry := newFabricsCommand(fabricsPropertyGet, c.nextCommandID(), 0)
 	entry.putU32(sqePropertyOffset, offset)
@@ -168,7 +170,7 @@
 	return result.result, err
 }
 
-// setConfiguration sets the property CC.
+// setConfiguration sets the property CC, the controller configuration.
 func (c *hostConn) setConfiguration(value uint64) error {
 	entry := newFabricsCommand(fabricsPropertySet, c.nextCommandID(), 0)
 	entry.putU32(sqePropertyOffset, propertyCC)
@@ -177,13 +179,13 @@
 	return err
 }
 
-// identifyController returns the data structure Identify Controller.
+// identifyController returns the Identify Controller data structure.
 func (c *hostConn) identifyController() ([]byte, error) {
 	entry := newCommand(opIdentify, c.nextCommandID(), identifyDataLen, false)
 	entry.putU32(sqeIdentifyCNS, cnsController)
 	_, data, err := c.execute(entry, nil)
 	if err == nil && len(data) != identifyDataLen {
-		err = &controllerError{cause: "controller's Identify data is incomplete"}
+		err = &controllerError{cause: "incomplete Identify data from the controller"}
 	}
 	return data, err
 }
--- a/internal/nvme/identify.go
+++ b/internal/nvme/identify.go
@@ -5,7 +5,7 @@
 	"math/bits"
 )
 
-// Data structures of Identify, by their CNS.
+// CNS values of Identify, which select the data structure.
 const (
 	cnsNamespace            = 0x00
 	cnsController           = 0x01
@@ -13,35 +13,35 @@
 	cnsNamespaceDescriptors = 0x03
 )
 
-// Offsets in the Identify Namespace data structure. Names end with the specification's abbreviation.
+// Offsets in the Identify Namespace data structure. The names end with the specification's abbreviations.
 const (
-	offsetIDNSNSZE  = 0   // namespace size, blocks
-	offsetIDNSNCAP  = 8   // namespace capacity, blocks
-	offsetIDNSNUSE  = 16  // namespace utilization, blocks
-	offsetIDNSLBADS = 130 // LBA data size of format 0, a power of two of bytes
+	offsetIDNSNSZE  = 0   // namespace size in blocks
+	offsetIDNSNCAP  = 8   // namespace capacity in blocks
+	offsetIDNSNUSE  = 16  // namespace utilization in blocks
+	offsetIDNSLBADS = 130 // LBA data size of format 0, as a power of two of bytes
 )
 
-// Offsets in the Identify Controller data structure. Names end with the specification's abbreviation.
+// Offsets in the Identify Controller data structure. The names end with the specification's abbreviations.
 const (
 	offsetIDCtrlSN        = 4    // serial number
 	offsetIDCtrlMN        = 24   // model number
 	offsetIDCtrlFR        = 64   // firmware revision
-	offsetIDCtrlMDTS      = 77   // maximum data transfer size, a power of two of pages
+	offsetIDCtrlMDTS      = 77   // maximum data transfer size, as a power of two of minimum-size pages
 	offsetIDCtrlCNTLID    = 78   // controller ID
 	offsetIDCtrlVER       = 80   // version
 	offsetIDCtrlCNTRLTYPE = 111  // controller type
 	offsetIDCtrlCRDT1     = 128  // command retry delay times; CRDT2 and CRDT3 follow
 	offsetIDCtrlACL       = 258  // abort command limit, 0-based
 	offsetIDCtrlKAS       = 320  // granularity of the keep-alive timeout, in units of 100 ms
-	offsetIDCtrlSQES      = 512  // submission queue entry size
-	offsetIDCtrlCQES      = 513  // completion queue entry size
+	offsetIDCtrlSQES      = 512  // submission queue entry sizes
+	offsetIDCtrlCQES      = 513  // completion queue entry sizes
 	offsetIDCtrlMAXCMD    = 514  // maximum outstanding commands
 	offsetIDCtrlNN        = 516  // number of namespaces
 	offsetIDCtrlSGLS      = 536  // SGL support
 	offsetIDCtrlSUBNQN    = 768  // NQN of the subsystem
 	offsetIDCtrlIOCCSZ    = 1792 // I/O queue command capsule size, in units of capsuleLenUnit
 	offsetIDCtrlIORCSZ    = 1796 // I/O queue response capsule size, in units of capsuleLenUnit
-	offsetIDCtrlMSDBD     = 1803 // maximum SGL data block descriptors
+	offsetIDCtrlMSDBD     = 1803 // maximum number of SGL data block descriptors
 )
 
 // Lengths in bytes.
@@ -54,19 +54,19 @@
 )
 
 const (
-	// modelNumber is what hosts build the names of their devices from. It never changes.
+	// modelNumber must never change, because hosts build the names of their devices from it.
 	modelNumber      = "spindlehitch"
 	firmwareRevision = "1"
 
-	typeIOController  = 1
-	abortLimit        = 4    // Aborts outstanding at a time
-	sqEntrySizes      = 0x66 // smallest and largest, powers of two of bytes
-	cqEntrySizes      = 0x44
-	maxCommands       = 1024      // of an I/O queue, as announced to hosts
-	sglSupport        = 1 | 1<<20 // SGLs, with offsets into the capsule
-	descriptorTypeEUI = 1
-	descriptorEUILen  = 8
-	descriptorHeader  = 4
+	typeIOController    = 1
+	abortLimit          = 4         // maximum number of outstanding Aborts
+	sqEntrySizes        = 0x66      // required and maximum size, as powers of two of bytes
+	cqEntrySizes        = 0x44      // required and maximum size, as powers of two of bytes
+	maxCommands         = 1024      // MAXCMD: maximum outstanding commands of an I/O queue, as announced to hosts
+	sglSupport          = 1 | 1<<20 // SGLs are supported, also with an offset into the capsule as the address
+	descriptorTypeEUI   = 1
+	descriptorEUILen    = 8
+	descriptorHeaderLen = 4
 )
 
 func (q *controllerQueue) handleIdentify(p *pendingCommand) {
@@ -78,8 +78,8 @@
 	q.complete(p, statusSuccess, 0, data)
 }
 
-// identify returns the data structure that an Identify command asks for, nil if it is not in the subset or there is no such
-// namespace.
+// identify returns the data structure that an Identify command requests. It returns nil if the data structure is not
+// supported or the namespace does not exist.
 func (q *controllerQueue) identify(entry *command) []byte {
 	namespace := q.server.namespaces[entry.namespaceID()]
 	switch entry[sqeIdentifyCNS] {
@@ -135,14 +135,14 @@
 	return data
 }
 
-// putText writes a text field, filled up with spaces.
+// putText writes a text field of the given length, padded with spaces.
 func putText(field []byte, length int, text string) {
 	for i := copy(field[:length], text); i < length; i++ {
 		field[i] = ' '
 	}
 }
 
-// identifyActiveNamespaces lists the namespace IDs above after, in order, as far as they fit.
+// identifyActiveNamespaces returns a list of the namespace IDs greater than after, in ascending order, as many as fit.
 func (s *Server) identifyActiveNamespaces(after uint32) []byte {
 	data := make([]byte, 0, identifyDataLen)
 	for id := after + 1; id != 0 && id <= s.maxNamespaceID() && len(data) < identifyDataLen; id++ {
@@ -157,6 +157,6 @@
 	data := make([]byte, identifyDataLen)
 	data[0] = descriptorTypeEUI
 	data[1] = descriptorEUILen
-	copy(data[descriptorHeader:], n.eui64())
+	copy(data[descriptorHeaderLen:], n.eui64())
 	return data
 }
--- a/internal/nvme/iocommand.go
+++ b/internal/nvme/iocommand.go
@@ -7,7 +7,8 @@
 	"dapplegate/internal/socket"
 )
 
-// handleIO handles a command on an I/O queue: a read or a write, whose data is in the capsule or asked for by R2T.
+// handleIO handles a command on an I/O queue, which must be a read or a write. It submits the command to the dispatcher, or,
+// if a write's data is not in the capsule, requests the data with an R2T first.
 func (q *controllerQueue) handleIO(p *pendingCommand, inCapsule []byte) {
 	if op := p.entry.opcode(); op != opRead && op != opWrite {
 		q.fail(p, statusInvalidCommandOpcode)
@@ -48,7 +49,8 @@
 	}
 }
 
-// checkIO checks the range of blocks, and that the data descriptor fits it. It does not check extents: see Namespace.request.
+// checkIO returns an error status if the range of blocks or the SGL descriptor is invalid, otherwise statusSuccess. A command
+// may span several extents: see Namespace.schedulerRequest.
 func checkIO(entry *command, namespace *Namespace, request *IORequest, inCapsule []byte) status {
 	if request.StartLBA >= namespace.Blocks || uint64(request.Blocks) > namespace.Blocks-request.StartLBA {
 		return statusLBAOutOfRange
@@ -56,40 +58,41 @@
 	if request.DataLen > maxTransferLen || int(entry.sglLength()) != request.DataLen {
 		return statusInvalidFieldInCommand
 	}
-	isValid := false
+	isValidDescriptor := false
 	switch entry.sglType() {
 	case sglDataInCapsule:
-		isValid = request.Write && len(inCapsule) == request.DataLen && request.DataLen <= maxInCapsuleData
+		isValidDescriptor = request.Write && len(inCapsule) == request.DataLen && request.DataLen <= maxInCapsuleData
 	case sglTransport:
-		isValid = len(inCapsule) == 0
+		isValidDescriptor = len(inCapsule) == 0
 	}
-	if !isValid {
+	if !isValidDescriptor {
 		return statusInvalidFieldInCommand
 	}
 	return statusSuccess
 }
 
-// reserveBytes counts a command's data against MaxBufferedBytes. It returns false if the server accepts no further commands
-// for now. Connections check and add independently of each other, so that the sum may exceed the limit by one command for
-// each.
+// reserveBytes counts a command's data against MaxBufferedBytes. It returns false if the command must be rejected because the
+// limit is reached or the server is shutting down. Connections check and add without a common lock, so the sum may exceed the
+// limit by one command per connection.
 func (q *controllerQueue) reserveBytes(p *pendingCommand, request *IORequest) bool {
-	bytes := int64(request.DataLen)
-	if q.server.rejecting.Load() || q.server.bufferedBytes.Load()+bytes > q.server.options.MaxBufferedBytes {
+	dataLen := int64(request.DataLen)
+	if q.server.rejecting.Load() || q.server.bufferedBytes.Load()+dataLen > q.server.options.MaxBufferedBytes {
 		return false
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	p.io = request
-	q.server.bufferedBytes.Add(bytes)
+	p.ioRequest = request
+	q.server.bufferedBytes.Add(dataLen)
 	return true
 }
 
-// reject completes a command of which nothing was begun: the host may retry it, here or elsewhere.
+// reject completes a command that has not been started. The host may retry it, here or elsewhere.
 func (q *controllerQueue) reject(p *pendingCommand, advancedRetry bool) {
 	q.complete(p, completionStatus(dispatcher.Overloaded, advancedRetry), 0, nil)
 }
 
-// submit hands a command to the dispatcher, which responds to it exactly once.
+// submit hands a command to the dispatcher, which responds to it exactly once unless it is cancelled. If the dispatcher does
+// not take the command, submit rejects it.
 func (q *controllerQueue) submit(p *pendingCommand) {
 	advancedRetry := q.association.hasAdvancedRetry()
 	call := q.newCall(p, advancedRetry)
@@ -98,9 +101,10 @@
 	}
 }
 
-// submitPending submits the call of a command that is still pending. It returns false if the dispatcher does not take it.
-// The lock is held throughout: otherwise an Abort could complete the command between the check and the submission, find no
-// call to cancel, and the command would still run. Submit neither waits nor responds.
+// submitPending submits the call of a command if the command is still pending. It returns false only if the dispatcher does
+// not take the call. It holds mu throughout: otherwise an Abort could complete the command between the check and the
+// submission, when there is no call to cancel yet, and the command would still be executed. Submit neither blocks nor calls
+// Respond, so it can be called with mu held.
 func (q *controllerQueue) submitPending(p *pendingCommand, call *dispatcher.Call) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -113,27 +117,27 @@
 }
 
 func (q *controllerQueue) newCall(p *pendingCommand, advancedRetry bool) *dispatcher.Call {
-	namespace := q.server.namespaces[p.io.NamespaceID]
+	namespace := q.server.namespaces[p.ioRequest.NamespaceID]
 	call := &dispatcher.Call{
-		Request:    namespace.request(p.io),
+		Request:    namespace.schedulerRequest(p.ioRequest),
 		ReceivedAt: time.Now(),
-		Payload:    p.io,
+		Payload:    p.ioRequest,
 		ClientGone: func() bool { return socket.ClosedByPeer(q.conn) },
 		Respond:    func(response dispatcher.Response) { q.respond(p, response, advancedRetry) },
 	}
 	deadline := q.server.options.ClassDeadlines[call.Class]
-	call.ClientTimeout = q.server.schedule.LimitTimeout(deadline, call.ReceivedAt, q.server.shutdownAt.Load())
+	call.ClientTimeout = q.server.shutdownSchedule.LimitTimeout(deadline, call.ReceivedAt, q.server.shutdownAt.Load())
 	return call
 }
 
-// respond completes a command with the dispatcher's response. A read is served with exactly its data or not at all.
+// respond completes a command with the dispatcher's response. A read succeeds only if the data has the requested length.
 func (q *controllerQueue) respond(p *pendingCommand, response dispatcher.Response, advancedRetry bool) {
-	if response.Status != dispatcher.Served || p.io.Write {
+	if response.Status != dispatcher.Served || p.ioRequest.Write {
 		q.complete(p, completionStatus(response, advancedRetry), 0, nil)
 		return
 	}
 	data, _ := response.Payload.([]byte)
-	if len(data) != p.io.DataLen {
+	if len(data) != p.ioRequest.DataLen {
 		q.fail(p, statusInternalError)
 		return
 	}
--- a/internal/nvme/namespace.go
+++ b/internal/nvme/namespace.go
@@ -8,46 +8,46 @@
 	"dapplegate/scheduler"
 )
 
-// Namespace maps the reads and writes of one namespace to requests: the volume and plan that they count for, the shard that
-// holds their blocks, and their class. Its fields must be valid: config checks them.
+// Namespace describes a namespace and how its reads and writes map to requests: to a volume with its plan, to the shard that
+// holds the blocks, and to a class. The fields must be valid, which the package config checks.
 type Namespace struct {
 	ID         uint32
 	Volume     string // 16 hexadecimal digits; also the namespace's EUI-64
-	Plan       string
-	Initiators int // that carry the volume
-	BlockBytes int // logical block size, a power of two
-	Blocks     uint64
+	Plan       string // of the volume
+	Initiators int    // number of initiators that carry requests of this volume
+	BlockBytes int    // logical block size, a power of two
+	Blocks     uint64 // size of the namespace
 
-	StripeBlocks uint64 // size of an extent; extents lie on the shards in turn
+	StripeBlocks uint64 // size of an extent; extents are assigned to the shards in round-robin order
 	Shards       []int
 	UnitBlocks   uint32 // blocks that count as one unit
 
 	ReadClass  string
 	WriteClass string
-	BulkClass  string // of reads of BulkBlocks or more; empty: ReadClass
+	BulkClass  string // class of reads of at least BulkBlocks; empty: ReadClass
 	BulkBlocks uint32
 }
 
-// request returns the scheduler's request for a command. A command that spans extents is not split: all of it goes to the
-// shard of its first extent, and counts for that extent.
-func (n *Namespace) request(io *IORequest) scheduler.Request {
-	extent := io.StartLBA / n.StripeBlocks
+// schedulerRequest returns the scheduler's request for a read or write. A command that spans several extents is not split: it
+// goes to the shard of its first extent, and all of it counts for that extent.
+func (n *Namespace) schedulerRequest(request *IORequest) scheduler.Request {
+	extent := request.StartLBA / n.StripeBlocks
 	return scheduler.Request{
-		Class:      n.class(io),
+		Class:      n.class(request),
 		Plan:       n.Plan,
 		Volume:     n.Volume,
 		Initiators: n.Initiators,
 		Extent:     fmt.Sprintf("%s/%x", n.Volume, extent),
 		Shard:      n.Shards[extent%uint64(len(n.Shards))],
-		Units:      float64((io.Blocks + n.UnitBlocks - 1) / n.UnitBlocks),
+		Units:      float64((request.Blocks + n.UnitBlocks - 1) / n.UnitBlocks),
 	}
 }
 
-func (n *Namespace) class(io *IORequest) string {
+func (n *Namespace) class(request *IORequest) string {
 	switch {
-	case io.Write:
+	case request.Write:
 		return n.WriteClass
-	case n.BulkClass != "" && io.Blocks >= n.BulkBlocks:
+	case n.BulkClass != "" && request.Blocks >= n.BulkBlocks:
 		return n.BulkClass
 	}
 	return n.ReadClass
--- a/internal/nvme/pdu.go
+++ b/internal/nvme/pdu.go
@@ -6,14 +6,14 @@
 	"iter"
 )
 
-// pduType is the first byte of a PDU. H2C is host to controller, C2H controller to host.
+// pduType is the first byte of a PDU. H2C stands for host to controller, C2H for controller to host.
 type pduType byte
 
 const (
 	pduICReq       pduType = 0x00 // initialize connection request
 	pduICResp      pduType = 0x01 // initialize connection response
-	pduH2CTermReq  pduType = 0x02 // termination request
-	pduC2HTermReq  pduType = 0x03 // termination request
+	pduH2CTermReq  pduType = 0x02 // termination request of a host
+	pduC2HTermReq  pduType = 0x03 // termination request of a controller
 	pduCapsuleCmd  pduType = 0x04 // command capsule
 	pduCapsuleResp pduType = 0x05 // response capsule
 	pduH2CData     pduType = 0x06
@@ -28,7 +28,7 @@
 	flagHeaderDigest byte = 1 << 0
 	flagDataDigest   byte = 1 << 1
 	flagLastPDU      byte = 1 << 2
-	flagSuccess      byte = 1 << 3 // the last C2HData stands for a successful completion
+	flagSuccess      byte = 1 << 3 // the command succeeded, and no response capsule follows this last C2HData
 )
 
 // Digest bits of ICReq and ICResp.
@@ -46,21 +46,22 @@
 	transferHeaderLen    = 24 // also of a termination request
 	digestLen            = 4
 
-	// maxTerminationPayload is how much of the wrong PDU a termination request may hold.
+	// maxTerminationPayload is the maximum length of the faulty PDU's header that a termination request carries.
 	maxTerminationPayload = 128
-	// maxPDUData is the largest data of one PDU that is accepted.
+	// maxPDUData is the maximum data length of a received PDU.
 	maxPDUData = 128 << 10
-	// maxH2CData is the largest data of one H2CData, as ICResp announces it. C2HData is sent in parts of this size too.
+	// maxH2CData is the maximum data length of an H2CData PDU, which ICResp announces. C2HData PDUs are sent with at most
+	// this much data too.
 	maxH2CData = 64 << 10
-	// minMaxH2CData is the least that the specification lets a controller announce.
+	// minMaxH2CData is the lowest maximum that the specification lets a controller announce in ICResp.
 	minMaxH2CData = 4096
 
-	// maxDataAlignment is the largest value of the data alignment fields, HPDA and CPDA.
+	// maxDataAlignment is the highest value of the data alignment fields HPDA and CPDA.
 	maxDataAlignment  = 31
 	dataAlignmentUnit = 4
 )
 
-// Offsets of header fields. A termination request holds that of the wrong field.
+// Offsets of header fields. A termination request for an invalid field reports the field's offset.
 const (
 	offsetType       = 0
 	offsetFlags      = 1
@@ -68,34 +69,35 @@
 	offsetDataOffset = 3
 	offsetPDULen     = 4
 
-	// of ICReq and ICResp
+	// ICReq and ICResp
 	offsetFormatVersion = 8
 	offsetDataAlignment = 10
 	offsetDigests       = 11
 	offsetMaxH2CData    = 12
 
-	// of R2T, H2CData and C2HData
+	// R2T, H2CData and C2HData
 	offsetCommandID      = 8
 	offsetTTAG           = 10
 	offsetTransferOffset = 12
 	offsetTransferLength = 16
 
-	// of termination requests
+	// termination requests
 	offsetFatalErrorStatus = 8
 	offsetFatalErrorInfo   = 10
 )
 
-var castagnoli = crc32.MakeTable(crc32.Castagnoli)
+// crc32cTable is the table of CRC-32C, the checksum of header and data digests.
+var crc32cTable = crc32.MakeTable(crc32.Castagnoli)
 
 // pdu is a protocol data unit.
 type pdu struct {
 	kind   pduType
 	flags  byte
-	header []byte // complete, from the common header on
+	header []byte // complete, including the common header
 	data   []byte
-	// dataDigestError marks data whose digest does not match. The command fails. The connection stays open, except if the
-	// data is an H2CData with others to follow: the next one is for a command that is no longer pending, which ends the
-	// connection.
+	// dataDigestError is set if the data digest does not match the data. The controller side then fails the command and keeps
+	// the connection open. The exception is an H2CData PDU that is not the last of its transfer: the next one then belongs to
+	// a command that is no longer pending, which ends the connection. The host side closes the connection in any case.
 	dataDigestError bool
 }
 
@@ -104,7 +106,7 @@
 
 func (p *pdu) isLast() bool { return p.flags&flagLastPDU != 0 }
 
-// headerLen returns the header length of a type; 0: there is no such type.
+// headerLen returns the header length of a PDU type, or 0 if the type is unknown.
 func (t pduType) headerLen() int {
 	switch t {
 	case pduICReq, pduICResp:
@@ -119,18 +121,18 @@
 	return 0
 }
 
-// hasDigests reports whether the agreed digests and data alignment apply to a type.
+// hasDigests reports whether the negotiated digests and data alignment apply to a PDU type.
 func (t pduType) hasDigests() bool { return t >= firstTypeWithDigests }
 
-// framing is what both sides of a connection agreed on.
+// framing holds the PDU format options that the two sides of a connection have negotiated.
 type framing struct {
 	headerDigest bool
 	dataDigest   bool
-	// dataAlignment is for sending: the receiver wants data at multiples of 4*(dataAlignment+1) bytes.
+	// dataAlignment applies to sent PDUs: the receiver requires data to start at a multiple of 4*(dataAlignment+1) bytes.
 	dataAlignment int
 }
 
-// newFraming returns the framing for a digests field and the receiver's data alignment field.
+// newFraming returns the framing for the negotiated digests field and the receiver's data alignment field.
 func newFraming(digests, dataAlignment byte) framing {
 	return framing{
 		headerDigest:  digests&enableHeaderDigest != 0,
@@ -139,13 +141,13 @@
 	}
 }
 
-// align rounds up to where data may start.
+// align rounds an offset up to the next one at which the receiver lets data start.
 func (f framing) align(offset int) int {
 	alignment := dataAlignmentUnit * (f.dataAlignment + 1)
 	return (offset + alignment - 1) / alignment * alignment
 }
 
-// appendPDU appends a PDU to b. header holds the fields after the common header.
+// appendPDU appends a PDU to b, with the digests and padding of the framing. header does not include the common header.
 func appendPDU(b []byte, f framing, kind pduType, flags byte, header, data []byte) []byte {
 	headerDigest := f.headerDigest && kind.hasDigests()
 	dataDigest := f.dataDigest && kind.hasDigests() && len(data) > 0
@@ -184,11 +186,11 @@
 }
 
 func appendDigest(b, covered []byte) []byte {
-	return binary.LittleEndian.AppendUint32(b, crc32.Checksum(covered, castagnoli))
+	return binary.LittleEndian.AppendUint32(b, crc32.Checksum(covered, crc32cTable))
 }
 
-// icPDU returns an ICReq or ICResp of format version 0. The sender accepts data at any alignment. maxData is ICResp's
-// MAXH2CDATA; ICReq's MAXR2T, which is 0-based, is at the same place.
+// icPDU returns an ICReq or ICResp of format version 0, whose sender accepts data at any alignment. maxData is MAXH2CDATA in
+// an ICResp. An ICReq has MAXR2T, which is 0-based, at the same offset.
 func icPDU(kind pduType, digests byte, maxData uint32) []byte {
 	header := make([]byte, icHeaderLen-commonHeaderLen)
 	header[offsetDigests-commonHeaderLen] = digests
@@ -196,7 +198,7 @@
 	return appendPDU(nil, framing{}, kind, 0, header, nil)
 }
 
-// terminationPDU returns a termination request for an error. Its data is the start of the wrong PDU.
+// terminationPDU returns a termination request for a protocol error. Its data is what was read of the faulty PDU's header.
 func terminationPDU(kind pduType, e *protocolError) []byte {
 	header := make([]byte, transferHeaderLen-commonHeaderLen)
 	binary.LittleEndian.PutUint16(header[offsetFatalErrorStatus-commonHeaderLen:], uint16(e.fes))
@@ -204,15 +206,15 @@
 	return appendPDU(nil, framing{}, kind, 0, header, e.header[:min(len(e.header), maxTerminationPayload)])
 }
 
-// transfer is the header of R2T, H2CData and C2HData: a part of a command's data.
+// transfer holds the header fields of R2T, H2CData and C2HData, which describe a part of a command's data.
 type transfer struct {
 	commandID uint16
-	ttag      uint16 // transfer tag of the R2T; 0 in C2HData
+	ttag      uint16 // transfer tag, which an R2T assigns; 0 in C2HData
 	offset    uint32
 	length    uint32
 }
 
-// header returns the fields after the common header.
+// header encodes the fields as a PDU header without the common header.
 func (t transfer) header() []byte {
 	header := make([]byte, transferHeaderLen-commonHeaderLen)
 	binary.LittleEndian.PutUint16(header[offsetCommandID-commonHeaderLen:], t.commandID)
@@ -231,8 +233,8 @@
 	}
 }
 
-// dataPDUs returns data as H2CData or C2HData PDUs of at most maxData bytes each. offset is where data lies in the command's
-// data; the last PDU has the last-PDU flag.
+// dataPDUs returns data as H2CData or C2HData PDUs with at most maxData bytes each. offset is the offset of data within the
+// command's data. The last PDU has the last-PDU flag set.
 func dataPDUs(f framing, kind pduType, commandID, ttag uint16, offset int, data []byte, maxData int) iter.Seq[[]byte] {
 	return func(yield func([]byte) bool) {
 		for start := 0; start < len(data); start += maxData {
--- a/internal/nvme/pdu_test.go
+++ b/internal/nvme/pdu_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestPDUBytes compares PDUs with bytes that were written by hand from the specification.
+// TestPDUBytes compares encoded PDUs and completions with bytes that were written by hand from the specification.
 func TestPDUBytes(t *testing.T) {
 	digests := framing{headerDigest: true, dataDigest: true}
 	for _, c := range []struct {
@@ -22,10 +22,11 @@
 			"090018001800000002010403001000000020000000000000"},
 		{"data with both digests", appendPDU(nil, digests, pduC2HData, flagLastPDU,
 			transfer{commandID: 1, length: 4}.header(), []byte("1234"))[:8], "0707181c24000000"},
-		{"completion, not ready, second retry delay",
+		{"completion, Namespace Not Ready with the second retry delay",
 			completion{sqHead: 5, queueID: 1, commandID: 9, status: statusNamespaceNotReady.withRetryDelay(2)}.header(),
 			"00000000000000000500010009000421"},
-		{"completion, may have executed", completion{commandID: 9, status: statusTransientTransport | statusDoNotRetry}.header(),
+		{"completion, Transient Transport Error with DNR",
+			completion{commandID: 9, status: statusTransientTransport | statusDoNotRetry}.header(),
 			"00000000000000000000000009004480"},
 	} {
 		if got := hex.EncodeToString(c.got); got != c.want {
@@ -34,9 +35,10 @@
 	}
 }
 
-// TestDamagedPDU truncates and damages valid PDUs and feeds random bytes: a truncated PDU never passes for a complete one, and
-// with digests a damaged one never for the one that was sent.
-func TestDamagedPDU(t *testing.T) {
+// TestCorruptPDU reads truncated PDUs, PDUs with a flipped bit and random bytes. A truncated PDU must never be accepted, and
+// with both digests a PDU with a flipped bit must never be accepted as the original. Random bytes must yield either a PDU or
+// an error.
+func TestCorruptPDU(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := framing{
 			headerDigest:  rapid.Bool().Draw(t, "header digest"),
@@ -58,14 +60,14 @@
 		}
 		truncated := valid[:rapid.IntRange(0, len(valid)-1).Draw(t, "length")]
 		if p, err := readPDU(bytes.NewReader(truncated), f); err == nil {
-			t.Fatalf("a truncated PDU passed for a complete one: %+v", p)
+			t.Fatalf("a truncated PDU was accepted: %+v", p)
 		}
-		if at := rapid.IntRange(commonHeaderLen, len(valid)-1).Draw(t, "at"); f.headerDigest && f.dataDigest {
-			damaged := bytes.Clone(valid)
-			damaged[at] ^= 1 << rapid.IntRange(0, 7).Draw(t, "bit")
-			p, err := readPDU(bytes.NewReader(damaged), f)
+		if offset := rapid.IntRange(commonHeaderLen, len(valid)-1).Draw(t, "at"); f.headerDigest && f.dataDigest {
+			corrupted := bytes.Clone(valid)
+			corrupted[offset] ^= 1 << rapid.IntRange(0, 7).Draw(t, "bit")
+			p, err := readPDU(bytes.NewReader(corrupted), f)
 			if err == nil && !p.dataDigestError && !isSame(p) {
-				t.Fatalf("damage at %d was not detected", at)
+				t.Fatalf("the flipped bit at offset %d was not detected", offset)
 			}
 		}
 		garbage := rapid.SliceOf(rapid.Byte()).Draw(t, "garbage")
--- a/internal/nvme/property.go
+++ b/internal/nvme/property.go
@@ -1,6 +1,6 @@
 package nvme
 
-// Controller properties, by offset.
+// Offsets of controller properties.
 const (
 	propertyCAP  = 0x00 // controller capabilities, 8 bytes
 	propertyVS   = 0x08 // version
@@ -9,24 +9,26 @@
 )
 
 const (
-	// capWithoutMQES is CAP without MQES: contiguous queues, ready within ten times 500 ms, the NVM command set.
+	// capWithoutMQES is the property CAP without MQES: physically contiguous queues are required (CQR), the controller is
+	// ready within ten times 500 ms (TO), and the NVM command set is supported (CSS).
 	capWithoutMQES = 1<<16 | 10<<24 | 1<<37
 
 	specificationVersion = 0x00010400 // 1.4
 
 	ccEnable   = 1 << 0
-	ccShutdown = 3 << 14 // SHN
-	// ccEntrySizes are the sizes of queue entries as powers of two: 64 and 16 bytes.
+	ccShutdown = 3 << 14 // SHN: shutdown notification
+	// ccEntrySizes sets IOSQES and IOCQES, the sizes of queue entries as powers of two: 64 and 16 bytes.
 	ccEntrySizes = 6<<16 | 4<<20
 
 	cstsReady            = 1 << 0
 	cstsShutdownComplete = 2 << 2
 
 	propertySizeMask = 7
-	propertySize8    = 1 // 0 is 4 bytes
+	propertySize8    = 1 // 8 bytes; 0 stands for 4 bytes
 )
 
-// handleFabrics handles the Fabrics commands of a connected queue: Property Get and Set on the admin queue.
+// handleFabrics handles a Fabrics command on a connected queue. Only Property Get and Property Set on the admin queue are
+// supported.
 func (q *controllerQueue) handleFabrics(p *pendingCommand) {
 	fabricsType := p.entry.fabricsType()
 	switch {
@@ -51,7 +53,7 @@
 	q.succeed(p, value)
 }
 
-// setProperty sets CC, the only property that is not read-only here.
+// setProperty handles Property Set. The only writable property is CC.
 func (q *controllerQueue) setProperty(p *pendingCommand) {
 	if p.entry.u32(sqePropertyOffset) != propertyCC || p.entry.isWideProperty() {
 		q.fail(p, statusInvalidFieldInCommand)
@@ -61,9 +63,10 @@
 	q.succeed(p, 0)
 }
 
-// isWideProperty reports whether a property command is for 8 bytes instead of 4.
+// isWideProperty reports whether a property command is for a property of 8 bytes rather than 4.
 func (c *command) isWideProperty() bool { return c[sqePropertySize]&propertySizeMask == propertySize8 }
 
+// property returns the value of the property at an offset. known is false if there is no such property.
 func (a *controllerAssociation) property(offset uint32) (value uint64, known bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -80,7 +83,7 @@
 	return 0, false
 }
 
-// configure sets CC, which enables, resets or shuts down the controller. A reset ends its I/O queues.
+// configure sets the property CC, which enables, resets or shuts down the controller. A reset ends the I/O queues.
 func (a *controllerAssociation) configure(cc uint32) {
 	a.mu.Lock()
 	wasEnabled := a.cc&ccEnable != 0
--- a/internal/nvme/server.go
+++ b/internal/nvme/server.go
@@ -13,34 +13,34 @@
 	"dapplegate/internal/socket"
 )
 
-// ServerOptions set up the controller side.
+// ServerOptions configures the controller side.
 type ServerOptions struct {
-	Subsystem  string // NQN under which hosts connect
+	Subsystem  string // NQN of the subsystem that hosts connect to
 	Namespaces []Namespace
-	QueueDepth int // entries of an I/O queue
-	MaxConns   int // hosts' connections at a time
-	// MaxBufferedBytes bounds the data of the commands without a completion, in bytes; reads and writes beyond it are rejected.
-	// Data counts from the command's arrival until its completion is queued for sending: data that waits in a connection's
-	// outbox is no longer counted.
+	QueueDepth int // maximum number of entries of an I/O queue
+	MaxConns   int // maximum number of open connections from hosts
+	// MaxBufferedBytes limits the total data length of the commands in progress, in bytes; reads and writes beyond it are
+	// rejected. A command counts from its arrival until its completion is queued for sending: data that waits in a connection's
+	// outbox no longer counts.
 	MaxBufferedBytes int64
-	// ClassDeadlines is how long hosts wait for a command of each class: NVMe commands carry no deadline of their own.
+	// ClassDeadlines is the deadline of the commands of each class, since NVMe commands carry none.
 	ClassDeadlines map[string]time.Duration
 	Logger         *slog.Logger
 }
 
-// Dispatcher takes the commands as calls. Submit returns false if it is not taking calls any more; it does not wait, and
-// never calls Respond itself. Cancel ends a call whose host no longer waits.
+// Dispatcher executes commands, which it receives as calls. Submit returns false if the dispatcher no longer accepts calls.
+// It does not block, and never calls Respond itself. Cancel ends a call whose host no longer waits for the response.
 type Dispatcher interface {
 	Submit(*dispatcher.Call) bool
 	Cancel(*dispatcher.Call)
 }
 
 const (
-	acceptRetryInterval  = 10 * time.Millisecond // after a failed accept, which would else be retried in a busy loop
+	acceptRetryInterval  = 10 * time.Millisecond // pause after a failed Accept, to avoid a busy loop
 	shutdownPollInterval = 2 * time.Millisecond
 )
 
-// Reasons of the log lines about ended connections.
+// Values of the log attribute "reason" for connections that ended.
 const (
 	reasonConnectionLimit  = "CONNECTION_LIMIT"
 	reasonShutdown         = "SHUTDOWN"
@@ -58,24 +58,24 @@
 
 // Server is the controller side: an NVMe subsystem that hosts connect to over TCP.
 type Server struct {
-	options    ServerOptions
-	dispatcher Dispatcher
-	namespaces map[uint32]*Namespace
-	schedule   dispatcher.ShutdownSchedule
+	options          ServerOptions
+	dispatcher       Dispatcher
+	namespaces       map[uint32]*Namespace
+	shutdownSchedule dispatcher.ShutdownSchedule
 
-	bufferedBytes atomic.Int64              // data that counts against MaxBufferedBytes
-	openCommands  atomic.Int64              // commands at the dispatcher
+	bufferedBytes atomic.Int64              // data length that counts against MaxBufferedBytes
+	openCommands  atomic.Int64              // commands submitted to the dispatcher and not completed
 	shutdownAt    atomic.Pointer[time.Time] // when Shutdown was called; nil: not yet
-	rejecting     atomic.Bool               // new commands are rejected
+	rejecting     atomic.Bool               // new reads and writes are rejected, because of the shutdown
 
 	mu               sync.Mutex
 	associations     map[uint16]*controllerAssociation // by controller ID
-	queues           map[*controllerQueue]bool
+	queues           map[*controllerQueue]bool         // connections that count against MaxConns
 	lastControllerID uint16
 	listener         net.Listener
 }
 
-// New returns a server that hands its commands to d. Options.Namespaces must be valid.
+// New returns a server that submits its reads and writes to d. The namespaces in the options must be valid.
 func New(d Dispatcher, opt ServerOptions) *Server {
 	s := &Server{
 		options:      opt,
@@ -84,18 +84,18 @@
 		associations: map[uint16]*controllerAssociation{},
 		queues:       map[*controllerQueue]bool{},
 	}
-	var longest time.Duration
+	var maxDeadline time.Duration
 	for _, deadline := range opt.ClassDeadlines {
-		longest = max(longest, deadline)
+		maxDeadline = max(maxDeadline, deadline)
 	}
-	s.schedule = dispatcher.NewShutdownSchedule(longest)
+	s.shutdownSchedule = dispatcher.NewShutdownSchedule(maxDeadline)
 	for i := range opt.Namespaces {
 		s.namespaces[opt.Namespaces[i].ID] = &opt.Namespaces[i]
 	}
 	return s
 }
 
-// maxNamespaceID returns the highest namespace ID in use.
+// maxNamespaceID returns the highest namespace ID.
 func (s *Server) maxNamespaceID() uint32 {
 	highest := uint32(0)
 	for id := range s.namespaces {
@@ -104,8 +104,8 @@
 	return highest
 }
 
-// Serve accepts connections on l until l is closed, by Shutdown or another, and then returns nil. Any other error of Accept is
-// retried for as long as it lasts: running out of file descriptors passes when connections end.
+// Serve accepts connections on l until l is closed, by Shutdown or elsewhere, and then returns nil. After any other error it
+// retries Accept indefinitely, since a shortage of file descriptors, for instance, ends when connections are closed.
 func (s *Server) Serve(l net.Listener) error {
 	s.mu.Lock()
 	s.listener = l
@@ -116,13 +116,13 @@
 			return nil
 		}
 		if err != nil {
-			time.Sleep(acceptRetryInterval) // open connections are still served
+			time.Sleep(acceptRetryInterval) // open connections are served meanwhile
 			continue
 		}
-		q := newQueue(s, conn)
+		q := newControllerQueue(s, conn)
 		if !s.admit(q) {
-			_ = conn.Close() // nothing was read from it yet
-			s.logEnd(q, reasonConnectionLimit)
+			_ = conn.Close() // nothing has been read from it
+			s.logConnectionEnd(q, reasonConnectionLimit)
 			continue
 		}
 		go q.writeLoop()
@@ -130,8 +130,8 @@
 	}
 }
 
-// admit adds a connection, and evicts another if there are MaxConns. It returns false if none can be evicted. An evicted
-// connection is no longer counted, but stays open until its writer has sent its outbox.
+// admit adds a connection. If there are MaxConns connections already, it evicts one of them, and returns false if none can be
+// evicted. An evicted connection no longer counts against MaxConns, but stays open until its writer has sent the outbox.
 func (s *Server) admit(q *controllerQueue) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -142,10 +142,10 @@
 	return true
 }
 
-// evictUnconnected ends the connection that has been longest without a Connect, and returns false if there is none. Without
-// it, silent connections up to the limit would shut out all hosts: each is refused until the handshake timeout ends one of
-// them. A connection whose Connect has completed is never evicted, so that no command is lost: a host sends none before that.
-// One whose Connect is being handled may still be evicted. The caller holds mu.
+// evictUnconnected ends the oldest connection without a completed Connect, and returns false if there is none. Without this
+// eviction, MaxConns connections that send nothing would lock out all hosts, until the handshake timeout ends one of them. A
+// connection whose Connect has completed is never evicted, so no command is lost: a host sends no other command before. A
+// connection may still be evicted while its Connect is being handled. The caller must hold mu.
 func (s *Server) evictUnconnected() bool {
 	var oldest *controllerQueue
 	for q := range s.queues {
@@ -161,15 +161,15 @@
 	return true
 }
 
-// Shutdown ends the server in steps: it accepts connections for dispatcher.AcceptGrace, serves open ones for the time that
-// the shutdown schedule gives them, then rejects new commands, waits for those in flight and closes all connections. If ctx
-// ends first, its error is returned, and commands in flight get no completion.
+// Shutdown shuts the server down gracefully. It continues to accept connections for dispatcher.AcceptGrace, and to serve open
+// connections for as long as the shutdown schedule allows. Then it rejects new reads and writes, waits for those in flight
+// and closes all connections. If ctx ends first, Shutdown returns its error, and commands in flight get no completion.
 func (s *Server) Shutdown(ctx context.Context) error {
 	start := time.Now()
 	s.shutdownAt.Store(&start)
 	dispatcher.WaitUntil(ctx, start.Add(dispatcher.AcceptGrace))
-	s.drainListener(start.Add(s.schedule.AnswerBy))
-	dispatcher.WaitUntil(ctx, start.Add(s.schedule.ServeConnsFor))
+	s.drainListener(start.Add(s.shutdownSchedule.AnswerBy))
+	dispatcher.WaitUntil(ctx, start.Add(s.shutdownSchedule.ServeConnsFor))
 	s.rejecting.Store(true)
 	for s.openCommands.Load() > 0 && ctx.Err() == nil {
 		time.Sleep(shutdownPollInterval)
@@ -182,13 +182,13 @@
 	return err
 }
 
-// drainListener closes the listener once the connections that wait in it are accepted, at the latest at the given time.
-func (s *Server) drainListener(latest time.Time) {
+// drainListener closes the listener once its accept queue is empty, or at the deadline.
+func (s *Server) drainListener(deadline time.Time) {
 	s.mu.Lock()
 	listener := s.listener
 	s.mu.Unlock()
 	if listener != nil {
-		_ = socket.CloseListenerWhenEmpty(listener, latest) // it is closed either way
+		_ = socket.CloseListenerWhenEmpty(listener, deadline) // the listener is closed even if this returns an error
 	}
 }
 
@@ -202,7 +202,7 @@
 	return queues
 }
 
-func (s *Server) logEnd(q *controllerQueue, reason string) {
+func (s *Server) logConnectionEnd(q *controllerQueue, reason string) {
 	s.options.Logger.Info("connection ended",
 		slog.String("side", "host"),
 		slog.String("peer", q.conn.RemoteAddr().String()),
--- a/internal/nvme/server_test.go
+++ b/internal/nvme/server_test.go
@@ -18,7 +18,8 @@
 	"dapplegate/scheduler"
 )
 
-// TestCompletionStatus maps each response to its status, with a retry delay only for hosts that honour it.
+// TestCompletionStatus checks the status for each kind of response. Only hosts that have enabled Advanced Command Retry get a
+// retry delay.
 func TestCompletionStatus(t *testing.T) {
 	rejected := func(retryAfter time.Duration) dispatcher.Response {
 		return dispatcher.Response{Status: dispatcher.Rejected, RetryAfter: retryAfter}
@@ -45,15 +46,15 @@
 	}
 }
 
-// TestRetryDelay rejects a command before and after the host enables Advanced Command Retry.
+// TestRetryDelay checks that a rejected command has a retry delay only after the host has enabled Advanced Command Retry.
 func TestRetryDelay(t *testing.T) {
-	storage := newStorage()
+	storage := newFakeStorage()
 	storage.response = dispatcher.Response{Status: dispatcher.Rejected, RetryAfter: 100 * time.Millisecond}
-	_, addr := startServer(t, storage, poolNQN)
+	_, addr := startServer(t, storage, initiatorSubsystem)
 	h := connectHost(t, addr, false)
 	h.read(0)
-	if result, _ := h.next(); result.status != statusNamespaceNotReady {
-		t.Errorf("before: %#x", uint16(result.status))
+	if result, _ := h.nextCompletion(); result.status != statusNamespaceNotReady {
+		t.Errorf("status before enabling ACRE: %#x", uint16(result.status))
 	}
 	set := newCommand(opSetFeatures, h.admin.nextCommandID(), hostBehaviorLen, true)
 	set.putU32(sqeFeatureID, featureHostBehavior)
@@ -63,14 +64,16 @@
 		t.Fatal(err)
 	}
 	h.read(0)
-	if result, _ := h.next(); result.status != statusNamespaceNotReady.withRetryDelay(1) || result.status&statusDoNotRetry != 0 {
-		t.Errorf("after: %#x", uint16(result.status))
+	if result, _ := h.nextCompletion(); result.status != statusNamespaceNotReady.withRetryDelay(1) ||
+		result.status&statusDoNotRetry != 0 {
+		t.Errorf("status after enabling ACRE: %#x", uint16(result.status))
 	}
 }
 
-// TestOutsideSubset checks that a command outside the subset gets its status, and that the connection stays open.
-func TestOutsideSubset(t *testing.T) {
-	_, addr := startServer(t, newStorage(), poolNQN)
+// TestUnsupportedCommands checks that invalid commands, and commands outside the subset, are completed with the right error
+// status and leave the connection open.
+func TestUnsupportedCommands(t *testing.T) {
+	_, addr := startServer(t, newFakeStorage(), initiatorSubsystem)
 	h := connectHost(t, addr, false)
 	for _, c := range []struct {
 		name   string
@@ -79,38 +82,40 @@
 	}{
 		{"flush", func(c *command) { c[0] = 0 }, statusInvalidCommandOpcode},
 		{"unknown namespace", func(c *command) { c.putU32(sqeNamespaceID, 9) }, statusInvalidNamespace},
-		{"past the end", func(c *command) { c.putU64(sqeStartLBA, 1<<20) }, statusLBAOutOfRange},
-		{"fused", func(c *command) { c[sqeFlags] |= 1 }, statusInvalidFieldInCommand},
+		{"block past the end", func(c *command) { c.putU64(sqeStartLBA, 1<<20) }, statusLBAOutOfRange},
+		{"fused command", func(c *command) { c[sqeFlags] |= 1 }, statusInvalidFieldInCommand},
 		{"PRPs", func(c *command) { c[sqeFlags] = 0 }, statusInvalidFieldInCommand},
-		{"length that does not fit", func(c *command) { c.putU32(sqeSGLLength, 4) }, statusInvalidFieldInCommand},
-		{"second connect", func(c *command) { c[0], c[sqeFabricsType] = byte(opFabrics), fabricsConnect }, statusCommandSequenceError},
+		{"SGL length unequal to the blocks", func(c *command) { c.putU32(sqeSGLLength, 4) }, statusInvalidFieldInCommand},
+		{"second Connect", func(c *command) { c[0], c[sqeFabricsType] = byte(opFabrics), fabricsConnect },
+			statusCommandSequenceError},
 	} {
 		entry := h.ioCommand(opRead, 0, 1, false)
 		c.modify(entry)
 		id := h.send(entry, nil)
-		if result, _ := h.next(); result.commandID != id || result.status != c.want|statusDoNotRetry {
+		if result, _ := h.nextCompletion(); result.commandID != id || result.status != c.want|statusDoNotRetry {
 			t.Errorf("%s: %+v, want %#x", c.name, result, uint16(c.want|statusDoNotRetry))
 		}
 	}
 	const opAsyncEventRequest opcode = 0x0C
 	asyncEvent := newCommand(opAsyncEventRequest, h.admin.nextCommandID(), 0, false)
-	var failure *commandError
+	var commandErr *commandError
 	_, _, err := h.admin.execute(asyncEvent, nil)
-	if !errors.As(err, &failure) || failure.status != statusInvalidCommandOpcode|statusDoNotRetry {
-		t.Errorf("asynchronous event request: %v", err)
+	if !errors.As(err, &commandErr) || commandErr.status != statusInvalidCommandOpcode|statusDoNotRetry {
+		t.Errorf("Asynchronous Event Request: %v", err)
 	}
 	if _, _, err := h.admin.execute(newCommand(opKeepAlive, h.admin.nextCommandID(), 0, false), nil); err != nil {
-		t.Errorf("keep alive: %v", err)
+		t.Errorf("Keep Alive: %v", err)
 	}
 	h.read(0)
-	h.expectServed("a valid command after all these")
+	h.expectServed("valid command after the invalid ones")
 }
 
-// TestAbort aborts a command by its queue and command ID: it has one completion, and no second one when the target responds.
+// TestAbort aborts a command by its queue ID and command ID. The command must be completed exactly once, also when its
+// response arrives after the Abort.
 func TestAbort(t *testing.T) {
-	storage := newStorage()
+	storage := newFakeStorage()
 	storage.stalled = make(chan struct{})
-	_, addr := startServer(t, storage, poolNQN)
+	_, addr := startServer(t, storage, initiatorSubsystem)
 	h := connectHost(t, addr, false)
 	id := h.write(1, "x")
 	<-storage.received
@@ -120,25 +125,25 @@
 		entry.putU16(sqeAbortQueueID, 1)
 		entry.putU16(sqeAbortCommandID, id)
 		if result, _, err := h.admin.execute(entry, nil); err != nil || result.result != want {
-			t.Errorf("abort: result %d, %v; want %d", result.result, err, want)
+			t.Errorf("Abort: result %d, %v; want %d", result.result, err, want)
 		}
 	}
 	abort(0)
-	if result, _ := h.next(); result.commandID != id || result.status != statusAbortRequested|statusDoNotRetry {
+	if result, _ := h.nextCompletion(); result.commandID != id || result.status != statusAbortRequested|statusDoNotRetry {
 		t.Errorf("aborted command: %+v", result)
 	}
 	abort(1)
 	close(storage.stalled)
 	other := h.read(5)
-	if result, _ := h.next(); result.commandID != other {
-		t.Errorf("completion of %d, want none but of %d", result.commandID, other)
+	if result, _ := h.nextCompletion(); result.commandID != other {
+		t.Errorf("completion of command %d, want only that of %d", result.commandID, other)
 	}
 }
 
-// TestTermination checks that a violation of the transport's rules is answered with a termination request with the
-// right fatal error status.
-func TestTermination(t *testing.T) {
-	_, addr := startServer(t, newStorage(), poolNQN)
+// TestTerminationRequest checks that a violation of the transport protocol is answered with a termination request that has
+// the right fatal error status.
+func TestTerminationRequest(t *testing.T) {
+	_, addr := startServer(t, newFakeStorage(), initiatorSubsystem)
 	dataPDU := func(header transfer, flags byte, data []byte) []byte {
 		return appendPDU(nil, framing{}, pduH2CData, flags, header.header(), data)
 	}
@@ -147,12 +152,12 @@
 		send func(*testHost) error
 		want fatalErrorStatus
 	}{
-		{"unknown type", func(h *testHost) error { return h.sendRaw([]byte{0x42, 0, 8, 0, 8, 0, 0, 0}) }, fesInvalidHeader},
-		{"a controller's PDU", func(h *testHost) error {
+		{"unknown PDU type", func(h *testHost) error { return h.sendRaw([]byte{0x42, 0, 8, 0, 8, 0, 0, 0}) }, fesInvalidHeader},
+		{"PDU type of a controller", func(h *testHost) error {
 			header := transfer{commandID: 1, ttag: 1, length: 1}.header()
 			return h.sendRaw(appendPDU(nil, framing{}, pduR2T, 0, header, nil))
 		}, fesSequence},
-		{"data that was not asked for", func(h *testHost) error {
+		{"data that was not requested", func(h *testHost) error {
 			return h.sendRaw(dataPDU(transfer{commandID: 9, ttag: 9, length: 1}, flagLastPDU, []byte("x")))
 		}, fesInvalidHeader},
 		{"data out of range", func(h *testHost) error {
@@ -178,10 +183,10 @@
 	}
 }
 
-// TestDamagedStream sends damaged, truncated and made-up PDUs to a controller, connection after connection: it answers or ends
-// each connection, and serves another host as before.
-func TestDamagedStream(t *testing.T) {
-	_, addr := startServer(t, newStorage(), poolNQN)
+// TestMalformedPDUs sends random, possibly truncated PDUs to a controller, on a new connection each time. The controller must
+// end every connection and go on serving another host.
+func TestMalformedPDUs(t *testing.T) {
+	_, addr := startServer(t, newFakeStorage(), initiatorSubsystem)
 	other := connectHost(t, addr, false)
 	types := []pduType{pduICReq, pduCapsuleCmd, pduH2CData, pduH2CTermReq, pduR2T, 0x55}
 	rapid.Check(t, func(rt *rapid.T) {
@@ -198,10 +203,10 @@
 		sendUntilClosed(rt, addr, out[:rapid.IntRange(0, len(out)).Draw(rt, "length")])
 	})
 	other.read(1)
-	other.expectServed("another host afterwards")
+	other.expectServed("command of another host")
 }
 
-// sendUntilClosed sends bytes on a connection of their own, and fails if the controller does not end it.
+// sendUntilClosed sends bytes on a new connection, and fails the test if the controller does not end the connection.
 func sendUntilClosed(t *rapid.T, addr string, b []byte) {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -211,18 +216,18 @@
 	if err := conn.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
-	// The controller may end the connection at any byte: only a timeout is a failure.
+	// The controller may end the connection after any byte, so errors are ignored except for a timeout.
 	_, _ = conn.Write(b)
 	_ = conn.(*net.TCPConn).CloseWrite()
 	if _, err := io.Copy(io.Discard, conn); errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Fatal("the controller neither answered nor ended the connection")
+		t.Fatal("the controller did not end the connection")
 	}
 }
 
-// TestBadConnect rejects hosts that ask for another subsystem, or for an I/O queue without an association, with the status for
-// invalid parameters and DNR: a retry of the same Connect would fail again.
-func TestBadConnect(t *testing.T) {
-	_, addr := startServer(t, newStorage(), poolNQN)
+// TestInvalidConnect checks that a Connect to an unknown subsystem, and one of an I/O queue without an association, is
+// rejected with the status for invalid parameters. DNR must be set, since a retry of the same Connect would fail again.
+func TestInvalidConnect(t *testing.T) {
+	_, addr := startServer(t, newFakeStorage(), initiatorSubsystem)
 	h := NewHost(HostOptions{Subsystem: "nqn.other", HostNQN: "nqn.host", KeepAliveTimeout: time.Minute})
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
@@ -234,21 +239,22 @@
 	expectRejected := func(what string, err error) {
 		t.Helper()
 		const want = statusConnectInvalidParameters | statusDoNotRetry
-		var failure *commandError
-		if !errors.As(err, &failure) || failure.opcode != opFabrics || failure.status != want {
+		var commandErr *commandError
+		if !errors.As(err, &commandErr) || commandErr.opcode != opFabrics || commandErr.status != want {
 			t.Errorf("%s: %v, want status %#x", what, err, uint16(want))
 		}
 	}
 	_, err = conn.connect(h.options, 0, anyControllerID)
-	expectRejected("Connect to a subsystem that is not here", err)
-	_, err = conn.connect(HostOptions{Subsystem: poolNQN, HostNQN: "nqn.host"}, 1, 77)
+	expectRejected("Connect to an unknown subsystem", err)
+	_, err = conn.connect(HostOptions{Subsystem: initiatorSubsystem, HostNQN: "nqn.host"}, 1, 77)
 	expectRejected("Connect of an I/O queue without an association", err)
 }
 
-// TestSilentConnectionsAreEvicted fills the limit with connections that send nothing: a host can still connect, queues of an
-// association stay, and no further connection is accepted once all have connected.
+// TestSilentConnectionsAreEvicted opens more connections that send nothing than MaxConns allows. A host must still be able to
+// connect, and the queues of an association must not be evicted. Once Connect has completed on all connections, another
+// connection must be closed.
 func TestSilentConnectionsAreEvicted(t *testing.T) {
-	s, addr := startServer(t, newStorage(), poolNQN)
+	s, addr := startServer(t, newFakeStorage(), initiatorSubsystem)
 	s.mu.Lock()
 	s.options.MaxConns = 4
 	s.mu.Unlock()
@@ -271,25 +277,25 @@
 		t.Fatal(err)
 	}
 	if _, err := fifth.Read(make([]byte, 1)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("a fifth connection beside four queues: %v, want it closed", err)
+		t.Errorf("fifth connection while four queues are connected: %v, want it closed", err)
 	}
 	for _, h := range []*testHost{first, second} {
 		h.read(1)
-		h.expectServed("a host that had connected")
+		h.expectServed("command of a connected host")
 	}
 }
 
-// TestShutdown checks the steps of a shutdown: a command in flight is completed, commands on open connections are served for
-// a while, and rejected after that.
+// TestShutdown checks that a graceful shutdown completes the commands in flight, goes on serving new commands on open
+// connections for a while, and then rejects new commands.
 func TestShutdown(t *testing.T) {
-	storage := newStorage()
+	storage := newFakeStorage()
 	storage.stalled = make(chan struct{})
-	s, addr := startServer(t, storage, poolNQN)
+	s, addr := startServer(t, storage, initiatorSubsystem)
 	h := connectHost(t, addr, false)
 	inFlight := h.read(1)
 	<-storage.received
-	ended := make(chan error)
-	go func() { ended <- s.Shutdown(context.Background()) }()
+	shutdownErr := make(chan error)
+	go func() { shutdownErr <- s.Shutdown(context.Background()) }()
 	time.Sleep(dispatcher.AcceptGrace + 100*time.Millisecond)
 	during := h.read(3)
 	if request := <-storage.received; request.StartLBA != 3 {
@@ -299,33 +305,33 @@
 		time.Sleep(time.Millisecond)
 	}
 	late := h.read(2)
-	if result, _ := h.next(); result.commandID != late || result.status.code() != statusNamespaceNotReady ||
+	if result, _ := h.nextCompletion(); result.commandID != late || result.status.code() != statusNamespaceNotReady ||
 		result.status&statusDoNotRetry != 0 {
-		t.Errorf("late command: %+v, want it rejected", result)
+		t.Errorf("command after the serving time: %+v, want it rejected", result)
 	}
 	close(storage.stalled)
 	for range 2 {
-		result, _ := h.next()
+		result, _ := h.nextCompletion()
 		if result.commandID != inFlight && result.commandID != during || result.status != statusSuccess {
-			t.Errorf("commands accepted before: %+v", result)
+			t.Errorf("completion of a command accepted earlier: %+v, want success", result)
 		}
 	}
-	if err := <-ended; err != nil {
+	if err := <-shutdownErr; err != nil {
 		t.Error(err)
 	}
 }
 
-// TestIdentify reads the data structures that a host begins with. The offsets are written out as the specification has them, so
-// that a wrong constant is found.
+// TestIdentify checks the data structures that a host reads first. The offsets are literals from the specification, so that
+// the test detects a wrong offset constant.
 func TestIdentify(t *testing.T) {
-	_, addr := startServer(t, newStorage(), poolNQN)
+	_, addr := startServer(t, newFakeStorage(), initiatorSubsystem)
 	h := connectHost(t, addr, true)
 	for cns, check := range map[uint32]func([]byte) bool{
 		cnsNamespace: func(data []byte) bool {
 			return binary.LittleEndian.Uint64(data) == 1<<20 && data[130] == 9
 		},
 		cnsController: func(data []byte) bool {
-			return bytes.HasPrefix(data[768:], []byte(poolNQN)) && data[512] == 0x66
+			return bytes.HasPrefix(data[768:], []byte(initiatorSubsystem)) && data[512] == 0x66
 		},
 		cnsActiveNamespaces: func(data []byte) bool {
 			return binary.LittleEndian.Uint32(data) == 1 && data[4] == 0
--- a/internal/nvme/status.go
+++ b/internal/nvme/status.go
@@ -19,11 +19,11 @@
 const (
 	codeMask           status = 0x7FF   // status code type and status code
 	retryDelayShift           = 11      // CRD
-	statusDoNotRetry   status = 1 << 14 // DNR: the same command would fail again, or must not run twice
+	statusDoNotRetry   status = 1 << 14 // DNR: the same command would fail again, or must not be executed twice
 	maxRetryDelayIndex        = 3
 )
 
-// Status values that are used here.
+// Status values used by this package.
 const (
 	statusSuccess                   = genericStatus
 	statusInvalidCommandOpcode      = genericStatus | 0x01
@@ -44,18 +44,20 @@
 // code returns the status code type and the status code, without CRD, More and DNR.
 func (s status) code() status { return s & codeMask }
 
-// withRetryDelay returns the status with a Command Retry Delay: 0 is none, i is the controller's CRDTi.
+// withRetryDelay returns the status with the Command Retry Delay field set: 0 means no delay, and i the delay time CRDTi of
+// the controller.
 func (s status) withRetryDelay(index int) status {
 	return s | status(index&maxRetryDelayIndex)<<retryDelayShift
 }
 
 const retryDelayUnit = 100 * time.Millisecond
 
-// retryDelays are CRDT1 to CRDT3 of Identify Controller, in units of 100 ms: how long a host that has enabled Advanced Command
-// Retry (ACRE) waits before its retry.
+// retryDelays holds CRDT1 to CRDT3 of Identify Controller in units of 100 ms. A host that has enabled Advanced Command Retry
+// (ACRE) waits for the delay that the status selects before it retries a command.
 var retryDelays = [maxRetryDelayIndex]uint16{1, 3, 10}
 
-// retryDelayIndex returns the index of the first retry delay that covers the wait, else of the longest; 0: no wait.
+// retryDelayIndex returns the CRDT index of the shortest retry delay that is at least as long as the wait, or of the longest
+// delay if none is. It returns 0 if there is no wait.
 func retryDelayIndex(wait time.Duration) int {
 	if wait <= 0 {
 		return 0
@@ -68,16 +70,17 @@
 	return len(retryDelays)
 }
 
-// completionStatus returns the status for a command's final response:
+// completionStatus returns the status with which a command is completed after the dispatcher's final response:
 //
-//	response                         status                     DNR    promise to the host
+//	response                         status                     DNR    guarantee to the host
 //	Served                           Successful Completion      -      executed
-//	Rejected                         Namespace Not Ready        clear  a repeat is harmless, with CRD if it has ACRE
-//	Failed, the last attempt ended   Transient Transport Error  set    none: may have been executed
-//	by its deadline or a reset
+//	Rejected                         Namespace Not Ready        clear  a retry is harmless; CRD is set if the host uses ACRE
+//	Failed, and the last attempt     Transient Transport Error  set    none: may have been executed
+//	timed out or its connection
+//	was reset
 //	any other                        Internal Error             set    none: may have been executed
 //
-// DNR keeps a host from sending a command again by itself: a write would run twice.
+// DNR prevents a host from retrying a command on its own, which could execute a write twice.
 func completionStatus(response dispatcher.Response, advancedRetry bool) status {
 	switch response.Status {
 	case dispatcher.Served:
@@ -94,9 +97,9 @@
 	return statusInternalError | statusDoNotRetry
 }
 
-// attemptStatus returns the scheduler's status for a target's completion. Namespace Not Ready without DNR is this program's
-// convention for "not executed", on both sides; the specification does not give it that meaning. Any other error status
-// promises nothing.
+// attemptStatus converts the status of a target's completion to the scheduler's. Namespace Not Ready without DNR means "not
+// executed" by a convention of this program, on both sides; the specification does not give it that meaning. With any other
+// error status the command may have been executed.
 func attemptStatus(s status) scheduler.AttemptStatus {
 	switch {
 	case s == statusSuccess:
--- a/internal/nvme/targetassociation.go
+++ b/internal/nvme/targetassociation.go
@@ -8,45 +8,47 @@
 )
 
 const (
-	// unusedTimeout is how long an association without I/O queues is kept. Its target may have left the endpoint list.
+	// unusedTimeout is how long an association without I/O queues is kept. Its target may no longer be on the endpoint list.
 	unusedTimeout     = 30 * time.Second
 	readyPollInterval = 5 * time.Millisecond
-	// maxOutstandingAborts bounds the Aborts since the last Keep Alive: one without a completion takes an entry of the admin queue.
+	// maxOutstandingAborts limits the Aborts since the last Keep Alive, because each Abort occupies an entry of the admin
+	// queue until it is completed.
 	maxOutstandingAborts = 3
 	abortWriteTimeout    = 10 * time.Millisecond
 )
 
-// targetAssociation is the host side of the association with one target's controller. It is established when first needed, and
-// again after it has ended.
+// targetAssociation is the host side of the association with one target's controller. It is established when it is first
+// needed, and re-established when it is needed after it has ended.
 type targetAssociation struct {
 	host *Host
 	addr string
 
-	// adminLock is held while the admin queue is used or established. It is a channel so that waiting for it can be given
-	// up: a stalled target must not hold up attempts beyond their deadlines.
+	// adminLock is held while the admin queue is used or established. It is a channel of capacity 1 rather than a mutex, so
+	// that waiting for it can be given up: a stalled target must not delay attempts beyond their deadlines.
 	adminLock chan struct{}
 
 	mu                sync.Mutex
 	admin             *hostConn // nil: not established
 	controllerID      uint16
-	maxInCapsuleData  int // bytes of a write that a capsule may hold
-	queuesInUse       map[uint16]bool
+	maxInCapsuleData  int // maximum length of the data that a command capsule to the controller may carry
+	queueIDsInUse     map[uint16]bool
 	lastUsed          time.Time
-	outstandingAborts int // Aborts since the last Keep Alive; nobody waits for their completions
+	outstandingAborts int // Aborts since the last Keep Alive; nothing waits for their completions
 }
 
 // queueSlot is a reserved queue ID in an established association.
 type queueSlot struct {
-	admin            *hostConn // identifies the association's establishment
+	admin            *hostConn // admin queue under which the ID was reserved; another one after re-establishment
 	controllerID     uint16
 	queueID          uint16
 	maxInCapsuleData int
 }
 
-// reserveQueue establishes the association if need be, and reserves a queue ID in it. It waits no longer than ctx.
-func (a *targetAssociation) reserveQueue(ctx context.Context) (queueSlot, error) {
+// reserveQueueID reserves a queue ID in the association, and establishes the association first if necessary. It waits no
+// longer than ctx allows.
+func (a *targetAssociation) reserveQueueID(ctx context.Context) (queueSlot, error) {
 	for {
-		slot, established, err := a.tryReserveQueue()
+		slot, established, err := a.tryReserveQueueID()
 		if established {
 			return slot, err
 		}
@@ -63,18 +65,18 @@
 	}
 }
 
-// tryReserveQueue reserves the lowest free queue ID. It returns established false if there is no admin queue.
-func (a *targetAssociation) tryReserveQueue() (slot queueSlot, established bool, err error) {
+// tryReserveQueueID reserves the lowest unused queue ID. established is false if there is no admin queue.
+func (a *targetAssociation) tryReserveQueueID() (slot queueSlot, established bool, err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.admin == nil {
 		return queueSlot{}, false, nil
 	}
 	for id := uint16(1); id <= maxIOQueues; id++ {
-		if a.queuesInUse[id] {
+		if a.queueIDsInUse[id] {
 			continue
 		}
-		a.queuesInUse[id] = true
+		a.queueIDsInUse[id] = true
 		a.lastUsed = time.Now()
 		slot := queueSlot{admin: a.admin, controllerID: a.controllerID, queueID: id, maxInCapsuleData: a.maxInCapsuleData}
 		return slot, true, nil
@@ -82,13 +84,13 @@
 	return queueSlot{}, true, errNoFreeQueue
 }
 
-func (a *targetAssociation) freeQueue(id uint16) {
+func (a *targetAssociation) releaseQueueID(id uint16) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	delete(a.queuesInUse, id)
+	delete(a.queueIDsInUse, id)
 }
 
-// drop ends the establishment that an admin queue stands for, unless there is a newer one.
+// drop closes an admin queue. If it is the association's current one, the association is no longer established.
 func (a *targetAssociation) drop(admin *hostConn) {
 	a.mu.Lock()
 	if a.admin == admin {
@@ -104,8 +106,8 @@
 	return a.admin != nil
 }
 
-// establish connects the admin queue, enables the controller and reads its limits, unless another goroutine has. The caller
-// holds adminLock.
+// establish connects the admin queue, enables the controller and reads its limits, unless another goroutine has already done
+// so. The caller must hold adminLock.
 func (a *targetAssociation) establish(ctx context.Context) error {
 	if a.isEstablished() {
 		return nil
@@ -131,7 +133,7 @@
 	return nil
 }
 
-// enable connects an admin queue, enables its controller and waits until it is ready.
+// enable connects an admin queue, enables its controller, waits until the controller is ready and reads its limits.
 func (h *Host) enable(ctx context.Context, admin *hostConn) (controllerID uint16, maxInCapsuleData int, err error) {
 	if controllerID, err = admin.connect(h.options, 0, anyControllerID); err != nil {
 		return 0, 0, err
@@ -164,8 +166,8 @@
 	}
 }
 
-// keepAliveLoop sends Keep Alive at half of its timeout, until one fails or the association is unused; it drops the
-// association then.
+// keepAliveLoop sends a Keep Alive every half keep-alive timeout. It drops the association when a Keep Alive fails or the
+// association is no longer used.
 func (a *targetAssociation) keepAliveLoop(admin *hostConn) {
 	interval := a.host.options.KeepAliveTimeout / 2
 	for {
@@ -177,11 +179,11 @@
 	}
 }
 
-// isNeeded reports whether an admin queue is the present one, and was used recently.
+// isNeeded reports whether admin is the association's current admin queue, and I/O queues are open or were opened recently.
 func (a *targetAssociation) isNeeded(admin *hostConn) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	isUsed := len(a.queuesInUse) > 0 || time.Since(a.lastUsed) <= unusedTimeout
+	isUsed := len(a.queueIDsInUse) > 0 || time.Since(a.lastUsed) <= unusedTimeout
 	return a.admin == admin && isUsed
 }
 
@@ -192,15 +194,15 @@
 	_, _, err := admin.execute(newCommand(opKeepAlive, admin.nextCommandID(), 0, false), nil)
 	admin.setDeadline(time.Time{})
 	a.mu.Lock()
-	// Most completions of the Aborts were read before that of the Keep Alive. A controller may complete commands in any
-	// order, though: those that are late are read by the next Keep Alive, and the limit leaves entries for them.
+	// The completions of most Aborts have been read before that of the Keep Alive. Since a controller may complete commands
+	// in any order, the others are read by the next Keep Alive; maxOutstandingAborts is low enough to leave entries for them.
 	a.outstandingAborts = 0
 	a.mu.Unlock()
 	return err
 }
 
-// abort sends an Abort for a command whose connection is being closed. It spares the target work; nothing depends on it.
-// So it does not wait: neither for the admin queue nor for its completion, which a later Keep Alive skips.
+// abort sends an Abort for a command whose connection is being closed. This only saves the target work and is not required
+// for correctness, so abort waits neither for the admin queue, nor for the completion, which a later Keep Alive skips.
 func (a *targetAssociation) abort(queueID, commandID uint16) {
 	select {
 	case a.adminLock <- struct{}{}:
@@ -215,13 +217,14 @@
 	entry := newCommand(opAbort, admin.nextCommandID(), 0, false)
 	entry.putU16(sqeAbortQueueID, queueID)
 	entry.putU16(sqeAbortCommandID, commandID)
-	// Errors are left to the next Keep Alive.
+	// Errors are ignored: the next Keep Alive detects a failed connection.
 	_ = admin.SetWriteDeadline(time.Now().Add(abortWriteTimeout))
 	_ = admin.sendCommand(entry, nil)
 	_ = admin.SetWriteDeadline(time.Time{})
 }
 
-// countAbort counts an Abort and returns the admin queue to send it on, nil if there is none or too many are unread.
+// countAbort counts an Abort and returns the admin queue to send it on. It returns nil if there is no admin queue or too many
+// Aborts are outstanding.
 func (a *targetAssociation) countAbort() *hostConn {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/nvme/targetqueue.go
+++ b/internal/nvme/targetqueue.go
@@ -14,31 +14,31 @@
 	"dapplegate/scheduler"
 )
 
-// targetQueue is the host side of an I/O queue at a target. It carries one command at a time.
+// targetQueue is the host side of an I/O queue of a target. It carries one command at a time.
 type targetQueue struct {
 	*hostConn
 	association      *targetAssociation
 	id               uint16
 	maxInCapsuleData int
-	freeOnce         sync.Once
+	releaseOnce      sync.Once
 }
 
-// Close implements upstream.Conn. It ends the queue and frees its ID.
+// Close implements upstream.Conn. It closes the connection and releases the queue ID.
 func (q *targetQueue) Close() error {
 	err := q.hostConn.Close()
-	q.freeOnce.Do(func() { q.association.freeQueue(q.id) })
+	q.releaseOnce.Do(func() { q.association.releaseQueueID(q.id) })
 	return err
 }
 
 // IsIdle implements upstream.Conn.
-func (q *targetQueue) IsIdle() bool { return q.in.Buffered() == 0 && socket.IsOpenAndIdle(q.Conn) }
+func (q *targetQueue) IsIdle() bool { return q.reader.Buffered() == 0 && socket.IsOpenAndIdle(q.Conn) }
 
-// RoundTrip implements upstream.Conn for one read or write, an *IORequest. A write's data is in the capsule where it fits,
-// else it is sent when the controller asks for it.
+// RoundTrip implements upstream.Conn for a read or write, whose payload is an *IORequest. The data of a write is sent in the
+// capsule if it fits, and otherwise when the controller requests it with an R2T.
 //
-// An error before the last byte of the capsule and of a write's data was sent is ConnectFailed, which permits another attempt,
-// also if half of the data was sent. That relies on targets that execute a write only once they have all of its data, as the
-// controller side of this package does. The specification alone does not promise it.
+// The status is ConnectFailed, which permits another attempt, if an error occurs before the last byte of the capsule and of a
+// write's data is sent, even if a part of the data has been sent. This relies on targets that execute a write only after they
+// have received all of its data, as the controller side of this package does. The specification does not guarantee it.
 func (q *targetQueue) RoundTrip(attempt dispatcher.Attempt, mayStart func() bool) upstream.RoundTripResult {
 	e := newExchange(q, attempt.Payload.(*IORequest))
 	capsule := e.capsule()
@@ -54,7 +54,7 @@
 		if errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, net.ErrClosed) {
 			q.association.abort(q.id, e.entry.id())
 		}
-		return upstream.NoResponse(e.failure(err), upstream.ReadErrorReason(err))
+		return upstream.NoResponse(e.failureStatus(err), upstream.ReadErrorReason(err))
 	}
 	var result upstream.RoundTripResult
 	result.Status = attemptStatus(finalStatus)
@@ -65,14 +65,14 @@
 	return result
 }
 
-// exchange is one command on an I/O queue, from its capsule to its completion.
+// exchange is the execution of one command on an I/O queue, from its capsule to its completion.
 type exchange struct {
-	queue     *targetQueue
-	entry     *command
-	request   *IORequest
-	inCapsule bool   // the data to write is in the capsule
-	sent      bool   // all data to write is sent
-	data      []byte // that was read
+	queue       *targetQueue
+	entry       *command
+	request     *IORequest
+	inCapsule   bool   // the data to write is sent in the capsule
+	allDataSent bool   // no data to write is left to send after the capsule
+	data        []byte // data read so far
 }
 
 func newExchange(q *targetQueue, request *IORequest) *exchange {
@@ -85,7 +85,7 @@
 	entry.putU32(sqeNamespaceID, request.NamespaceID)
 	entry.putU64(sqeStartLBA, request.StartLBA)
 	entry.putU16(sqeBlocks, uint16(request.Blocks-1))
-	return &exchange{queue: q, entry: entry, request: request, inCapsule: inCapsule, sent: !request.Write || inCapsule}
+	return &exchange{queue: q, entry: entry, request: request, inCapsule: inCapsule, allDataSent: !request.Write || inCapsule}
 }
 
 // capsule returns the command capsule.
@@ -97,11 +97,11 @@
 	return appendPDU(nil, e.queue.framing, pduCapsuleCmd, 0, e.entry[:], inCapsule)
 }
 
-// failure returns the attempt's status after an error. Once all data is sent, the target may have executed the command; before
-// that it has not, see RoundTrip.
-func (e *exchange) failure(err error) scheduler.AttemptStatus {
+// failureStatus returns the attempt's status after an error. The target may have executed the command only if all data to
+// write has been sent: see RoundTrip.
+func (e *exchange) failureStatus(err error) scheduler.AttemptStatus {
 	switch {
-	case !e.sent:
+	case !e.allDataSent:
 		return scheduler.ConnectFailed
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return scheduler.DeadlineExceeded
@@ -109,8 +109,8 @@
 	return scheduler.ConnectionReset
 }
 
-// run handles the controller's PDUs until the completion, or the last C2HData if its SUCCESS flag stands for one. It returns
-// the status and the data that was read. For the loop of admin commands see hostConn.execute.
+// run handles the controller's PDUs until the completion, or until the last C2HData if its SUCCESS flag replaces the
+// completion. It returns the status and the data read. hostConn.execute is the equivalent for admin and Fabrics commands.
 func (e *exchange) run() (status, []byte, error) {
 	for {
 		p, err := e.queue.receive()
@@ -132,7 +132,7 @@
 		case pduCapsuleResp:
 			result := parseCompletion(p)
 			if result.commandID != e.entry.id() {
-				return 0, nil, &controllerError{cause: "completion of another command"}
+				return 0, nil, &controllerError{cause: "completion of a different command"}
 			}
 			return e.finish(result.status)
 		case pduC2HTermReq:
@@ -143,13 +143,13 @@
 	}
 }
 
-// sendData sends the part of the data that an R2T asks for.
+// sendData sends the part of a write's data that an R2T requests.
 func (e *exchange) sendData(r2t *pdu) error {
 	header := parseTransfer(r2t)
-	if e.sent || header.commandID != e.entry.id() {
-		return &controllerError{cause: "R2T for no write that waits"}
+	if e.allDataSent || header.commandID != e.entry.id() {
+		return &controllerError{cause: "R2T for a command without data to send"}
 	}
-	// In 64 bits: the controller's offset and length may add up to more than 32.
+	// 64-bit arithmetic, because the sum of the controller's offset and length may overflow 32 bits.
 	offset, end := int64(header.offset), int64(header.offset)+int64(header.length)
 	total := int64(len(e.request.Data))
 	if header.length == 0 || end > total {
@@ -161,25 +161,25 @@
 			return err
 		}
 	}
-	e.sent = end == total
+	e.allDataSent = end == total
 	return nil
 }
 
-// receiveData adds a part of the data read. The parts must come in order.
+// receiveData appends a part of a read's data. The parts must arrive in order.
 func (e *exchange) receiveData(p *pdu) error {
 	header := parseTransfer(p)
 	isExpected := !e.request.Write && header.commandID == e.entry.id() && int64(header.offset) == int64(len(e.data))
 	if !isExpected || len(e.data)+len(p.data) > e.request.DataLen || p.dataDigestError {
-		return &controllerError{cause: "data for no read, out of order or damaged"}
+		return &controllerError{cause: "read data unexpected, out of order, too long or with a digest error"}
 	}
 	e.data = append(e.data, p.data...)
 	return nil
 }
 
-// finish returns the result of a completed command. A read that succeeded without all of its data is an error.
+// finish returns the result of a completed command. It returns an error if a read succeeded without all of its data.
 func (e *exchange) finish(s status) (status, []byte, error) {
 	if s == statusSuccess && !e.request.Write && len(e.data) != e.request.DataLen {
-		return 0, nil, &controllerError{cause: "data of a successful read is incomplete"}
+		return 0, nil, &controllerError{cause: "incomplete data for a successful read"}
 	}
 	return s, e.data, nil
 }
