--- a/internal/nvme/controllerqueue.go
+++ b/internal/nvme/controllerqueue.go
@@ -116,7 +116,7 @@
 // close closes the connection, cancels its pending commands, since their host no longer waits for them, and removes the queue
 // from the association. Removing the admin queue ends the association.
 func (q *controllerQueue) close() {
-	_ = q.conn.Close() // an error is of no consequence, since nothing is written any more
+	_ = q.conn.Close() // the error does not matter, since nothing is written after this
 	q.mu.Lock()
 	abandoned := q.commands
 	q.commands = nil
--- a/internal/nvme/helpers_test.go
+++ b/internal/nvme/helpers_test.go
@@ -149,7 +149,7 @@
 
 func startInitiator(t *testing.T, digests bool, objective time.Duration, targets ...string) *initiator {
 	t.Helper()
-	decisions, err := scheduler.New(schedulerSettings(objective), 1)
+	sched, err := scheduler.New(schedulerSettings(objective), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -160,7 +160,7 @@
 	in.registry = upstream.NewRegistry(upstream.Options{Dialer: host, DialTimeout: testTimeout, IdleTimeout: time.Minute,
 		MaxConnsPerTarget: 16, MaxConns: 64, Logger: discardLog},
 		func(r dispatcher.AttemptResult) { in.dispatcher.ReportResult(r) })
-	in.dispatcher = dispatcher.New(decisions, in.registry, dispatcher.NewClock(), dispatcher.Options{})
+	in.dispatcher = dispatcher.New(sched, in.registry, dispatcher.NewClock(), dispatcher.Options{})
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go in.dispatcher.Run(ctx)
--- a/internal/nvme/host_test.go
+++ b/internal/nvme/host_test.go
@@ -39,7 +39,7 @@
 
 // TestTargetRestart restarts a target at the same address. The new target does not know the earlier association and rejects
 // its queues. The first rejection must end the association on the host side: otherwise no command would reach the target
-// until the next Keep Alive, which is sent every half minute here.
+// until a Keep Alive fails, which is sent only every 30 s in this test.
 func TestTargetRestart(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/nvme/iocommand.go
+++ b/internal/nvme/iocommand.go
@@ -71,9 +71,9 @@
 	return statusSuccess
 }
 
-// reserveBytes counts a command's data against MaxBufferedBytes. It returns false if the command must be rejected because the
-// limit is reached or the server is shutting down. Connections check and add without a common lock, so the sum may exceed the
-// limit by one command per connection.
+// reserveBytes counts a command's data against MaxBufferedBytes. It returns false if the command must be rejected, because it
+// would exceed the limit or the server is shutting down. Connections check and add without a common lock, so the sum may
+// exceed the limit by one command per connection.
 func (q *controllerQueue) reserveBytes(p *pendingCommand, request *IORequest) bool {
 	dataLen := int64(request.DataLen)
 	if q.server.rejecting.Load() || q.server.bufferedBytes.Load()+dataLen > q.server.options.MaxBufferedBytes {
@@ -91,8 +91,8 @@
 	q.complete(p, completionStatus(dispatcher.Overloaded, advancedRetry), 0, nil)
 }
 
-// submit hands a command to the dispatcher, which responds to it exactly once unless it is cancelled. If the dispatcher does
-// not take the command, submit rejects it.
+// submit hands a command to the dispatcher, which responds to it exactly once unless it is cancelled before. If the dispatcher
+// does not take the command, submit rejects it.
 func (q *controllerQueue) submit(p *pendingCommand) {
 	advancedRetry := q.association.hasAdvancedRetry()
 	call := q.newCall(p, advancedRetry)
--- a/internal/nvme/targetassociation.go
+++ b/internal/nvme/targetassociation.go
@@ -8,7 +8,8 @@
 )
 
 const (
-	// unusedTimeout is how long an association without I/O queues is kept. Its target may no longer be on the endpoint list.
+	// unusedTimeout is how long an association without I/O queues is kept after its last use. It is not kept for longer,
+	// because its target may no longer be on the endpoint list.
 	unusedTimeout     = 30 * time.Second
 	readyPollInterval = 5 * time.Millisecond
 	// maxOutstandingAborts limits the Aborts since the last Keep Alive, because each Abort occupies an entry of the admin
@@ -32,13 +33,13 @@
 	controllerID      uint16
 	maxInCapsuleData  int // maximum length of the data that a command capsule to the controller may carry
 	queueIDsInUse     map[uint16]bool
-	lastUsed          time.Time
-	outstandingAborts int // Aborts since the last Keep Alive; nothing waits for their completions
+	lastUsed          time.Time // when a queue ID was last reserved, or the association established
+	outstandingAborts int       // Aborts since the last Keep Alive; nothing waits for their completions
 }
 
 // queueSlot is a reserved queue ID in an established association.
 type queueSlot struct {
-	admin            *hostConn // admin queue under which the ID was reserved; another one after re-establishment
+	admin            *hostConn // the association's admin queue when the ID was reserved
 	controllerID     uint16
 	queueID          uint16
 	maxInCapsuleData int
@@ -166,8 +167,8 @@
 	}
 }
 
-// keepAliveLoop sends a Keep Alive every half keep-alive timeout. It drops the association when a Keep Alive fails or the
-// association is no longer used.
+// keepAliveLoop sends a Keep Alive at intervals of half the keep-alive timeout. When a Keep Alive fails or the association is
+// no longer used, it drops the association.
 func (a *targetAssociation) keepAliveLoop(admin *hostConn) {
 	interval := a.host.options.KeepAliveTimeout / 2
 	for {
