--- a/internal/config/agent.go
+++ b/internal/config/agent.go
@@ -15,7 +15,7 @@
 	Peers []Peer `toml:"peer"`
 }
 
-// Peer is a server of the configuration store, as each server's configuration lists it.
+// Peer is one of the servers of the configuration store, with its addresses.
 type Peer struct {
 	// ID identifies the server; it is unique among the peers.
 	ID string `toml:"id"`
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,6 @@
 // Package config reads the configuration of an initiator from the environment, the platform's JSON and the operator's file.
-// A configuration is read at startup, on SIGHUP, and for each version in the configuration store. One that cannot be served
-// is rejected with an error that names the field.
+// A configuration is read at startup, on SIGHUP, and for each version in the configuration store. If a field is missing or
+// invalid, the configuration is rejected with an error that names the field.
 package config
 
 import (
@@ -27,7 +27,7 @@
 )
 
 const (
-	// openCallsLimit bounds MaxOpenCalls if the settings allow more, because each open call may hold a request body.
+	// openCallsLimit bounds MaxOpenCalls even if the settings allow more, because each open call may hold a request body.
 	openCallsLimit         = 4000
 	dialTimeoutLimit       = 250 * time.Millisecond
 	defaultConnIdleTimeout = 30 * time.Second
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -25,7 +25,8 @@
  "contracts":[{"name":"standard","usualRate":13,"reservation":13,"parts":3,"pays":0.9}],
  "limits":{"sendCap":3,"mostHeld":20000,"connIdleUs":30000000,"dialTimeoutUs":250000}}}`
 
-// TestParse parses a valid configuration. The environment overrides a field, and MaxOpenCalls is lowered to openCallsLimit.
+// TestParse parses a valid configuration. The environment must override a field, and MaxOpenCalls must be lowered to
+// openCallsLimit. The bounds on connections must not need more descriptors than the configuration allows.
 func TestParse(t *testing.T) {
 	c, err := Parse([]byte(validConfig), func(name string) string {
 		return map[string]string{"PROXY_LISTEN": "127.0.0.2:8081"}[name]
@@ -37,8 +38,7 @@
 		c.MaxOpenCalls != openCallsLimit || len(c.Scheduler.Classes) != 3 || *c.KnownEndpoints.Version != 41 {
 		t.Errorf("parsed as %+v", c)
 	}
-	// All connections and the reserved descriptors together must stay within the limit. The reserved ones include those of
-	// connections that are accepted only to reject one request.
+	// The reserved descriptors include those of connections that are accepted only to reject one request.
 	if total := c.MaxClientConns() + c.MaxTargetConns() + reservedDescriptors; total > c.Limits.Sockets {
 		t.Errorf("%d descriptors in total, limit %d", total, c.Limits.Sockets)
 	}
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -29,8 +29,8 @@
 // MissingField returns the error for a required field that is absent.
 func MissingField(field string) *FieldError { return &FieldError{Field: field, Err: ErrMissing} }
 
-// PrefixField adds the field that holds an object to an error about the object. If err is a FieldError, parent is prepended
-// to its path; any other error becomes a FieldError about parent itself.
+// PrefixField converts an error about the value of the field parent. If err is a FieldError about a field within that value,
+// parent is prepended to its path; any other error becomes a FieldError about parent itself.
 func PrefixField(parent string, err error) *FieldError {
 	var fieldErr *FieldError
 	if errors.As(err, &fieldErr) {
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -19,19 +19,19 @@
 	minSockets       = 64
 )
 
-// How the resources are divided. Four tenths of the descriptors are for connections to targets, reservedDescriptors are for
-// the process itself, and client connections get the rest.
+// Division of the resources. Four tenths of the descriptors are for connections to targets, reservedDescriptors are for the
+// process itself, and client connections get the rest.
 const (
 	bytesPerMiB = 1 << 20
 
 	// reservedDescriptors are for discovery, the listeners, logs and the runtime, and for the connections above
-	// MaxClientConns that clienthttp accepts only to reject one request on each (its maxOverLimit, 24).
+	// MaxClientConns that clienthttp accepts only to reject one request on each (its maxConnsOverLimit, 24).
 	reservedDescriptors = 56
 
 	// clientConnBytes is the approximate memory use of a client connection: buffers, goroutine stack and one request.
 	clientConnBytes = 24 << 10
 
-	// minClientConns is the lower bound of MaxClientConns, for limits that leave room for fewer connections or for none.
+	// minClientConns is the lower bound of MaxClientConns, even if the limits leave room for fewer connections or for none.
 	minClientConns = 8
 
 	// maxConnsPerTarget exceeds the number of attempts, overdue ones included, that the scheduler ever has in flight to one
--- a/internal/config/nvme.go
+++ b/internal/config/nvme.go
@@ -45,13 +45,13 @@
 	BlockBytes int `toml:"block_bytes"`
 	// Blocks is the size in logical blocks, 1 to 2^48.
 	Blocks uint64 `toml:"blocks"`
-	// StripeBlocks is the size of an extent in blocks, at least 1. Extents are distributed round-robin over the shards.
+	// StripeBlocks is the size of an extent in blocks, at least 1. Extents are assigned to the shards round-robin.
 	StripeBlocks uint64 `toml:"stripe_blocks"`
 	// Shards are the shards that hold the extents; at least one.
 	Shards []int `toml:"shards"`
-	// UnitBlocks is the number of blocks that count as one unit of work, at least 1.
+	// UnitBlocks is the number of blocks that count as one unit, at least 1.
 	UnitBlocks uint32 `toml:"unit_blocks"`
-	// Read is the class of reads; Write is the class of writes.
+	// Read is the class of reads, and Write the class of writes.
 	Read  string `toml:"read"`
 	Write string `toml:"write"`
 	// Bulk is the class of bulk reads, which have BulkBlocks blocks or more; empty: bulk reads have the class Read.
@@ -97,7 +97,8 @@
 	}
 }
 
-// validate checks the section. The listen address, the classes and the plans must fit those in the platform's configuration.
+// validate checks the section. The listen address must differ from the one in the platform's configuration, and the classes
+// and plans must exist in its settings.
 func (n *NVMe) validate(platform *Config) *FieldError {
 	if err := checkHostPort(n.Listen); err != nil {
 		return &FieldError{Field: "listen", Err: err}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -73,7 +73,7 @@
 	ResendSpanUs       int64    `json:"resendSpanUs"`
 }
 
-// registryModeOnRequest is the value of registryMode with which the initiator must request the endpoint list from discovery.
+// registryModeOnRequest is the value of registryMode if the initiator must request the endpoint list from discovery.
 const registryModeOnRequest = "on_request"
 
 // Microseconds converts a number of microseconds to a duration.
--- a/internal/configstore/client.go
+++ b/internal/configstore/client.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	// callTimeout bounds Get, List and Put, including all their attempts. It is shorter than attemptTimeout, so a server
-	// that accepts the request and does not respond uses up all of it.
+	// callTimeout bounds Get, List and Put, including all their attempts. It is shorter than attemptTimeout, so if a server
+	// accepts the request and does not respond, no time is left to try another.
 	callTimeout = 8 * time.Second
 	// watchTimeout is how long a watch waits for a change.
 	watchTimeout = 30 * time.Second
 	// attemptTimeout bounds one HTTP request including its redirects. Only a watch can take this long.
 	attemptTimeout = callTimeout + watchTimeout
 	statusTimeout  = 2 * time.Second
-	// retryInterval is the pause after all servers have failed, and in Watch after one has.
+	// retryInterval is the pause after all servers have failed, and in Watch after one server has failed or lags behind.
 	retryInterval = 250 * time.Millisecond
 
 	instancesPath = "/v1/instances"
@@ -59,12 +59,13 @@
 	body   []byte
 }
 
-// Get returns the latest configuration of an initiator, or ErrNotFound.
+// Get returns the configuration of an initiator as the leader has it, or ErrNotFound. The package comment says which writes
+// it may miss.
 func (c *Client) Get(ctx context.Context, name string) (Entry, error) {
 	return call[Entry](ctx, c, request{method: http.MethodGet, path: instancePath(name)})
 }
 
-// List returns the version of each configuration by the name of its initiator.
+// List returns the version of each configuration by the name of its initiator, as the leader has it.
 func (c *Client) List(ctx context.Context) (map[string]uint64, error) {
 	return call[map[string]uint64](ctx, c, request{method: http.MethodGet, path: instancesPath})
 }
--- a/internal/configstore/handlers.go
+++ b/internal/configstore/handlers.go
@@ -23,7 +23,8 @@
 	maxWatchTimeout = time.Minute
 )
 
-// routes returns the HTTP API. The leader handles reads and writes; any server handles reads with the parameter "stale".
+// routes returns the HTTP API. Only the leader handles reads and writes, except that any server handles reads with the
+// parameter "stale". Each server reports its own status.
 func (s *Server) routes() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/status", s.handleStatus)
@@ -168,8 +169,8 @@
 
 // redirectToLeader redirects the client to the leader, or responds with 503 if no leader is known. If this server is the
 // leader, it returns false without a response. In this case a majority has just confirmed the leadership, so no other server
-// can have confirmed a write that is not in this server's log. redirectToLeader does not wait until the log is
-// applied; see the package comment.
+// can have confirmed a write that is not in this server's log. redirectToLeader does not wait until the log is applied; see
+// the package comment.
 func (s *Server) redirectToLeader(w http.ResponseWriter, r *http.Request) bool {
 	if s.raft.isLeader() {
 		return false
--- a/internal/configstore/raft.go
+++ b/internal/configstore/raft.go
@@ -86,8 +86,8 @@
 	return config
 }
 
-// bootstrap writes the peers as the initial membership of the group, unless this server already has Raft state: a
-// second bootstrap, which the Raft library rejects, would lose what the group has confirmed since the first.
+// bootstrap writes the peers as the initial membership of the group, unless this server already has Raft state: a second
+// bootstrap, which the Raft library rejects, would lose what the group has confirmed since the first.
 func (n *raftNode) bootstrap(config *raft.Config, snapshots raft.SnapshotStore, peers []Peer) error {
 	exists, err := raft.HasExistingState(n.log, n.log, snapshots)
 	if err != nil || exists {
--- a/internal/configstore/server.go
+++ b/internal/configstore/server.go
@@ -18,7 +18,7 @@
 	shutdownTimeout = time.Second
 )
 
-// Peer is one of the servers of the group, with its addresses.
+// Peer is one of the servers of the configuration store, with its addresses.
 type Peer struct {
 	ID   string // unique among the peers
 	Raft string // host:port of the Raft transport
@@ -51,7 +51,7 @@
 
 // Start opens the durable data and starts this server's node of the Raft group. A server without data bootstraps the group
 // from Options.Peers; a server with data continues from its log. An error that is caused by a field of the operator's file
-// starts with the path of that field.
+// names that field first.
 func Start(opts Options) (*Server, error) {
 	self, err := opts.self()
 	if err != nil {
--- a/internal/configstore/server_test.go
+++ b/internal/configstore/server_test.go
@@ -252,7 +252,8 @@
 func (*memorySink) Cancel() error { return nil }
 func (*memorySink) Close() error  { return nil }
 
-// TestSnapshot persists the entries of one store and restores them into another.
+// TestSnapshot persists the entries of one store and restores them into another. The version and the configuration of an
+// entry must survive, because a restarted server reads them from its snapshot.
 func TestSnapshot(t *testing.T) {
 	original := newStore()
 	original.Apply(&raft.Log{Index: 4, Data: []byte(`{"name":"n1","config":{"a":1}}`)})
--- a/internal/nvme/controllerassociation.go
+++ b/internal/nvme/controllerassociation.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// maxControllerID is the highest controller ID that is assigned; the values above it are reserved.
+// maxControllerID is the highest controller ID that is assigned. The specification reserves only some of the values above it,
+// such as anyControllerID.
 const maxControllerID = 0xFF00
 
 // controllerAssociation is the controller side of an association between a host and a controller. It has an admin queue and
@@ -48,7 +49,7 @@
 	return a
 }
 
-// nextControllerID returns the next unused controller ID, or 0 if all are in use. The caller must hold mu.
+// nextControllerID returns the next unused controller ID, or 0 if all are in use. The caller must hold s.mu.
 func (s *Server) nextControllerID() uint16 {
 	for range maxControllerID {
 		s.lastControllerID = s.lastControllerID%maxControllerID + 1
--- a/internal/nvme/controllerqueue.go
+++ b/internal/nvme/controllerqueue.go
@@ -32,7 +32,7 @@
 	outbox    *mailbox.Mailbox[[]byte] // PDUs to send; a nil entry ends the connection
 	endOnce   sync.Once
 	endReason string        // why the connection ended, for the log
-	done      chan struct{} // closed once the connection is closed and the association left
+	done      chan struct{} // closed once the connection is closed and the queue has left its association
 
 	// connected is set once Connect has completed. The goroutine that accepts connections reads it.
 	connected atomic.Bool
@@ -326,7 +326,7 @@
 	return true
 }
 
-// sendCompletion puts a response capsule into the outbox. The caller holds mu.
+// sendCompletion puts a response capsule into the outbox. The caller must hold mu.
 func (q *controllerQueue) sendCompletion(commandID uint16, s status, result uint64) {
 	q.send(pduCapsuleResp, completion{result: result, sqHead: q.sqHead, queueID: q.id, commandID: commandID, status: s}.header())
 }
--- a/internal/nvme/helpers_test.go
+++ b/internal/nvme/helpers_test.go
@@ -183,7 +183,7 @@
 	}
 }
 
-// setTarget updates one target, in the same order as the daemon: first in the registry, then in the dispatcher.
+// setTarget updates one target, first in the registry and then in the dispatcher, as the initiator program does.
 func (in *initiator) setTarget(id, addr string, state scheduler.TargetState) {
 	in.registry.Apply([]upstream.Endpoint{{ID: id, Addr: addr, State: state}}, false)
 	in.dispatcher.UpdateEndpoints(scheduler.EndpointList{Targets: []scheduler.Target{{ID: id, State: state}}})
--- a/internal/nvme/host.go
+++ b/internal/nvme/host.go
@@ -31,8 +31,8 @@
 var _ upstream.Dialer = (*Host)(nil)
 
 // NewHost returns a host without associations. Dial establishes them when they are first needed.
-func NewHost(opt HostOptions) *Host {
-	return &Host{options: opt, associations: map[string]*targetAssociation{}}
+func NewHost(opts HostOptions) *Host {
+	return &Host{options: opts, associations: map[string]*targetAssociation{}}
 }
 
 // Dial implements upstream.Dialer. It opens an I/O queue at the target, and establishes the association first if necessary.
--- a/internal/nvme/hostconn.go
+++ b/internal/nvme/hostconn.go
@@ -139,26 +139,26 @@
 }
 
 // connect executes Connect for a queue and returns the controller ID.
-func (c *hostConn) connect(opt HostOptions, queueID, controllerID uint16) (uint16, error) {
+func (c *hostConn) connect(opts HostOptions, queueID, controllerID uint16) (uint16, error) {
 	entry := newFabricsCommand(fabricsConnect, c.nextCommandID(), connectDataLen)
 	entry.putU16(sqeConnectQueueID, queueID)
 	if queueID == 0 {
 		entry.putU16(sqeConnectQueueSize, adminQueueSizeField)
-		entry.putU32(sqeConnectKeepAlive, uint32(opt.KeepAliveTimeout.Milliseconds()))
+		entry.putU32(sqeConnectKeepAlive, uint32(opts.KeepAliveTimeout.Milliseconds()))
 	} else {
 		entry.putU16(sqeConnectQueueSize, ioQueueSizeField)
 	}
-	result, _, err := c.execute(entry, connectData(opt, controllerID))
+	result, _, err := c.execute(entry, connectData(opts, controllerID))
 	return uint16(result.result), err
 }
 
 // connectData returns the data of Connect. Each NQN is terminated by at least one zero byte.
-func connectData(opt HostOptions, controllerID uint16) []byte {
+func connectData(opts HostOptions, controllerID uint16) []byte {
 	data := make([]byte, connectDataLen)
-	copy(data[connectHostID:], opt.HostID[:])
+	copy(data[connectHostID:], opts.HostID[:])
 	binary.LittleEndian.PutUint16(data[connectControllerID:], controllerID)
-	copy(data[connectSubsystem:][:nqnFieldLen-1], opt.Subsystem)
-	copy(data[connectHostNQN:][:nqnFieldLen-1], opt.HostNQN)
+	copy(data[connectSubsystem:][:nqnFieldLen-1], opts.Subsystem)
+	copy(data[connectHostNQN:][:nqnFieldLen-1], opts.HostNQN)
 	return data
 }
 
--- a/internal/nvme/iocommand.go
+++ b/internal/nvme/iocommand.go
@@ -104,7 +104,7 @@
 // submitPending submits the call of a command if the command is still pending. It returns false only if the dispatcher does
 // not take the call. It holds mu throughout: otherwise an Abort could complete the command between the check and the
 // submission, when there is no call to cancel yet, and the command would still be executed. Submit neither blocks nor calls
-// Respond, so it can be called with mu held.
+// Respond before it returns, so it can be called with mu held.
 func (q *controllerQueue) submitPending(p *pendingCommand, call *dispatcher.Call) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/nvme/namespace.go
+++ b/internal/nvme/namespace.go
@@ -16,15 +16,15 @@
 	Plan       string // of the volume
 	Initiators int    // number of initiators that carry requests of this volume
 	BlockBytes int    // logical block size, a power of two
-	Blocks     uint64 // size of the namespace
+	Blocks     uint64 // size of the namespace in blocks
 
-	StripeBlocks uint64 // size of an extent; extents are assigned to the shards in round-robin order
+	StripeBlocks uint64 // size of an extent in blocks; extents are assigned to the shards round-robin
 	Shards       []int
-	UnitBlocks   uint32 // blocks that count as one unit
+	UnitBlocks   uint32 // number of blocks that count as one unit
 
 	ReadClass  string
 	WriteClass string
-	BulkClass  string // class of reads of at least BulkBlocks; empty: ReadClass
+	BulkClass  string // class of reads of BulkBlocks blocks or more; empty: ReadClass
 	BulkBlocks uint32
 }
 
--- a/internal/nvme/server.go
+++ b/internal/nvme/server.go
@@ -19,7 +19,7 @@
 	Namespaces []Namespace
 	QueueDepth int // maximum number of entries of an I/O queue
 	MaxConns   int // maximum number of open connections from hosts
-	// MaxBufferedBytes limits the total data length of the commands in progress, in bytes; reads and writes beyond it are
+	// MaxBufferedBytes limits the total data length of the commands in flight, in bytes; reads and writes beyond it are
 	// rejected. A command counts from its arrival until its completion is queued for sending: data that waits in a connection's
 	// outbox no longer counts.
 	MaxBufferedBytes int64
@@ -28,8 +28,9 @@
 	Logger         *slog.Logger
 }
 
-// Dispatcher executes commands, which it receives as calls. Submit returns false if the dispatcher no longer accepts calls.
-// It does not block, and never calls Respond itself. Cancel ends a call whose host no longer waits for the response.
+// Dispatcher executes commands, which it receives as calls. Submit neither blocks nor calls Call.Respond before it returns.
+// It returns false if there is no capacity for the call, and then Respond is never called. Cancel reports that the host no
+// longer waits for the response of a submitted call.
 type Dispatcher interface {
 	Submit(*dispatcher.Call) bool
 	Cancel(*dispatcher.Call)
@@ -76,21 +77,21 @@
 }
 
 // New returns a server that submits its reads and writes to d. The namespaces in the options must be valid.
-func New(d Dispatcher, opt ServerOptions) *Server {
+func New(d Dispatcher, opts ServerOptions) *Server {
 	s := &Server{
-		options:      opt,
+		options:      opts,
 		dispatcher:   d,
 		namespaces:   map[uint32]*Namespace{},
 		associations: map[uint16]*controllerAssociation{},
 		queues:       map[*controllerQueue]bool{},
 	}
 	var maxDeadline time.Duration
-	for _, deadline := range opt.ClassDeadlines {
+	for _, deadline := range opts.ClassDeadlines {
 		maxDeadline = max(maxDeadline, deadline)
 	}
 	s.shutdownSchedule = dispatcher.NewShutdownSchedule(maxDeadline)
-	for i := range opt.Namespaces {
-		s.namespaces[opt.Namespaces[i].ID] = &opt.Namespaces[i]
+	for i := range opts.Namespaces {
+		s.namespaces[opts.Namespaces[i].ID] = &opts.Namespaces[i]
 	}
 	return s
 }
--- a/internal/nvme/server_test.go
+++ b/internal/nvme/server_test.go
@@ -18,8 +18,8 @@
 	"dapplegate/scheduler"
 )
 
-// TestCompletionStatus checks the status for each kind of response. Only hosts that have enabled Advanced Command Retry get a
-// retry delay.
+// TestCompletionStatus checks the status for each kind of response. DNR must be set if the command failed and may have been
+// executed, so that the host does not retry it. Only hosts that have enabled Advanced Command Retry get a retry delay.
 func TestCompletionStatus(t *testing.T) {
 	rejected := func(retryAfter time.Duration) dispatcher.Response {
 		return dispatcher.Response{Status: dispatcher.Rejected, RetryAfter: retryAfter}
--- a/internal/nvme/status.go
+++ b/internal/nvme/status.go
@@ -44,8 +44,8 @@
 // code returns the status code type and the status code, without CRD, More and DNR.
 func (s status) code() status { return s & codeMask }
 
-// withRetryDelay returns the status with the Command Retry Delay field set: 0 means no delay, and i the delay time CRDTi of
-// the controller.
+// withRetryDelay returns the status with the Command Retry Delay (CRD) field set to index: 0 means no delay, and 1 to 3
+// select the delay times CRDT1 to CRDT3 of the controller.
 func (s status) withRetryDelay(index int) status {
 	return s | status(index&maxRetryDelayIndex)<<retryDelayShift
 }
--- a/internal/nvme/targetqueue.go
+++ b/internal/nvme/targetqueue.go
@@ -36,9 +36,10 @@
 // RoundTrip implements upstream.Conn for a read or write, whose payload is an *IORequest. The data of a write is sent in the
 // capsule if it fits, and otherwise when the controller requests it with an R2T.
 //
-// The status is ConnectFailed, which permits another attempt, if an error occurs before the last byte of the capsule and of a
-// write's data is sent, even if a part of the data has been sent. This relies on targets that execute a write only after they
-// have received all of its data, as the controller side of this package does. The specification does not guarantee it.
+// If an error occurs before the whole capsule and all data of a write have been sent, the status is ConnectFailed, which
+// permits another attempt, although the target may have received a part of the data. This relies on targets that execute a
+// write only after they have received all of its data, as the controller side of this package does. The specification does
+// not guarantee it.
 func (q *targetQueue) RoundTrip(attempt dispatcher.Attempt, mayStart func() bool) upstream.RoundTripResult {
 	e := newExchange(q, attempt.Payload.(*IORequest))
 	capsule := e.capsule()
@@ -71,7 +72,7 @@
 	entry       *command
 	request     *IORequest
 	inCapsule   bool   // the data to write is sent in the capsule
-	allDataSent bool   // no data to write is left to send after the capsule
+	allDataSent bool   // no data remains to be sent after the capsule; always true for a read
 	data        []byte // data read so far
 }
 
