--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -68,7 +68,7 @@
 	FallUs             int64    `json:"fallUs"`
 	TipMultiple        float64  `json:"tipMultiple"`
 	SettleAfterDoubtUs int64    `json:"settleAfterDoubtUs"`
-	ResendRatio        *float64 `json:"resendRatio"` // nil: there is no retry budget
+	ResendRatio        *float64 `json:"resendRatio"` // nil: retries are not limited by a budget
 	ExtraFree          float64  `json:"extraFree"`
 	ResendSpanUs       int64    `json:"resendSpanUs"`
 }
--- a/internal/configstore/handlers.go
+++ b/internal/configstore/handlers.go
@@ -60,8 +60,8 @@
 	writeJSON(w, s.store.versions())
 }
 
-// handleGet responds with an entry. With the parameters "after" and "wait_ms" it waits until the entry has a version other
-// than after, and responds with 204 if the version is still the same after wait_ms.
+// handleGet responds with an entry. It waits for "wait_ms" milliseconds, at most maxWatchTimeout, for an entry whose version
+// differs from the parameter "after". If the version stays the same, it responds with 204, and if there is no entry, with 404.
 func (s *Server) handleGet(w http.ResponseWriter, r *http.Request) {
 	if !acceptsStale(r) && s.redirectToLeader(w, r) {
 		return
--- a/internal/nvme/controllerassociation.go
+++ b/internal/nvme/controllerassociation.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// maxControllerID is the highest controller ID that is assigned. The specification reserves only some of the values above it,
-// such as anyControllerID.
+// maxControllerID is the highest controller ID that is assigned. It is below the values that the specification reserves, such
+// as anyControllerID.
 const maxControllerID = 0xFF00
 
 // controllerAssociation is the controller side of an association between a host and a controller. It has an admin queue and
--- a/internal/nvme/server.go
+++ b/internal/nvme/server.go
@@ -145,9 +145,8 @@
 
 // evictUnconnected ends the oldest connection without a completed Connect, and returns false if there is none. Without this
 // eviction, MaxConns connections that send nothing would keep all hosts out until the handshake timeout ends one of those
-// connections. A connection whose Connect has completed is never evicted. So no command is lost, because a host sends no
-// other command before its Connect completes. A connection may still be evicted while its Connect is being handled. The
-// caller must hold mu.
+// connections. A connection whose Connect has completed is never evicted, so no command is lost: a host sends no other command
+// before its Connect completes. A connection may still be evicted while its Connect is being handled. The caller must hold mu.
 func (s *Server) evictUnconnected() bool {
 	var oldest *controllerQueue
 	for q := range s.queues {
