--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -34,8 +34,8 @@
 	// minClientConns is the lower bound of MaxClientConns, even if the limits leave room for fewer connections or for none.
 	minClientConns = 8
 
-	// maxConnsPerTarget exceeds the number of attempts, overdue ones included, that the scheduler ever has in flight to one
-	// target.
+	// maxConnsPerTarget exceeds the number of attempts that the scheduler ever has in flight to one target, including those
+	// that no longer count against the target's concurrency limit, because they have had no response for too long.
 	maxConnsPerTarget = 40
 )
 
