--- a/cmd/simadapter/adapter.go
+++ b/cmd/simadapter/adapter.go
@@ -10,26 +10,27 @@
 	"dapplegate/scheduler"
 )
 
-// adapter runs the initiators of one process. They share nothing but the input and output.
+// adapter runs the schedulers of the initiators in one process. The initiators share only the input and output.
 type adapter struct {
-	schedulers map[string]*scheduler.Scheduler // by initiator
+	schedulers map[string]*scheduler.Scheduler // by initiator ID
 }
 
 func newAdapter() *adapter { return &adapter{schedulers: map[string]*scheduler.Scheduler{}} }
 
-// inbox holds the events of a batch for one initiator, since its last start.
+// inbox holds the events of a batch for one initiator, except those before its last start or shutdown.
 type inbox struct {
 	initiatorID string
 	events      []scheduler.Event
 }
 
-// inboxes holds the inbox of each initiator that a batch names, in order of first mention.
+// inboxes holds the inbox of each initiator that a batch names.
 type inboxes struct {
 	byInitiator map[string]*inbox
-	inOrder     []*inbox
+	inOrder     []*inbox // in the order of their first events
 }
 
-func (b *inboxes) of(initiatorID string) *inbox {
+// forInitiator returns the inbox of an initiator, and creates it if there is none yet.
+func (b *inboxes) forInitiator(initiatorID string) *inbox {
 	in := b.byInitiator[initiatorID]
 	if in == nil {
 		in = &inbox{initiatorID: initiatorID}
@@ -39,10 +40,10 @@
 	return in
 }
 
-// eventError reports an event that cannot be served.
+// eventError is the error of an event that cannot be processed.
 type eventError struct {
 	index     int    // position in the batch, from 0
-	eventType string // empty: not known
+	eventType string // empty if not known
 	err       error
 }
 
@@ -55,7 +56,7 @@
 
 func (e *eventError) Unwrap() error { return e.err }
 
-// handle decodes one batch, steps the initiators that it names, and returns the encoded reply.
+// handle decodes a batch, runs one step of each initiator that it names, and returns the encoded reply.
 func (a *adapter) handle(line []byte) ([]byte, error) {
 	var batch wireBatch
 	if err := json.Unmarshal(line, &batch); err != nil {
@@ -82,7 +83,8 @@
 	return json.Marshal(reply)
 }
 
-// receive decodes one event into the inbox of its initiator, and returns its type as far as it is known.
+// receive decodes an event and passes it to accept. It returns the event's type, as far as it could be decoded, to be named
+// in the error.
 func (a *adapter) receive(received *inboxes, raw json.RawMessage) (eventType string, err error) {
 	var event wireEvent
 	if err := json.Unmarshal(raw, &event); err != nil {
@@ -94,10 +96,11 @@
 	if err := require(field("initiatorId", event.InitiatorID)); err != nil {
 		return *event.Type, err
 	}
-	return *event.Type, a.accept(received.of(*event.InitiatorID), &event)
+	return *event.Type, a.accept(received.forInitiator(*event.InitiatorID), &event)
 }
 
-// accept adds one event to its initiator's inbox. A start or a shutdown drops what came before.
+// accept starts or shuts down the initiator, or adds any other event to its inbox. A start or a shutdown drops the earlier
+// events in the inbox.
 func (a *adapter) accept(in *inbox, event *wireEvent) error {
 	switch *event.Type {
 	case "start":
@@ -108,7 +111,7 @@
 		return nil
 	}
 	if a.schedulers[in.initiatorID] == nil {
-		return fmt.Errorf("instance %q has no start", in.initiatorID)
+		return fmt.Errorf("initiator %q has not been started", in.initiatorID)
 	}
 	decoded, err := decodeEvent(event)
 	if err != nil {
@@ -120,7 +123,7 @@
 	return nil
 }
 
-// start replaces the initiator's scheduler.
+// start gives the initiator a new scheduler, which replaces an earlier one.
 func (a *adapter) start(in *inbox, event *wireEvent) error {
 	if err := require(field("initSeed", event.InitSeed), field("options", event.Options)); err != nil {
 		return err
@@ -133,16 +136,16 @@
 	if err != nil {
 		return config.Under("options", err)
 	}
-	s, err := scheduler.New(settings, seed)
+	sched, err := scheduler.New(settings, seed)
 	if err != nil {
 		return config.Under("options", err)
 	}
-	a.schedulers[in.initiatorID] = s
+	a.schedulers[in.initiatorID] = sched
 	in.events = nil
 	return nil
 }
 
-// parseSeed takes any integer of 64 bits, with or without sign.
+// parseSeed parses a signed or unsigned 64-bit integer. A negative one is converted to its two's complement.
 func parseSeed(n json.Number) (uint64, error) {
 	if seed, err := strconv.ParseUint(n.String(), 10, 64); err == nil {
 		return seed, nil
@@ -154,11 +157,11 @@
 	return uint64(seed), nil
 }
 
-// step lets one initiator decide at a time of the simulator's clock. A panic in the scheduler becomes an internalError in place of its
-// actions, so that the other initiators of the process go on.
+// step runs one step of the initiator's scheduler at a time of the simulator's clock. If the scheduler panics, an
+// internalError replaces the initiator's actions, so that the other initiators in the process keep running.
 func (a *adapter) step(in *inbox, now time.Duration) (actions []wireAction) {
-	s := a.schedulers[in.initiatorID]
-	if s == nil {
+	sched := a.schedulers[in.initiatorID]
+	if sched == nil {
 		return nil
 	}
 	defer func() {
@@ -167,7 +170,7 @@
 			actions = []wireAction{failure}
 		}
 	}()
-	for _, action := range s.Step(now, in.events) {
+	for _, action := range sched.Step(now, in.events) {
 		actions = append(actions, encodeAction(action, in.initiatorID))
 	}
 	return actions
--- a/cmd/simadapter/adapter_test.go
+++ b/cmd/simadapter/adapter_test.go
@@ -20,16 +20,17 @@
 
 const listEvent = `{"type":"members","initiatorId":"i_0","mode":"whole","gen":1,"records":[{"target":"n","cohort":0,"mode":"up"}]}`
 
-// batch returns a line of input, with the time of 1 s and a millisecond for each frame.
+// batch returns a line of input. Its time is 1 s plus one millisecond for each frame.
 func batch(frame int, events ...string) string {
 	return batchAt(1000000+frame*1000, frame, events...)
 }
 
+// batchAt returns a line of input with the given time.
 func batchAt(wallUs, frame int, events ...string) string {
 	return fmt.Sprintf(`{"wallUs":%d,"frame":%d,"inbox":[%s]}`+"\n", wallUs, frame, strings.Join(events, ","))
 }
 
-// requestEvent returns a request without the named field; an empty name leaves none out.
+// requestEvent returns a request event without the named field. If the name is empty, no field is left out.
 func requestEvent(without string) string {
 	fields := []string{
 		`"rid":"r1"`,
@@ -51,7 +52,7 @@
 	return event + "}"
 }
 
-// TestRequestIsSent plays a start, a list and a request, and checks the attempt in the reply.
+// TestRequestIsSent runs a start, an endpoint list and a request, and checks the attempt in the reply.
 func TestRequestIsSent(t *testing.T) {
 	var out bytes.Buffer
 	if err := run(strings.NewReader(batch(1, startEvent, listEvent)+batch(2, requestEvent(""))), &out); err != nil {
@@ -63,14 +64,14 @@
 	}
 }
 
-// TestRetryAfterIsSent has a client retry after a rejection, past its objective. The advice to wait until
-// its deadline must go out with the second rejection.
+// TestRetryAfterIsSent has a client retry after a rejection, when the latency objective has passed. The second rejection
+// must advise the client to wait until the deadline.
 func TestRetryAfterIsSent(t *testing.T) {
-	first := strings.Replace(requestEvent(""), `"groupNo":0`, `"groupNo":5`, 1) // no target holds it
-	again := strings.NewReplacer(`"r1"`, `"r2"`, "900000", "300000").Replace(first)
+	first := strings.Replace(requestEvent(""), `"groupNo":0`, `"groupNo":5`, 1) // a shard without targets
+	retry := strings.NewReplacer(`"r1"`, `"r2"`, "900000", "300000").Replace(first)
 	var out bytes.Buffer
 	in := batchAt(1000000, 1, startEvent, listEvent) + batchAt(1001000, 2, first) +
-		batchAt(1500000, 3, `{"type":"reminder","initiatorId":"i_0","keyBack":"step"}`) + batchAt(1600000, 4, again)
+		batchAt(1500000, 3, `{"type":"reminder","initiatorId":"i_0","keyBack":"step"}`) + batchAt(1600000, 4, retry)
 	if err := run(strings.NewReader(in), &out); err != nil {
 		t.Fatal(err)
 	}
@@ -82,7 +83,7 @@
 	}
 }
 
-// TestMalformedInput checks the error of each input that cannot be served.
+// TestMalformedInput checks the error for each kind of input that cannot be processed.
 func TestMalformedInput(t *testing.T) {
 	result := func(code string) string {
 		return `{"type":"result","initiatorId":"i_0","rid":"r1","leg":0,"target":"n","stateCode":"` + code +
@@ -90,18 +91,19 @@
 	}
 	for _, c := range []struct{ name, in, want string }{
 		{"not JSON", "nonsense\n", "decoding batch"},
-		{"no clock", `{"frame":1,"inbox":[]}`, "wallUs: required field is missing"},
+		{"no time", `{"frame":1,"inbox":[]}`, "wallUs: required field is missing"},
 		{"no frame", `{"wallUs":1,"inbox":[]}`, "frame: required field is missing"},
 		{"no inbox", `{"wallUs":1,"frame":1}`, "inbox: required field is missing"},
 		{"no type", batch(1, `{"initiatorId":"i_0"}`), "type: required field is missing"},
-		{"no instance", batch(1, `{"type":"reminder"}`), "initiatorId: required field is missing"},
+		{"no initiator ID", batch(1, `{"type":"reminder"}`), "initiatorId: required field is missing"},
 		{"unknown event", batch(1, startEvent, `{"type":"gossip","initiatorId":"i_0"}`), `unknown event "gossip"`},
-		{"no start", batch(1, listEvent), `instance "i_0" has no start`},
+		{"no start", batch(1, listEvent), `initiator "i_0" has not been started`},
 		{"no seed", batch(1, strings.Replace(startEvent, "initSeed", "seed", 1)), "initSeed: required field is missing"},
-		{"broken seed", batch(1, strings.Replace(startEvent, "18446744073709551615", "1.5", 1)), "initSeed"},
+		{"invalid seed", batch(1, strings.Replace(startEvent, "18446744073709551615", "1.5", 1)), "initSeed"},
 		{"no options", batch(1, strings.Replace(startEvent, "options", "opts", 1)), "options: required field is missing"},
-		{"no peers", batch(1, strings.Replace(startEvent, "peersTotal", "peers", 1)), "options.peersTotal: required field is missing"},
-		{"unservable options", batch(1, strings.Replace(startEvent, `"promiseUs":400000`, `"promiseUs":0`, 1)), "needs a latency objective"},
+		{"no number of initiators", batch(1, strings.Replace(startEvent, "peersTotal", "peers", 1)),
+			"options.peersTotal: required field is missing"},
+		{"invalid options", batch(1, strings.Replace(startEvent, `"promiseUs":400000`, `"promiseUs":0`, 1)), "needs a latency objective"},
 		{"unknown effect", batch(1, strings.Replace(startEvent, "pure", "odd", 1)), `options.classes[0].effect: unknown effect "odd"`},
 		{"unknown group", batch(1, strings.Replace(startEvent, `"pure"`, `"token","group":"odd"`, 1)), `unknown group "odd"`},
 		{"unknown outcome", batch(1, startEvent, result("odd")), `unknown outcome "odd"`},
@@ -110,8 +112,8 @@
 		{"unknown list kind", batch(1, startEvent, strings.Replace(listEvent, "whole", "odd", 1)), `unknown list kind "odd"`},
 		{"entry without shard", batch(1, startEvent, strings.Replace(listEvent, `"cohort":0,`, "", 1)), "records[0]: cohort"},
 		{"unknown state", batch(1, startEvent, strings.Replace(listEvent, `"up"`, `"odd"`, 1)), `unknown state "odd"`},
-		{"stream without id", batch(1, startEvent, `{"type":"underWay","initiatorId":"i_0"}`), "rid: required field"},
-		{"departure without id", batch(1, startEvent, `{"type":"clientGone","initiatorId":"i_0"}`), "rid: required field"},
+		{"response start without request ID", batch(1, startEvent, `{"type":"underWay","initiatorId":"i_0"}`), "rid: required field"},
+		{"client close without request ID", batch(1, startEvent, `{"type":"clientGone","initiatorId":"i_0"}`), "rid: required field"},
 	} {
 		err := run(strings.NewReader(c.in), &bytes.Buffer{})
 		if err == nil || !strings.Contains(err.Error(), c.want) {
@@ -126,30 +128,29 @@
 	}
 }
 
-// TestEventErrorNamesEvent checks that the error of an event names its position and type, and wraps its
-// cause.
+// TestEventErrorNamesEvent checks that the error for an event names the event's position and type and wraps the cause.
 func TestEventErrorNamesEvent(t *testing.T) {
 	err := run(strings.NewReader(batch(1, startEvent, requestEvent("rid"))), &bytes.Buffer{})
-	var failed *eventError
-	if !errors.As(err, &failed) || failed.index != 1 || failed.eventType != "newRequest" {
+	var eventErr *eventError
+	if !errors.As(err, &eventErr) || eventErr.index != 1 || eventErr.eventType != "newRequest" {
 		t.Errorf("error %v, want an eventError of the second event", err)
 	}
 	if !errors.Is(err, config.ErrMissing) {
-		t.Errorf("error %v does not wrap the missing field", err)
+		t.Errorf("error %v does not wrap config.ErrMissing", err)
 	}
 	if want := "batch 1: event 1 (newRequest): rid: required field is missing"; err.Error() != want {
 		t.Errorf("error %q, want %q", err, want)
 	}
 }
 
-// TestClosedInput checks that an input without a batch is no error.
+// TestClosedInput checks that an empty input is not an error.
 func TestClosedInput(t *testing.T) {
 	if err := run(strings.NewReader(""), &bytes.Buffer{}); err != nil {
 		t.Fatalf("closed input: %v", err)
 	}
 }
 
-// FuzzDecode checks that no line makes the adapter or the scheduler panic.
+// FuzzDecode checks that no input makes the adapter or the scheduler panic.
 func FuzzDecode(f *testing.F) {
 	f.Add(batch(2, requestEvent("")))
 	f.Add(batch(2, listEvent, `{"type":"result","initiatorId":"i_0","rid":"r1","leg":0,"target":"n","stateCode":"shed","spentUs":1,"complete":false}`))
@@ -163,7 +164,7 @@
 	})
 }
 
-// TestLoadReport decodes load reports: absent figures stay absent, unknown ones are ignored.
+// TestLoadReport decodes load reports. Absent figures must be marked as not reported, and unknown ones ignored.
 func TestLoadReport(t *testing.T) {
 	for _, c := range []struct {
 		in   string
--- a/cmd/simadapter/decode.go
+++ b/cmd/simadapter/decode.go
@@ -7,7 +7,7 @@
 	"dapplegate/scheduler"
 )
 
-// decodeEvent returns the event in the scheduler's terms, or nil for one that the scheduler does not need.
+// decodeEvent converts an event to the scheduler's type. It returns nil for an event that the scheduler does not need.
 func decodeEvent(event *wireEvent) (scheduler.Event, error) {
 	switch *event.Type {
 	case "members":
@@ -96,10 +96,10 @@
 	return ended, nil
 }
 
-// notReported is the scheduler's value of a figure that a load report lacks.
+// notReported is the scheduler's value for a figure that is absent from a load report.
 const notReported = -1
 
-// decodeLoadReport returns nil where there is no report.
+// decodeLoadReport converts a target's load report; nil if there is none.
 func decodeLoadReport(wire *wireLoadReport) *scheduler.LoadReport {
 	if wire == nil {
 		return nil
--- a/cmd/simadapter/encode.go
+++ b/cmd/simadapter/encode.go
@@ -2,10 +2,10 @@
 
 import "dapplegate/scheduler"
 
-// timerKey is sent with each timer and comes back when it is due. The scheduler has one timer only.
+// timerKey is sent with each timer and returned by the simulator when the timer fires. The scheduler has only one timer.
 const timerKey = "step"
 
-// encodeAction returns the action of an initiator as the simulator's message.
+// encodeAction converts an initiator's action to the simulator's message.
 func encodeAction(action scheduler.Action, initiatorID string) wireAction {
 	wire := wireAction{InitiatorID: initiatorID, Rid: action.RequestID}
 	switch action.Kind {
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,5 @@
-// Command simadapter runs schedulers on the simulator's protocol: one JSON batch of events a line on
-// standard input, one JSON batch of actions a line on standard output. One process hosts many initiators.
+// Command simadapter connects schedulers to the simulator. Each line of standard input is a JSON batch of events, and each
+// line of standard output is the JSON batch of actions in reply. One process hosts many initiators.
 package main
 
 import (
@@ -24,23 +24,23 @@
 	}
 }
 
-// run answers each batch on in with one line on out, until in ends.
+// run reads batches from in until its end and writes the reply to each as one line to out.
 func run(in io.Reader, out io.Writer) error {
 	reader := bufio.NewReaderSize(in, inputBufferSize)
 	writer := bufio.NewWriterSize(out, outputBufferSize)
 	a := newAdapter()
-	for number := 1; ; number++ {
+	for batchNumber := 1; ; batchNumber++ {
 		line, readErr := reader.ReadBytes('\n')
 		if readErr != nil && !errors.Is(readErr, io.EOF) {
-			return fmt.Errorf("reading batch %d: %w", number, readErr)
+			return fmt.Errorf("reading batch %d: %w", batchNumber, readErr)
 		}
 		if line = bytes.TrimSpace(line); len(line) > 0 {
 			reply, err := a.handle(line)
 			if err != nil {
-				return fmt.Errorf("batch %d: %w", number, err)
+				return fmt.Errorf("batch %d: %w", batchNumber, err)
 			}
 			if err := writeLine(writer, reply); err != nil {
-				return fmt.Errorf("writing reply %d: %w", number, err)
+				return fmt.Errorf("writing reply %d: %w", batchNumber, err)
 			}
 		}
 		if readErr != nil {
@@ -49,7 +49,7 @@
 	}
 }
 
-// writeLine writes the line and flushes, since the simulator waits for it.
+// writeLine writes a line and flushes it, because the simulator waits for each reply.
 func writeLine(w *bufio.Writer, line []byte) error {
 	if _, err := w.Write(line); err != nil {
 		return err
--- a/cmd/simadapter/samples_test.go
+++ b/cmd/simadapter/samples_test.go
@@ -11,8 +11,8 @@
 	"dapplegate/scheduler"
 )
 
-// TestEventSamples decodes a sample of each event in the form of the WIRE page, with all fields that the
-// page lists.
+// TestEventSamples decodes a sample of each event type, with all fields that the simulator's protocol description, the WIRE
+// page, lists.
 func TestEventSamples(t *testing.T) {
 	for _, c := range []struct {
 		in   string
@@ -56,7 +56,8 @@
 	}
 }
 
-// TestStatusSamples decodes each outcome of the WIRE page, and checks which of them rule out an execution.
+// TestStatusSamples decodes each outcome that the WIRE page lists and checks which outcomes rule out that the request was
+// executed.
 func TestStatusSamples(t *testing.T) {
 	for stateCode, want := range map[string]struct {
 		status          scheduler.AttemptStatus
@@ -78,7 +79,7 @@
 	}
 }
 
-// TestActionSamples encodes each action in the form of the WIRE page.
+// TestActionSamples encodes each action and compares it with the message on the WIRE page.
 func TestActionSamples(t *testing.T) {
 	for _, c := range []struct {
 		action scheduler.Action
@@ -104,7 +105,7 @@
 	}
 }
 
-// TestSettingsSample reads the settings of the WIRE page, with the optional keys that its example lacks.
+// TestSettingsSample reads the example settings of the WIRE page, extended by the optional keys that the example lacks.
 func TestSettingsSample(t *testing.T) {
 	raw, err := os.ReadFile("testdata/settings.json")
 	if err != nil {
--- a/cmd/simadapter/wire.go
+++ b/cmd/simadapter/wire.go
@@ -6,8 +6,8 @@
 	"dapplegate/internal/config"
 )
 
-// The types of this file are the simulator's messages, with the names that its protocol gives to the
-// fields. A nil pointer is a field that was absent or null. Times are in microseconds.
+// The types in this file are the simulator's messages; their fields have the names that its protocol uses. A nil pointer
+// stands for a field that is absent or null. Times are in microseconds.
 
 // wireBatch is one line of input.
 type wireBatch struct {
@@ -16,7 +16,7 @@
 	Inbox  []json.RawMessage `json:"inbox"`
 }
 
-// wireEvent has the fields of all kinds of events.
+// wireEvent has the fields of all event types.
 type wireEvent struct {
 	Type        *string              `json:"type"`
 	InitiatorID *string              `json:"initiatorId"`
@@ -42,6 +42,7 @@
 	ServerStats *wireLoadReport      `json:"serverStats"`
 }
 
+// wireLoadReport is the load that a target reports with a response.
 type wireLoadReport struct {
 	Depth      *float64 `json:"depth"`
 	Concurrent *float64 `json:"concurrent"`
@@ -56,7 +57,7 @@
 	LaunchedUs    *int64  `json:"launchedUs"`
 }
 
-// wireAction has the fields of all kinds of actions; the empty ones are left out.
+// wireAction has the fields of all action types; empty ones are omitted.
 type wireAction struct {
 	Type        string `json:"type"`
 	InitiatorID string `json:"initiatorId"`
@@ -82,6 +83,7 @@
 	present bool
 }
 
+// field returns the requiredField for a decoded value, which is nil if the field is absent.
 func field[T any](name string, value *T) requiredField {
 	return requiredField{name: name, present: value != nil}
 }
