--- a/cmd/initiator/agent.go
+++ b/cmd/initiator/agent.go
@@ -18,7 +18,7 @@
 	var operatorFile string
 	cmd := &cobra.Command{
 		Use:   "agent",
-		Short: "Run one of the agents that keep the instances' configurations",
+		Short: "Run one of the agents that store the initiators' configurations",
 		Args:  cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			settings, err := config.ReadAgent(operatorFile)
@@ -30,11 +30,12 @@
 			return runAgent(ctx, settings, slog.New(slog.NewTextHandler(os.Stderr, nil)))
 		},
 	}
-	cmd.Flags().StringVar(&operatorFile, "operator", "deploy/agent.toml", "the operator's file (TOML) with the agents")
+	cmd.Flags().StringVar(&operatorFile, "operator", "deploy/agent.toml",
+		"path of the operator's file (TOML) that lists the agents")
 	return cmd
 }
 
-// runAgent runs a server of the configuration store until the context ends or the server fails.
+// runAgent runs one server of the configuration store until ctx is done or the server fails.
 func runAgent(ctx context.Context, settings *config.Agent, log *slog.Logger) error {
 	listener, err := net.Listen("tcp", settings.API())
 	if err != nil {
@@ -48,26 +49,26 @@
 		Validate: checkStored,
 	})
 	if err != nil {
-		_ = listener.Close() // the error of Start is the one to report
+		_ = listener.Close() // the error from Start takes precedence
 		return err
 	}
-	log.Info("agent up", slog.String("id", settings.ID), slog.String("listen", settings.API()))
+	log.Info("agent started", slog.String("id", settings.ID), slog.String("listen", settings.API()))
 	failed := make(chan error, 1)
 	go func() { failed <- store.Serve(listener) }()
 	select {
 	case err := <-failed:
-		_ = store.Shutdown() // the error of Serve is the one to report
+		_ = store.Shutdown() // the error from Serve takes precedence
 		return err
 	case <-ctx.Done():
 		return store.Shutdown()
 	}
 }
 
-// storePeers converts the peers of the operator's file to those of the configuration store.
+// storePeers converts the peers in the operator's file for the configuration store.
 func storePeers(peers []config.Peer) []configstore.Peer {
-	out := make([]configstore.Peer, 0, len(peers))
+	converted := make([]configstore.Peer, 0, len(peers))
 	for _, peer := range peers {
-		out = append(out, configstore.Peer(peer))
+		converted = append(converted, configstore.Peer(peer))
 	}
-	return out
+	return converted
 }
--- a/cmd/initiator/check.go
+++ b/cmd/initiator/check.go
@@ -22,11 +22,11 @@
 			return check(cmd, getenv, operatorFile)
 		},
 	}
-	cmd.Flags().StringVar(&operatorFile, "operator", "", "an operator's file (TOML) to validate as well")
+	cmd.Flags().StringVar(&operatorFile, "operator", "", "path of an operator's file (TOML) to validate as well")
 	return cmd
 }
 
-// check validates the configuration and prints what it sets up.
+// check validates the configuration and, unless its path is empty, the operator's file, and prints a summary of them.
 func check(cmd *cobra.Command, getenv func(string) string, operatorFile string) error {
 	cfg, operator, err := loadConfig(getenv, operatorFile)
 	if err != nil {
--- a/cmd/initiator/configcmd.go
+++ b/cmd/initiator/configcmd.go
@@ -13,13 +13,13 @@
 	"dapplegate/internal/configstore"
 )
 
-// anyVersion is the value of --if-version that puts no condition on a write.
+// anyVersion is the default of --if-version, which makes a write unconditional.
 const anyVersion = -1
 
 // configCommand groups the commands that read and write configurations in the store.
 func configCommand() *cobra.Command {
 	client := &configstore.Client{}
-	cmd := &cobra.Command{Use: "config", Short: "Read and write instances' configurations at the agents"}
+	cmd := &cobra.Command{Use: "config", Short: "Read and write the initiators' configurations that the agents store"}
 	cmd.PersistentFlags().StringSliceVar(&client.Addrs, "agents", []string{"127.0.0.1:7701"}, "addresses of the agents")
 	cmd.AddCommand(configGetCommand(client), configListCommand(client), configPutCommand(client),
 		configDeleteCommand(client), configStatusCommand(client))
@@ -29,7 +29,7 @@
 func configGetCommand(client *configstore.Client) *cobra.Command {
 	return &cobra.Command{
 		Use:   "get NAME",
-		Short: "Print an instance's configuration",
+		Short: "Print an initiator's configuration",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			entry, err := client.Get(cmd.Context(), args[0])
@@ -46,7 +46,7 @@
 func configListCommand(client *configstore.Client) *cobra.Command {
 	return &cobra.Command{
 		Use:   "list",
-		Short: "List the instances and the versions of their configurations",
+		Short: "List the initiators and the versions of their configurations",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			versions, err := client.List(cmd.Context())
@@ -65,7 +65,7 @@
 	var ifVersion int64
 	cmd := &cobra.Command{
 		Use:   "put NAME FILE",
-		Short: "Write an instance's configuration (FILE - is standard input)",
+		Short: "Write an initiator's configuration (FILE - is standard input)",
 		Args:  cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			name := args[0]
@@ -87,7 +87,7 @@
 	var ifVersion int64
 	cmd := &cobra.Command{
 		Use:   "delete NAME",
-		Short: "Delete an instance's configuration; a running initiator keeps its configuration",
+		Short: "Delete an initiator's configuration; a running initiator keeps the one that it has",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return writeConfig(cmd, client, args[0], nil, ifVersion)
@@ -103,8 +103,8 @@
 		Short: "Show each agent's state and leader",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			for _, s := range client.Status(cmd.Context()) {
-				printf(cmd, "%s\t%s\tleader=%s\tapplied=%d\n", s.ID, s.State, s.Leader, s.Applied)
+			for _, status := range client.Status(cmd.Context()) {
+				printf(cmd, "%s\t%s\tleader=%s\tapplied=%d\n", status.ID, status.State, status.Leader, status.Applied)
 			}
 			return nil
 		},
@@ -112,10 +112,12 @@
 }
 
 func addIfVersionFlag(cmd *cobra.Command, ifVersion *int64) {
-	cmd.Flags().Int64Var(ifVersion, "if-version", anyVersion, "only over this version; 0: only where there is none yet")
+	cmd.Flags().Int64Var(ifVersion, "if-version", anyVersion,
+		"apply only if the stored version is this one; 0: only if none is stored; negative: always")
 }
 
-// writeConfig writes a configuration, or deletes it if text is nil, and prints the version that results.
+// writeConfig writes a configuration, or deletes it if text is nil, and prints the resulting version. A negative ifVersion
+// makes the write unconditional.
 func writeConfig(cmd *cobra.Command, client *configstore.Client, name string, text []byte, ifVersion int64) error {
 	condition := ""
 	if ifVersion >= 0 {
@@ -129,7 +131,7 @@
 	return nil
 }
 
-// readInput reads a file, or standard input if its name is "-".
+// readInput reads the named file, or standard input if the name is "-".
 func readInput(cmd *cobra.Command, name string) ([]byte, error) {
 	if name == "-" {
 		return io.ReadAll(cmd.InOrStdin())
--- a/cmd/initiator/endpoints.go
+++ b/cmd/initiator/endpoints.go
@@ -7,9 +7,9 @@
 	"dapplegate/scheduler"
 )
 
-// applyEndpoints applies an endpoint list, in the watcher's goroutine. The registry has it before the scheduler: an attempt that
-// was decided on the older list is checked against the newer state right before its first byte, and so never starts at a
-// target that is known to be draining.
+// applyEndpoints applies an endpoint list; it runs in the watcher's goroutine. The registry is updated before the scheduler,
+// because it checks the target's state again right before the first byte of an attempt. An attempt that the scheduler based
+// on the older list therefore never starts on a target that is known to be draining.
 func (in *initiator) applyEndpoints(list *endpoints.List) {
 	in.registry.Apply(upstreamEndpoints(list), list.Complete)
 	in.startTimes.Apply(list)
@@ -17,7 +17,7 @@
 	in.hasEndpoints.Store(true)
 }
 
-// upstreamEndpoints is the list as the registry of targets needs it.
+// upstreamEndpoints converts an endpoint list for the registry of targets.
 func upstreamEndpoints(list *endpoints.List) []upstream.Endpoint {
 	converted := make([]upstream.Endpoint, 0, len(list.Entries))
 	for _, entry := range list.Entries {
@@ -26,8 +26,8 @@
 	return converted
 }
 
-// schedulerEndpoints is the list as the scheduler needs it: the list has the starts of targets on the wall clock, startTimes
-// has them on the scheduler's.
+// schedulerEndpoints converts an endpoint list for the scheduler. The list has the targets' start times by the wall clock;
+// startTimes converts them to the scheduler's clock.
 func schedulerEndpoints(list *endpoints.List, startTimes *discovery.StartTimes) scheduler.EndpointList {
 	converted := scheduler.EndpointList{Complete: list.Complete}
 	for _, entry := range list.Entries {
--- a/cmd/initiator/follow.go
+++ b/cmd/initiator/follow.go
@@ -9,9 +9,10 @@
 	"dapplegate/internal/configstore"
 )
 
-// follow runs the initiator that PROXY_NAME names with its configuration from the store, until the context ends. A new version
-// is validated, then served by a successor that listens at the same addresses; once the successor listens, its predecessor
-// shuts down gracefully, so that no accepted request is lost. After a version that cannot be served the predecessor goes on.
+// follow runs the initiator named by PROXY_NAME with its configuration from the store, until ctx is done. Each new version
+// of the configuration is validated, then served by a successor, which may listen on the same addresses. Once the successor
+// is listening, its predecessor shuts down gracefully, so that no accepted request is lost. If a version cannot be started,
+// the predecessor keeps running.
 func follow(ctx context.Context, agents []string, getenv func(string) string, operatorFile string, log *slog.Logger) error {
 	name := getenv(config.EnvName)
 	if name == "" {
@@ -26,7 +27,7 @@
 	for {
 		select {
 		case <-ctx.Done():
-			return f.wait()
+			return f.waitForCurrent()
 		case <-f.currentDone():
 			return f.current.err
 		case entry := <-entries:
@@ -35,7 +36,7 @@
 	}
 }
 
-// watchEntry sends each new version of the named configuration, until the context ends.
+// watchEntry returns a channel that receives each new version of the named configuration, until ctx is done.
 func watchEntry(ctx context.Context, client *configstore.Client, name string, log *slog.Logger) <-chan configstore.Entry {
 	entries := make(chan configstore.Entry)
 	go client.Follow(ctx, name, log, func(entry configstore.Entry) {
@@ -47,15 +48,15 @@
 	return entries
 }
 
-// follower runs the latest version of a configuration that can be served.
+// follower runs an initiator with the latest version of its configuration that could be started.
 type follower struct {
 	operatorFile string
 	log          *slog.Logger
-	current      *runningVersion // nil: no version has been served yet
-	shuttingDown sync.WaitGroup  // predecessors in their graceful shutdown
+	current      *runningVersion // nil if no version has been started yet
+	shuttingDown sync.WaitGroup  // predecessors that are shutting down gracefully
 }
 
-// update replaces the current version by the entry's, if that can be served.
+// update replaces the current version with the entry's. If the entry's cannot be started, the current version keeps running.
 func (f *follower) update(ctx context.Context, entry configstore.Entry) {
 	successor, err := startVersion(ctx, entry, f.operatorFile, f.log)
 	if err != nil {
@@ -71,7 +72,8 @@
 	f.current = successor
 }
 
-// currentDone is closed when the current version has ended. Without one it is nil, which blocks.
+// currentDone returns a channel that is closed when the current version has ended. Without a current version the channel is
+// nil, so that receiving from it blocks.
 func (f *follower) currentDone() <-chan struct{} {
 	if f.current == nil {
 		return nil
@@ -79,8 +81,8 @@
 	return f.current.done
 }
 
-// wait returns how the current version has ended, once it has.
-func (f *follower) wait() error {
+// waitForCurrent waits until the current version has ended and returns its error. Without a current version it returns nil.
+func (f *follower) waitForCurrent() error {
 	if f.current == nil {
 		return nil
 	}
@@ -88,15 +90,15 @@
 	return f.current.err
 }
 
-// runningVersion is an initiator that runs with one version of its configuration.
+// runningVersion is an initiator running with one version of its configuration.
 type runningVersion struct {
 	stop context.CancelCauseFunc
-	done chan struct{} // closed when it has ended
-	err  error         // how it ended; valid once done is closed
+	done chan struct{} // closed when the initiator has ended
+	err  error         // the result of serve; valid once done is closed
 }
 
-// startVersion starts an initiator with the entry's configuration, and returns once it listens, or the error why it cannot. The
-// initiator runs until the context ends or its stop is called.
+// startVersion starts an initiator with the entry's configuration. It returns once the initiator is listening, or with the
+// error that prevented that. The initiator runs until ctx is done or its stop function is called.
 func startVersion(ctx context.Context, entry configstore.Entry, operatorFile string, log *slog.Logger) (*runningVersion, error) {
 	cfg, err := parseStored(entry.Name, entry.Config)
 	if err != nil {
@@ -107,7 +109,7 @@
 		return nil, err
 	}
 	versionCtx, stop := context.WithCancelCause(ctx)
-	version := &runningVersion{stop: stop, done: make(chan struct{})}
+	running := &runningVersion{stop: stop, done: make(chan struct{})}
 	listening := make(chan struct{})
 	options := runOptions{
 		shareAddresses: true,
@@ -115,14 +117,14 @@
 		onListening:    func() { close(listening) },
 	}
 	go func() {
-		defer close(version.done)
-		version.err = serve(versionCtx, cfg, operator, log, options)
+		defer close(running.done)
+		running.err = serve(versionCtx, cfg, operator, log, options)
 	}()
 	select {
 	case <-listening:
-		return version, nil
-	case <-version.done:
-		stop(version.err)
-		return nil, version.err
+		return running, nil
+	case <-running.done:
+		stop(running.err)
+		return nil, running.err
 	}
 }
--- a/cmd/initiator/follow_test.go
+++ b/cmd/initiator/follow_test.go
@@ -15,8 +15,8 @@
 	"dapplegate/internal/configstore"
 )
 
-// putRetrying writes the initiator's configuration, and retries while the store has no leader or does not listen yet.
-func putRetrying(ctx context.Context, client *configstore.Client, text string) (err error) {
+// putWithRetry writes the initiator's configuration. It retries while the store has no leader or is not listening yet.
+func putWithRetry(ctx context.Context, client *configstore.Client, text string) (err error) {
 	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
 		_, err = client.Put(ctx, initiatorName, []byte(text), "")
 		if err == nil {
@@ -30,7 +30,7 @@
 	return err
 }
 
-// waitUntilClosed waits until nobody listens at the testbed's address any more.
+// waitUntilClosed waits until requests to the testbed's address no longer get a response.
 func (b *testbed) waitUntilClosed(t *testing.T) {
 	t.Helper()
 	for deadline := time.Now().Add(waitTimeout); ; time.Sleep(20 * time.Millisecond) {
@@ -38,12 +38,12 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			t.Fatalf("the predecessor still responds after %v", waitTimeout)
+			t.Fatalf("the predecessor still responds after %v, want its listener to be closed", waitTimeout)
 		}
 	}
 }
 
-// rejectionRecorder is a log handler that sends the error of each configuration that was rejected.
+// rejectionRecorder is a log handler that sends the error of each rejected configuration to a channel.
 type rejectionRecorder struct {
 	slog.Handler
 	rejected chan error
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// waitUntilRejected waits until the initiator has rejected a configuration, and returns the error.
+// waitUntilRejected waits until the initiator has rejected a configuration and returns the error.
 func (r *rejectionRecorder) waitUntilRejected(t *testing.T) error {
 	t.Helper()
 	select {
@@ -80,10 +80,10 @@
 	}
 }
 
-// TestFollowConfigurationStore has an initiator take its configuration from the store. The store refuses a version that is not
-// valid. The initiator rejects one that is valid but whose listen address is occupied, and serves the one before it on. It is
-// replaced by a successor when a good version is written, with another address here: the predecessor ends, and requests are
-// served at the new address.
+// TestFollowConfigurationStore runs an initiator with its configuration from the store. The store refuses an invalid
+// version. The initiator rejects a version that is valid but whose listen address is in use, and keeps serving with the
+// previous one. When a version with another, free address is written, a successor replaces the initiator: the predecessor
+// ends, and requests are served at the new address.
 func TestFollowConfigurationStore(t *testing.T) {
 	b := newTestbed(t)
 	agent := &config.Agent{ID: "a", Dir: t.TempDir(), Peers: []config.Peer{{ID: "a", Raft: freeAddr(t), API: freeAddr(t)}}}
@@ -92,15 +92,15 @@
 	recorder := newRejectionRecorder()
 	go func() { ended <- runAgent(ctx, agent, discardLog) }()
 	client := &configstore.Client{Addrs: []string{agent.API()}}
-	if err := putRetrying(ctx, client, b.config()); err != nil {
+	if err := putWithRetry(ctx, client, b.config()); err != nil {
 		t.Fatal(err)
 	}
 	getenv := environment(map[string]string{"PROXY_NAME": initiatorName})
 	go func() { ended <- follow(ctx, client.Addrs, getenv, "", slog.New(recorder)) }()
 	b.waitUntilServed(t)
 
-	if err := putRetrying(ctx, client, `{"name":"n1"}`); err == nil || !strings.Contains(err.Error(), "listen") {
-		t.Errorf("the store's response to a configuration that is not valid: %v", err)
+	if err := putWithRetry(ctx, client, `{"name":"n1"}`); err == nil || !strings.Contains(err.Error(), "listen") {
+		t.Errorf("the store's response to an invalid configuration: %v, want an error that names the field listen", err)
 	}
 
 	predecessorAddr := b.listen
@@ -110,20 +110,21 @@
 	}
 	defer func() { _ = occupied.Close() }()
 	b.listen = occupied.Addr().String()
-	if err := putRetrying(ctx, client, b.config()); err != nil {
+	if err := putWithRetry(ctx, client, b.config()); err != nil {
 		t.Fatal(err)
 	}
 	if err := recorder.waitUntilRejected(t); !errors.Is(err, syscall.EADDRINUSE) {
-		t.Errorf("a configuration whose listen address is occupied: %v", err)
+		t.Errorf("the error of a configuration whose listen address is in use: %v, want EADDRINUSE", err)
 	}
 	b.listen = predecessorAddr
 	if status, body := b.request(); status != http.StatusOK || body != targetBody {
-		t.Errorf("after a rejected configuration: %d %q, want the initiator to serve the one before it", status, body)
+		t.Errorf("after a rejected configuration: %d %q, want the initiator to keep serving with the previous one",
+			status, body)
 	}
 
 	successorAddr := freeAddr(t)
 	b.listen = successorAddr
-	if err := putRetrying(ctx, client, b.config()); err != nil {
+	if err := putWithRetry(ctx, client, b.config()); err != nil {
 		t.Fatal(err)
 	}
 	b.waitUntilServed(t)
--- a/cmd/initiator/initiator.go
+++ b/cmd/initiator/initiator.go
@@ -20,40 +20,44 @@
 )
 
 const (
-	// coreRounding rounds the cores up for the Go scheduler, since the platform grants fractions of a core. A remainder below a
-	// hundredth of a core is dropped.
+	// coreRounding is added to the granted number of cores before it is truncated to GOMAXPROCS. The platform grants
+	// fractions of a core; they are rounded up, except that a remainder below a hundredth of a core is dropped.
 	coreRounding = 0.99
-	// runtimeMemoryPercent is the percentage of the process's memory that the Go runtime may use before it collects garbage more
-	// often; the rest is a margin, since the process is killed at the machine's limit.
+	// runtimeMemoryPercent is the Go runtime's soft memory limit, as a percentage of the memory granted to the process. Near
+	// the limit the runtime collects garbage more often. The rest is a margin, because the process is killed when it reaches
+	// the machine's limit.
 	runtimeMemoryPercent = 70
-	// responseWriteMargin is how long before the client's timeout a response must be decided, so that it can still be written.
+	// responseWriteMargin is how long before the client's timeout the response must be determined, so that it can still be
+	// written.
 	responseWriteMargin = 12 * time.Millisecond
-	// poolIdleNumerator and poolIdleDenominator are the part of a target's idle timeout after which the initiator closes its
-	// unused connections: the target would close them while attempts are on their way.
+	// poolIdleNumerator / poolIdleDenominator is the fraction of a target's idle timeout after which the initiator closes an
+	// unused connection. If the initiator kept it longer, the target could close it while an attempt is being sent.
 	poolIdleNumerator   = 4
 	poolIdleDenominator = 5
 )
 
-// server serves clients on a listener until Shutdown, which returns once all requests have their responses or the context
-// ends.
+// server serves clients on a listener until Shutdown is called. Shutdown returns once all requests have their responses, or
+// when its context is done.
 type server interface {
 	Serve(net.Listener) error
 	Shutdown(context.Context) error
 }
 
-// runOptions are what differs between a process that runs one initiator and one that follows the configuration store.
+// runOptions holds what differs between a process that runs a single initiator and one that follows the configuration store.
 type runOptions struct {
-	// shareAddresses allows a predecessor or successor in this process to listen at the same addresses.
+	// shareAddresses lets a predecessor or successor in this process listen on the same addresses.
 	shareAddresses bool
-	// onListening is called once all servers listen; may be nil.
+	// onListening, unless nil, is called once all servers are listening.
 	onListening func()
-	// terminated is closed when the process is to end, also if a successor serves by then; nil: the context tells that.
+	// terminated is closed when the process is asked to terminate. An initiator that is already shutting down because a
+	// successor has replaced it cannot learn that from its own context. Nil if the initiator has no successors.
 	terminated <-chan struct{}
-	// discoveryAddrs receives the new address whenever discovery moves; nil: it does not move.
+	// discoveryAddrs delivers the new address of discovery whenever it changes; nil if it never changes.
 	discoveryAddrs <-chan string
 }
 
-// initiator is one running initiator: servers for clients, the dispatcher, the registry of targets and the endpoint list.
+// initiator holds the parts of one initiator: the servers for clients, the dispatcher, the registry of targets, and the
+// watcher of the endpoint list.
 type initiator struct {
 	config *config.Config
 	log    *slog.Logger
@@ -62,13 +66,13 @@
 	registry     *upstream.Registry
 	dispatcher   *dispatcher.Dispatcher
 	watcher      *discovery.Watcher
-	startTimes   *discovery.StartTimes // used by the watcher's goroutine alone
-	hasEndpoints atomic.Bool           // an endpoint list was applied
-	servers      map[string]server     // by the address that each listens at
+	startTimes   *discovery.StartTimes // used only by the watcher's goroutine
+	hasEndpoints atomic.Bool           // an endpoint list has been applied
+	servers      map[string]server     // by listen address
 }
 
-// serve runs an initiator until the context ends, and then until its graceful shutdown is complete. The limits apply to the
-// whole process: those of a version that then cannot be served stay in force.
+// serve runs an initiator until ctx is done or a server fails, then shuts it down gracefully and returns. The resource
+// limits apply to the whole process; they stay in force even if the initiator cannot be started.
 func serve(ctx context.Context, cfg *config.Config, operator *config.Operator, log *slog.Logger, options runOptions) error {
 	applyLimits(cfg.Limits)
 	in, err := newInitiator(cfg, operator, log)
@@ -78,15 +82,15 @@
 	return in.run(ctx, options)
 }
 
-// applyLimits keeps the Go runtime within what the machine grants the process.
+// applyLimits keeps the Go runtime within the cores and memory that the machine grants the process.
 func applyLimits(limits config.Limits) {
 	runtime.GOMAXPROCS(max(1, int(limits.Cores+coreRounding)))
 	debug.SetMemoryLimit(int64(limits.MemoryMiB) << 20 * runtimeMemoryPercent / 100)
 }
 
-// newInitiator builds the parts of an initiator and starts none of them.
+// newInitiator creates an initiator without starting any of its parts.
 func newInitiator(cfg *config.Config, operator *config.Operator, log *slog.Logger) (*initiator, error) {
-	decider, err := scheduler.New(cfg.Scheduler, cfg.Seed)
+	sched, err := scheduler.New(cfg.Scheduler, cfg.Seed)
 	if err != nil {
 		return nil, config.Under("settings", err)
 	}
@@ -99,7 +103,7 @@
 		MaxConns:          cfg.MaxTargetConns(),
 		Logger:            log,
 	}, func(result dispatcher.AttemptResult) { in.dispatcher.ReportResult(result) })
-	in.dispatcher = dispatcher.New(decider, in.registry, in.clock, dispatcher.Options{
+	in.dispatcher = dispatcher.New(sched, in.registry, in.clock, dispatcher.Options{
 		MaxOpenCalls:        cfg.MaxOpenCalls,
 		ResponseWriteMargin: responseWriteMargin,
 		Logger:              log,
@@ -110,7 +114,7 @@
 	return in, nil
 }
 
-// newDialer returns the protocol towards targets: NVMe over TCP if the operator has set it up, and HTTP otherwise.
+// newDialer returns the dialer for targets: NVMe over TCP if the operator's file sets it up, HTTP otherwise.
 func newDialer(cfg *config.Config, operator *config.Operator) upstream.Dialer {
 	if operator.NVMe != nil {
 		return nvme.NewHost(nvmeHostOptions(operator.NVMe))
@@ -118,8 +122,8 @@
 	return upstream.NewHTTPDialer(cfg.MaxBufferedBytes())
 }
 
-// pollSpread returns the time over which the fleet spreads its polls after a start or a failure; 0 if discovery serves this
-// initiator alone.
+// pollSpread returns the time over which all initiators together spread their polls of discovery after a start or a failure.
+// It is 0 if discovery serves this initiator alone.
 func pollSpread(cfg *config.Config) time.Duration {
 	if !cfg.SharedDiscovery() {
 		return 0
@@ -127,8 +131,8 @@
 	return time.Duration(cfg.Scheduler.Initiators) * discovery.ExpectedPollTime
 }
 
-// newServers returns the clients' servers. With NVMe over TCP the HTTP server answers health checks alone, since all
-// targets speak NVMe.
+// newServers returns the servers for clients, by listen address. With NVMe over TCP, all targets speak NVMe, so the HTTP
+// server answers only health checks.
 func (in *initiator) newServers(operator *config.Operator) map[string]server {
 	cfg := in.config
 	servers := map[string]server{
@@ -149,8 +153,8 @@
 	return servers
 }
 
-// run serves until the context ends or a server fails, and then until the graceful shutdown is complete. It owns the background
-// goroutines: the graceful shutdown needs them, and they end when run returns.
+// run serves until ctx is done or a server fails, then shuts the servers down gracefully. The background goroutines keep
+// running during the shutdown, which needs them, and are stopped when run returns.
 func (in *initiator) run(ctx context.Context, options runOptions) error {
 	background, stopBackground := context.WithCancel(context.Background())
 	defer stopBackground()
@@ -177,7 +181,7 @@
 	}
 }
 
-// followDiscovery moves the watcher to each new address of discovery, until the context ends.
+// followDiscovery passes each new address of discovery to the watcher, until ctx is done.
 func (in *initiator) followDiscovery(ctx context.Context, addrs <-chan string) {
 	for {
 		select {
@@ -189,8 +193,8 @@
 	}
 }
 
-// startServers starts a goroutine for each server, which ends with its Shutdown. Errors of the servers go to the channel
-// returned.
+// startServers runs each server in a goroutine, which ends after the server's Shutdown. The returned channel receives the
+// error from each Serve.
 func (in *initiator) startServers(listeners map[string]net.Listener) <-chan error {
 	failed := make(chan error, len(in.servers))
 	for addr, server := range in.servers {
--- a/cmd/initiator/listen.go
+++ b/cmd/initiator/listen.go
@@ -9,16 +9,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// listen opens a listener for each server, or none if one fails. With shared addresses another initiator of this process
-// may listen at them, too.
+// listen opens a listener for each server. If one fails, it closes the others and returns the error. With shareAddresses,
+// another initiator in this process may listen on the same addresses.
 func (in *initiator) listen(ctx context.Context, shareAddresses bool) (map[string]net.Listener, error) {
-	var config net.ListenConfig
+	var listenConfig net.ListenConfig
 	if shareAddresses {
-		config.Control = setReusePort
+		listenConfig.Control = setReusePort
 	}
 	listeners := map[string]net.Listener{}
 	for addr := range in.servers {
-		listener, err := config.Listen(ctx, "tcp", addr)
+		listener, err := listenConfig.Listen(ctx, "tcp", addr)
 		if err != nil {
 			closeAll(listeners)
 			return nil, fmt.Errorf("listen: %w", err)
@@ -28,14 +28,15 @@
 	return listeners, nil
 }
 
-// closeAll closes listeners that no client has been accepted from.
+// closeAll closes listeners that have not accepted any client yet.
 func closeAll(listeners map[string]net.Listener) {
 	for _, listener := range listeners {
-		_ = listener.Close() // the error of the failed listen is the one to report
+		_ = listener.Close() // the error from the failed listen takes precedence
 	}
 }
 
-// setReusePort lets several sockets listen at the same address, for net.ListenConfig.
+// setReusePort sets SO_REUSEPORT, so that several sockets can listen on the same address. It is a net.ListenConfig.Control
+// function.
 func setReusePort(_, _ string, conn syscall.RawConn) error {
 	var optionErr error
 	err := conn.Control(func(fd uintptr) {
--- a/cmd/initiator/main.go
+++ b/cmd/initiator/main.go
@@ -1,5 +1,6 @@
-// Command initiator is the storage initiator: it runs the scheduler between clients and storage targets (serve), validates
-// configurations (check), and keeps the initiators' configurations (agent, config).
+// Command initiator runs a storage initiator between clients and storage targets (serve). It also validates configurations
+// (check), runs an agent of the store that holds the initiators' configurations (agent), reads and writes the configurations
+// in that store (config), and prints its version (version).
 package main
 
 import (
@@ -27,7 +28,7 @@
 	return root
 }
 
-// printf writes a command's output. A failure to write is ignored: there is nowhere else to report it.
+// printf writes a command's output. Write errors are ignored, because there is nowhere else to report them.
 func printf(cmd *cobra.Command, format string, args ...any) {
 	_, _ = fmt.Fprintf(cmd.OutOrStdout(), format, args...)
 }
--- a/cmd/initiator/nvme.go
+++ b/cmd/initiator/nvme.go
@@ -7,7 +7,7 @@
 	"dapplegate/internal/nvme"
 )
 
-// nvmeHostOptions returns the options of the host side: this initiator towards its targets.
+// nvmeHostOptions returns the options for connections to targets, on which this initiator is the NVMe host.
 func nvmeHostOptions(settings *config.NVMe) nvme.HostOptions {
 	return nvme.HostOptions{
 		Subsystem:        settings.TargetSubsystem,
@@ -18,7 +18,8 @@
 	}
 }
 
-// nvmeServerOptions returns the options of the controller side: this initiator towards its clients' hosts.
+// nvmeServerOptions returns the options for connections from the clients' hosts, to which this initiator is the NVMe
+// controller.
 func nvmeServerOptions(cfg *config.Config, settings *config.NVMe, log *slog.Logger) nvme.Options {
 	namespaces := make([]nvme.Namespace, 0, len(settings.Namespaces))
 	for i := range settings.Namespaces {
@@ -35,20 +36,21 @@
 	}
 }
 
-func nvmeNamespace(n *config.Namespace) nvme.Namespace {
+// nvmeNamespace converts a namespace of the operator's file to one of the NVMe server.
+func nvmeNamespace(namespace *config.Namespace) nvme.Namespace {
 	return nvme.Namespace{
-		ID:           n.ID,
-		Volume:       n.Volume,
-		Plan:         n.Plan,
-		Initiators:   n.Hosts,
-		BlockBytes:   n.BlockBytes,
-		Blocks:       n.Blocks,
-		StripeBlocks: n.StripeBlocks,
-		Shards:       n.Shards,
-		UnitBlocks:   n.UnitBlocks,
-		ReadClass:    n.Read,
-		WriteClass:   n.Write,
-		BulkClass:    n.Bulk,
-		BulkBlocks:   n.BulkBlocks,
+		ID:           namespace.ID,
+		Volume:       namespace.Volume,
+		Plan:         namespace.Plan,
+		Initiators:   namespace.Hosts,
+		BlockBytes:   namespace.BlockBytes,
+		Blocks:       namespace.Blocks,
+		StripeBlocks: namespace.StripeBlocks,
+		Shards:       namespace.Shards,
+		UnitBlocks:   namespace.UnitBlocks,
+		ReadClass:    namespace.Read,
+		WriteClass:   namespace.Write,
+		BulkClass:    namespace.Bulk,
+		BulkBlocks:   namespace.BulkBlocks,
 	}
 }
--- a/cmd/initiator/nvme_test.go
+++ b/cmd/initiator/nvme_test.go
@@ -11,45 +11,45 @@
 	"time"
 )
 
-// nvmeAddr is where the operator's file under deploy/ has NVMe over TCP listen.
+// nvmeAddr is the listen address in deploy/nvme.toml.
 const nvmeAddr = "127.0.0.1:4420"
 
-// deployedNVMe is the operator's file under deploy/ with the testbed's plan and class in place of the platform's.
+// deployedNVMe returns the text of deploy/nvme.toml with its plan and classes replaced by those of the testbed.
 func deployedNVMe(t *testing.T) string {
 	t.Helper()
 	raw, err := os.ReadFile("../../deploy/nvme.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	names := strings.NewReplacer("standard", "base", "event-write", "position-read", "history-export", "position-read")
-	return names.Replace(string(raw))
+	replacer := strings.NewReplacer("standard", "base", "event-write", "position-read", "history-export", "position-read")
+	return replacer.Replace(string(raw))
 }
 
-// TestNVMeOptions converts the operator's file under deploy/ to the options of both sides of NVMe over TCP: every field of
-// the file must arrive where it takes effect.
+// TestNVMeOptions converts the operator's file deploy/nvme.toml to the options of both sides of NVMe over TCP. Every field
+// of the file must reach the option that it sets.
 func TestNVMeOptions(t *testing.T) {
 	cfg, operator := newTestbed(t).mustLoad(t, deployedNVMe(t))
 	server := nvmeServerOptions(cfg, operator.NVMe, discardLog)
 	if len(server.Namespaces) != 1 || server.ClassDeadlines["position-read"] != 20*time.Second ||
 		server.QueueDepth != 64 || server.MaxConns != cfg.MaxClientConns() || server.MaxBufferedBytes != 48<<20 {
-		t.Errorf("controller side: %+v", server)
+		t.Errorf("options of the controller side: %+v", server)
 	}
 	namespace := server.Namespaces[0]
 	if namespace.ID != 1 || namespace.Volume != "00000003b4d60021" || namespace.Plan != "base" || namespace.Initiators != 1 ||
 		namespace.BlockBytes != 512 || namespace.Blocks != 2097152 || namespace.StripeBlocks != 2048 ||
 		len(namespace.Shards) != 4 || namespace.UnitBlocks != 16 || namespace.ReadClass != "position-read" ||
 		namespace.WriteClass != "position-read" || namespace.BulkClass != "position-read" || namespace.BulkBlocks != 64 {
-		t.Errorf("namespace: %+v", namespace)
+		t.Errorf("options of the namespace: %+v", namespace)
 	}
 
 	host := nvmeHostOptions(operator.NVMe)
 	if host.HostID[0] != 0x5f || host.KeepAliveTimeout != 5*time.Second || host.Digests ||
 		!strings.HasSuffix(host.Subsystem, ":target") || !strings.HasSuffix(host.HostNQN, ":initiator") {
-		t.Errorf("host side: %+v", host)
+		t.Errorf("options of the host side: %+v", host)
 	}
 }
 
-// waitUntilReady waits for the health check to succeed.
+// waitUntilReady waits until the health check succeeds.
 func (b *testbed) waitUntilReady(t *testing.T) {
 	t.Helper()
 	for deadline := time.Now().Add(waitTimeout); ; time.Sleep(10 * time.Millisecond) {
@@ -66,11 +66,11 @@
 	}
 }
 
-// TestServeNVMe serves by an operator's file: NVMe over TCP answers a host's connection request at its address, and the
-// platform's address has health checks alone.
+// TestServeNVMe runs an initiator with an operator's file. At the file's address, NVMe over TCP answers a host's connection
+// request. At the platform's address, HTTP answers only health checks.
 func TestServeNVMe(t *testing.T) {
 	const (
-		icReq      = 0 // PDU types: initialize connection, request and response
+		icReq      = 0 // PDU types: Initialize Connection Request and Response
 		icResp     = 1
 		icPDUBytes = 128
 	)
@@ -84,7 +84,7 @@
 	go func() { ended <- serve(ctx, cfg, operator, discardLog, options) }()
 	<-listening
 	if status, _ := b.request(); status != http.StatusNotFound {
-		t.Errorf("a request over HTTP: status %d", status)
+		t.Errorf("a request over HTTP: status %d, want 404", status)
 	}
 	b.waitUntilReady(t)
 
@@ -100,7 +100,7 @@
 	}
 	response := make([]byte, icPDUBytes)
 	if _, err := io.ReadFull(conn, response); err != nil || response[0] != icResp {
-		t.Errorf("the connection request was answered with %x, %v", response[:8], err)
+		t.Errorf("the response to the connection request: %x, %v, want an Initialize Connection Response", response[:8], err)
 	}
 	stop()
 	if err := <-ended; err != nil {
--- a/cmd/initiator/reload.go
+++ b/cmd/initiator/reload.go
@@ -9,16 +9,17 @@
 )
 
 const (
-	// reloadTimeout is how long a reload is retried: the discovery service that the old configuration names closes its
+	// reloadTimeout is how long a failed reload is retried. The discovery service named by the old configuration closes its
 	// connections 1.5 s after the signal.
 	reloadTimeout = 1500 * time.Millisecond
-	// reloadRetryInterval is the pause between two attempts.
+	// reloadRetryInterval is the pause between two reads of the configuration.
 	reloadRetryInterval = 50 * time.Millisecond
 )
 
-// watchReloads reads the configuration again at each SIGHUP and sends discovery's address, whenever that has changed, to the
-// channel returned; all other settings take effect at the next start. PROXY_DISCOVERY does not count: see config.Reload. A
-// configuration that cannot be used changes nothing. The goroutine ends when the channel of signals is closed.
+// watchReloads starts a goroutine that reads the configuration again at each SIGHUP. If the address of discovery has
+// changed, the new one is sent to the returned channel; all other settings take effect at the next start. PROXY_DISCOVERY is
+// ignored: see config.Reload. A configuration that cannot be used changes nothing. The goroutine ends when hangups is
+// closed.
 func watchReloads(hangups <-chan os.Signal, getenv func(string) string, discoveryAddr string, log *slog.Logger) <-chan string {
 	changes := make(chan string)
 	go func() {
@@ -38,8 +39,8 @@
 	return changes
 }
 
-// reloadConfig reads the configuration and retries until reloadTimeout if that fails: the file may be half written, or the
-// process out of descriptors for a moment. Another signal starts the timeout anew.
+// reloadConfig reads the configuration. It retries a failed read for reloadTimeout, because the file may be half written or
+// the process may be out of descriptors for a moment. Another signal restarts the timeout.
 func reloadConfig(hangups <-chan os.Signal, getenv func(string) string) (*config.Config, error) {
 	deadline := time.Now().Add(reloadTimeout)
 	for {
@@ -48,8 +49,8 @@
 			return cfg, err
 		}
 		select {
-		case _, open := <-hangups:
-			if !open {
+		case _, ok := <-hangups:
+			if !ok {
 				return nil, err
 			}
 			deadline = time.Now().Add(reloadTimeout)
--- a/cmd/initiator/reload_test.go
+++ b/cmd/initiator/reload_test.go
@@ -16,13 +16,11 @@
 	"dapplegate/internal/config"
 )
 
-// TestReloadOutlastsAFailingRead
-//
-// Symptom: a target that drains went on getting requests after a new configuration.
-// Sequence: the file cannot be read for a moment when SIGHUP arrives. The old discovery service ends 1.5 s later.
-// Cause: the configuration was read once for each signal, and given up if that failed.
-// Settled by the log: "configuration rejected", and no call at the new address.
-func TestReloadOutlastsAFailingRead(t *testing.T) {
+// TestReloadRetriesFailedRead guards against an initiator that keeps sending requests to a draining target after its
+// configuration has moved discovery. The initiator read the configuration only once for each SIGHUP. If the file could not
+// be read at that moment, the initiator logged "configuration rejected" and never called discovery at the new address, while
+// the old discovery service ended 1.5 s after the signal.
+func TestReloadRetriesFailedRead(t *testing.T) {
 	b := newTestbed(t)
 	configFile := filepath.Join(t.TempDir(), "config.json")
 	hangups := make(chan os.Signal, 1)
@@ -31,27 +29,28 @@
 	hangups <- syscall.SIGHUP
 	time.Sleep(2 * reloadRetryInterval) // several reads have failed by then
 	if _, err := config.Reload(getenv); !errors.Is(err, os.ErrNotExist) {
-		t.Fatalf("a read of the configuration: %v, want it to fail since there is no file yet", err)
+		t.Fatalf("reading the configuration before its file exists: %v, want os.ErrNotExist", err)
 	}
 	select {
 	case addr := <-addrs:
-		t.Fatalf("moved to %s without a configuration", addr)
+		t.Fatalf("discovery moved to %s before the configuration file existed", addr)
 	default:
 	}
-	const moved = "127.0.0.1:9"
-	writeFile(t, configFile, strings.Replace(b.config(), b.discoveryAddr, moved, 1))
+	const newAddr = "127.0.0.1:9"
+	writeFile(t, configFile, strings.Replace(b.config(), b.discoveryAddr, newAddr, 1))
 	select {
 	case got := <-addrs:
-		if got != moved {
-			t.Errorf("moved to %s, want %s", got, moved)
+		if got != newAddr {
+			t.Errorf("discovery moved to %s, want %s", got, newAddr)
 		}
 	case <-time.After(5 * time.Second):
-		t.Error("the configuration was not accepted")
+		t.Error("discovery did not move: the configuration was not accepted")
 	}
 	close(hangups)
 }
 
-// startDiscovery starts one more discovery service with the testbed's list, and returns its address and the calls it gets.
+// startDiscovery starts another discovery service with the testbed's endpoint list. It returns the service's address and a
+// channel with the URL of each call that it gets.
 func (b *testbed) startDiscovery(t *testing.T) (addr string, calls <-chan string) {
 	t.Helper()
 	received := make(chan string, 64)
@@ -63,9 +62,9 @@
 	return strings.TrimPrefix(service.URL, "http://"), received
 }
 
-// TestReloadMovesDiscovery replaces the configuration file under a running initiator and signals the process. A file that
-// cannot be used changes nothing. A good one moves discovery, although the environment names the old address: it is the file
-// that was replaced. Requests are served all along, and the initiator stops cleanly with a reload under way.
+// TestReloadMovesDiscovery replaces the configuration file of a running initiator and sends SIGHUP to the process. An
+// invalid file changes nothing. A valid one moves discovery to the address in the file, although PROXY_DISCOVERY still holds
+// the old address. Requests are served throughout, and the initiator stops cleanly during a reload.
 func TestReloadMovesDiscovery(t *testing.T) {
 	b := newTestbed(t)
 	configFile := filepath.Join(t.TempDir(), "config.json")
@@ -94,15 +93,15 @@
 	reload(`{"name":"n1"}`)
 	b.waitUntilServed(t)
 	for range 3 {
-		moved, calls := b.startDiscovery(t)
-		reload(strings.Replace(b.config(), b.discoveryAddr, moved, 1))
+		newAddr, calls := b.startDiscovery(t)
+		reload(strings.Replace(b.config(), b.discoveryAddr, newAddr, 1))
 		select {
 		case got := <-calls:
 			if got != "/api/targets" {
-				t.Errorf("first call at the new address: %q", got)
+				t.Errorf("first call at the new address: %q, want /api/targets", got)
 			}
 		case <-time.After(20 * time.Second):
-			t.Fatal("no call at the new address")
+			t.Fatal("discovery got no call at the new address")
 		}
 		b.waitUntilServed(t)
 	}
--- a/cmd/initiator/serve.go
+++ b/cmd/initiator/serve.go
@@ -12,14 +12,14 @@
 	"dapplegate/internal/config"
 )
 
-// Log lines about configurations, from the file and from the store alike.
+// Log messages about configurations, whether from the file or from the store.
 const (
 	eventConfigAccepted   = "configuration accepted"
 	eventConfigRejected   = "configuration rejected"
-	reasonConfigNotServed = "CONFIG_NOT_SERVED" // the file, the operator's file or an address of it cannot be used
+	reasonConfigNotServed = "CONFIG_NOT_SERVED" // the configuration, the operator's file or a listen address cannot be used
 )
 
-// serveFlags are the flags of the serve command.
+// serveFlags holds the flags of the serve command.
 type serveFlags struct {
 	operatorFile string
 	agents       []string
@@ -30,25 +30,25 @@
 	var flags serveFlags
 	cmd := &cobra.Command{
 		Use:   "serve",
-		Short: "Run one initiator, as the environment and its configuration say",
+		Short: "Run an initiator with the configuration that the environment names",
 		Args:  cobra.NoArgs,
 		RunE:  func(*cobra.Command, []string) error { return runServe(flags) },
 	}
 	cmd.Flags().StringVar(&flags.operatorFile, "operator", "",
-		"an operator's file (TOML), such as deploy/nvme.toml")
+		"path of an operator's file (TOML), such as deploy/nvme.toml")
 	cmd.Flags().TextVar(&flags.logLevel, "log-level", slog.LevelInfo,
-		"the lowest level that is logged; debug logs the steps of each request")
+		"minimum level of log messages; debug logs the steps of each request")
 	cmd.Flags().StringSliceVar(&flags.agents, "agents", nil,
-		"take the configuration of PROXY_NAME from these agents, and follow its changes")
+		"take the configuration named by PROXY_NAME from the agents at these addresses, and follow its changes")
 	return cmd
 }
 
-// runServe runs an initiator until SIGTERM or SIGINT, and then until its graceful shutdown is complete.
+// runServe runs an initiator until SIGTERM or SIGINT, then shuts it down gracefully and returns.
 func runServe(flags serveFlags) error {
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: flags.logLevel}))
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	// SIGHUP is handled from the start on: by default it would end the process.
+	// Handle SIGHUP before the configuration is loaded, because its default action is to end the process.
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 
@@ -64,14 +64,14 @@
 	return serve(ctx, cfg, operator, log, runOptions{discoveryAddrs: discoveryAddrs})
 }
 
-// ignoreReloads logs signals to reload in a process that has no configuration file.
+// ignoreReloads logs each SIGHUP and otherwise ignores it, in a process that has no configuration file to reload.
 func ignoreReloads(hangups <-chan os.Signal, log *slog.Logger) {
 	for range hangups {
 		log.Info("nothing to reload", slog.String("reason", "NO_CONFIG_FILE"))
 	}
 }
 
-// loadConfig reads the platform's configuration and the operator's file, if one is named.
+// loadConfig reads the platform's configuration and, unless its path is empty, the operator's file.
 func loadConfig(getenv func(string) string, operatorFile string) (*config.Config, *config.Operator, error) {
 	cfg, err := config.Load(getenv)
 	if err != nil {
@@ -81,7 +81,7 @@
 	return cfg, operator, err
 }
 
-// readOperator reads the operator's file; an empty path stands for a file that sets up nothing.
+// readOperator reads the operator's file. An empty path stands for a file that sets up nothing.
 func readOperator(path string, cfg *config.Config) (*config.Operator, error) {
 	if path == "" {
 		return &config.Operator{}, nil
--- a/cmd/initiator/serve_test.go
+++ b/cmd/initiator/serve_test.go
@@ -9,8 +9,8 @@
 	"dapplegate/internal/dispatcher"
 )
 
-// TestShutdownServesOpenRequests runs a whole initiator and stops it while a request is in flight: that request is served
-// before the initiator ends, and none is served after it.
+// TestShutdownServesOpenRequests stops an initiator while a request is in flight. That request must be served before the
+// initiator ends, and none after that.
 func TestShutdownServesOpenRequests(t *testing.T) {
 	b := newTestbed(t)
 	cfg, operator := b.mustLoad(t, "")
@@ -27,15 +27,15 @@
 	}()
 	<-b.received
 	stop()
-	time.Sleep(dispatcher.AcceptGrace + 150*time.Millisecond) // new connections are not accepted any more
+	time.Sleep(dispatcher.AcceptGrace + 150*time.Millisecond) // by then, new connections are no longer accepted
 	close(b.released)
 	if got := <-response; got != "200 "+targetBody {
-		t.Errorf("the request that was in flight: %s", got)
+		t.Errorf("the request in flight: %s, want status 200 and the target's body", got)
 	}
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
 	if status, _ := b.request(); status != 0 {
-		t.Errorf("served after the end: %d", status)
+		t.Errorf("a request after the initiator has ended: status %d, want no response", status)
 	}
 }
--- a/cmd/initiator/shutdown.go
+++ b/cmd/initiator/shutdown.go
@@ -9,21 +9,20 @@
 	"dapplegate/internal/dispatcher"
 )
 
-// The wait for the servers' graceful shutdown ends shutdownMargin after the longest deadline or, if that is longer, after
-// minShutdownTimeout. Both bound how long an open connection can hold up the end of the process. They don't bound requests:
-// these have their responses by the FinalAnswerBy of dispatcher.ShutdownSchedule, since SIGKILL may come before this wait
-// ends.
+// The servers' graceful shutdown is bounded by the longest deadline, or minShutdownTimeout if that is longer, plus
+// shutdownMargin. The bound limits how long an open connection can delay the end of the process. It is not a bound for
+// requests: SIGKILL may come earlier, so all requests have their responses by FinalAnswerBy of dispatcher.ShutdownSchedule.
 const (
 	minShutdownTimeout = 3 * time.Second
 	shutdownMargin     = 600 * time.Millisecond
 )
 
-// errSuperseded is the cause that stops an initiator whose successor has taken over its addresses. The process goes on, so
-// the dispatcher gets no deadline for its open requests until the process is to end. The servers still shorten the timeouts
-// of requests that come late in the shutdown.
-var errSuperseded = errors.New("a successor serves")
+// errSuperseded is the cancellation cause for an initiator whose successor has taken over its addresses. The process
+// continues, so the dispatcher gets no deadline for its open requests until the process is asked to terminate. The servers
+// still shorten the timeouts of requests that arrive late in the shutdown.
+var errSuperseded = errors.New("superseded by a successor")
 
-// shutdownReason says in the log why an initiator shuts down.
+// shutdownReason is the logged reason for a shutdown.
 type shutdownReason string
 
 const (
@@ -32,8 +31,8 @@
 	reasonServerFailed shutdownReason = "SERVER_FAILED"
 )
 
-// shutdown ends the servers gracefully: accepted requests get their responses first. While a superseded initiator shuts down,
-// terminated is closed when the process is to end.
+// shutdown shuts the servers down gracefully, so that accepted requests get their responses first. For a superseded
+// initiator, terminated is closed when the process is asked to terminate; otherwise it is nil.
 func (in *initiator) shutdown(reason shutdownReason, terminated <-chan struct{}) error {
 	in.log.Info("shutting down", slog.String("reason", string(reason)), slog.Int("open_calls", in.dispatcher.OpenCalls()))
 	maxDeadline := in.config.MaxDeadline()
@@ -42,16 +41,16 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), max(maxDeadline, minShutdownTimeout)+shutdownMargin)
 	defer cancel()
-	ended := make(chan error, len(in.servers))
+	results := make(chan error, len(in.servers))
 	for _, server := range in.servers {
-		go func() { ended <- server.Shutdown(ctx) }()
+		go func() { results <- server.Shutdown(ctx) }()
 	}
 	var err error
-	for left := len(in.servers); left > 0; {
+	for remaining := len(in.servers); remaining > 0; {
 		select {
-		case endError := <-ended:
-			err = errors.Join(err, endError)
-			left--
+		case shutdownErr := <-results:
+			err = errors.Join(err, shutdownErr)
+			remaining--
 		case <-terminated:
 			in.limitOpenCalls()
 			terminated = nil
@@ -61,7 +60,8 @@
 	return err
 }
 
-// limitOpenCalls has all open calls answered before SIGKILL may come, counted from now.
+// limitOpenCalls sets the dispatcher's deadline for all open calls, so that they are answered before SIGKILL may come. The
+// schedule is counted from now.
 func (in *initiator) limitOpenCalls() {
 	schedule := dispatcher.NewShutdownSchedule(in.config.MaxDeadline())
 	in.dispatcher.Shutdown(time.Now().Add(schedule.FinalAnswerBy))
--- a/cmd/initiator/shutdown_test.go
+++ b/cmd/initiator/shutdown_test.go
@@ -11,7 +11,8 @@
 	"dapplegate/internal/dispatcher"
 )
 
-// startInitiator runs an initiator for the testbed until the context ends. prepare may change its parts before.
+// startInitiator starts an initiator for the testbed and waits until it serves. prepare may change the initiator before it
+// runs. The initiator runs until ctx is done; the returned channel receives its error.
 func (b *testbed) startInitiator(
 	ctx context.Context, t *testing.T, options runOptions, prepare func(*initiator),
 ) (ended <-chan error) {
@@ -28,7 +29,8 @@
 	return result
 }
 
-// holdRequest sends a request that the target holds until released is closed, and returns where its status goes.
+// holdRequest sends a request that the target holds until b.released is closed. It returns once the target has the request,
+// with a channel that receives the status of the response.
 func (b *testbed) holdRequest() (status <-chan int) {
 	b.blocking.Store(true)
 	result := make(chan int, 1)
@@ -40,49 +42,46 @@
 	return result
 }
 
-// failingServer serves nothing, and fails when it is told to.
+// failingServer serves nothing. Its Serve returns the error that is sent to fail.
 type failingServer struct{ fail chan error }
 
 func (s failingServer) Serve(net.Listener) error { return <-s.fail }
 
 func (failingServer) Shutdown(context.Context) error { return nil }
 
-// TestServerFailureAnswersOpenRequests has one of two servers fail while the other has a request in flight.
-//
-// Rule: the request gets its response before the process ends with the server's error. Failure: the process ends at once, and
-// its clients see their connections reset.
+// TestServerFailureAnswersOpenRequests makes one of two servers fail while the other has a request in flight. The request
+// must get its response before the process ends with the server's error. The test guards against a process that ends at
+// once, which resets the connections of its clients.
 func TestServerFailureAnswersOpenRequests(t *testing.T) {
-	const endsWithin = 5 * time.Second
+	const responseTimeout = 5 * time.Second
 	b := newTestbed(t)
 	failing := failingServer{make(chan error, 1)}
 	ended := b.startInitiator(context.Background(), t, runOptions{}, func(in *initiator) { in.servers[freeAddr(t)] = failing })
 	status := b.holdRequest()
-	errFailed := errors.New("the listener is gone")
+	errFailed := errors.New("the listener has failed")
 	failing.fail <- errFailed
 	select {
 	case err := <-ended:
-		t.Errorf("ended with a request in flight, and with %v", err)
+		t.Errorf("ended with a request in flight: %v, want it to wait for the response", err)
 	case <-time.After(100 * time.Millisecond):
 	}
 	close(b.released)
 	select {
 	case got := <-status:
 		if got != http.StatusOK {
-			t.Errorf("the request in flight: status %d", got)
+			t.Errorf("the request in flight: status %d, want 200", got)
 		}
-	case <-time.After(endsWithin):
-		t.Fatalf("the request in flight has no response after %v", endsWithin)
+	case <-time.After(responseTimeout):
+		t.Fatalf("the request in flight has no response after %v", responseTimeout)
 	}
 	if err := <-ended; !errors.Is(err, errFailed) {
 		t.Errorf("ended with %v, want %v", err, errFailed)
 	}
 }
 
-// TestTerminationReachesSupersededInitiator ends the process while an initiator whose successor serves still has a request in
-// flight, with a target that hangs.
-//
-// Rule: the request has its response before SIGKILL may come. Failure: the request keeps its own timeout, 20 s here, since only
-// the successor is told that the process ends.
+// TestTerminationReachesSupersededInitiator terminates the process while a superseded initiator still has a request in
+// flight on a target that hangs. The request must have its response before SIGKILL may come. The test guards against a
+// termination that only the successor learns of: the request would then keep its own timeout, 20 s here.
 func TestTerminationReachesSupersededInitiator(t *testing.T) {
 	b := newTestbed(t)
 	defer close(b.released)
@@ -95,17 +94,17 @@
 	stop(errSuperseded)
 	select {
 	case got := <-status:
-		t.Fatalf("the request has status %d before the process ends", got)
+		t.Fatalf("the request has status %d before the process is terminated, want no response yet", got)
 	case <-time.After(100 * time.Millisecond):
 	}
 	terminate()
 	select {
 	case got := <-status:
 		if got == 0 || got == http.StatusOK {
-			t.Errorf("the request in flight: status %d", got)
+			t.Errorf("the request in flight: status %d, want an error status", got)
 		}
 	case <-time.After(schedule.FinalAnswerBy + 150*time.Millisecond):
-		t.Fatalf("no response %v after the process was to end", schedule.FinalAnswerBy)
+		t.Fatalf("the request in flight has no response %v after the termination", schedule.FinalAnswerBy)
 	}
 	if err := <-ended; err != nil {
 		t.Error(err)
--- a/cmd/initiator/stored.go
+++ b/cmd/initiator/stored.go
@@ -6,8 +6,8 @@
 	"dapplegate/internal/config"
 )
 
-// parseStored parses a configuration from the store. It must be complete, since the environment adds nothing to it, and be
-// that of the named initiator.
+// parseStored parses a configuration from the store. The configuration must be complete, because the environment does not
+// replace any field, and it must have the initiator's name.
 func parseStored(name string, text []byte) (*config.Config, error) {
 	cfg, err := config.Parse(text, config.NoEnvironment)
 	if err != nil {
--- a/cmd/initiator/testbed_test.go
+++ b/cmd/initiator/testbed_test.go
@@ -19,29 +19,29 @@
 )
 
 const (
-	// waitTimeout is how long a test waits for what may take a while on a busy machine.
+	// waitTimeout bounds each wait of a test. It is long enough for a busy machine.
 	waitTimeout = time.Minute
-	// initiatorName is the name in the testbed's configuration.
+	// initiatorName is the initiator's name in the testbed's configuration.
 	initiatorName = "n1"
-	// targetBody is what the testbed's target responds with.
+	// targetBody is the body of the responses of the testbed's target.
 	targetBody = "from the target"
 
-	settings = `{"peersTotal":1,"tickUs":2000,"classes":[{"name":"position-read","promiseUs":5000000,"deadlineUs":20000000,
+	testSettings = `{"peersTotal":1,"tickUs":2000,"classes":[{"name":"position-read","promiseUs":5000000,"deadlineUs":20000000,
  "effect":"pure","worth":3}],"contracts":[{"name":"base","usualRate":1000,"reservation":1000,"parts":1,"pays":1}],
  "extra":{"meanUnits":1,"largest":8},"limits":{"sendCap":3}}`
 )
 
 var discardLog = slog.New(slog.DiscardHandler)
 
-// testbed is what an initiator needs around it: a target, a discovery service that lists it, and a client.
+// testbed is the environment of an initiator under test: a target, a discovery service that lists the target, and a client.
 type testbed struct {
-	listen           string // where the initiator listens
+	listen           string // the initiator's listen address
 	discoveryAddr    string
 	discoveryHandler http.Handler
-	requestIDs       atomic.Int64
+	lastRequestID    atomic.Int64
 
 	blocking atomic.Bool   // the target holds requests until released is closed
-	received chan struct{} // gets a value for each request that is held
+	received chan struct{} // gets a value for each request that the target holds
 	released chan struct{}
 }
 
@@ -65,7 +65,7 @@
 	_, _ = io.WriteString(w, targetBody)
 }
 
-// discoveryHandler lists one target that serves, and never a change.
+// discoveryHandler responds with an endpoint list of one serving target. It does not answer a poll for changes.
 func discoveryHandler(targetAddr string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Has("after") {
@@ -76,22 +76,22 @@
 	})
 }
 
-// config is a configuration file for the testbed.
+// config returns the text of the testbed's configuration file.
 func (b *testbed) config() string {
-	return fmt.Sprintf(`{"name":%q,"listen":%q,"discovery":%q,"settings":%s}`, initiatorName, b.listen, b.discoveryAddr, settings)
+	return fmt.Sprintf(`{"name":%q,"listen":%q,"discovery":%q,"settings":%s}`, initiatorName, b.listen, b.discoveryAddr, testSettings)
 }
 
-// request sends one request on a connection of its own. A status of 0 says that there was no response; then the text is the
-// error.
+// request sends one request on a new connection and returns the status and body of the response. If there was no response,
+// it returns status 0 and the text of the error.
 func (b *testbed) request() (status int, text string) {
 	conn, err := net.Dial("tcp", b.listen)
 	if err != nil {
 		return 0, err.Error()
 	}
 	defer func() { _ = conn.Close() }()
-	// A failure to write is not final: the server may have responded and closed before.
+	// A write error is not final, because the server may already have responded and closed the connection.
 	_, _ = fmt.Fprintf(conn, "GET /position-read/7f3a9c21e0b4d655 HTTP/1.1\r\nHost: a\r\nRequest-Id: i%d\r\nTier: base\r\n"+
-		"Request-Timeout-Ms: 20000\r\nIO-Info: volume=00000003b4d60021,units=1,shard=0,hosts=1\r\n\r\n", b.requestIDs.Add(1))
+		"Request-Timeout-Ms: 20000\r\nIO-Info: volume=00000003b4d60021,units=1,shard=0,hosts=1\r\n\r\n", b.lastRequestID.Add(1))
 	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
 		return 0, err.Error()
@@ -114,12 +114,12 @@
 	}
 }
 
-// environment is an environment with these variables alone.
+// environment returns a getenv function for the given variables; all others are unset.
 func environment(variables map[string]string) func(string) string {
 	return func(name string) string { return variables[name] }
 }
 
-// freeAddr returns an address of the loopback interface that nobody listens at.
+// freeAddr returns a loopback address that no socket listens on.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -139,7 +139,8 @@
 	}
 }
 
-// mustLoad writes and loads the testbed's configuration, with an operator's file if its text is not empty.
+// mustLoad writes and loads the testbed's configuration and, unless operatorText is empty, an operator's file with that
+// text.
 func (b *testbed) mustLoad(t *testing.T, operatorText string) (*config.Config, *config.Operator) {
 	t.Helper()
 	dir := t.TempDir()
--- a/cmd/initiator/version.go
+++ b/cmd/initiator/version.go
@@ -17,7 +17,7 @@
 	}
 }
 
-// buildVersion returns the module's version and, if the build recorded it, the revision.
+// buildVersion returns the module's version and, if the build recorded it, the revision in version control.
 func buildVersion() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
