--- a/Makefile
+++ b/Makefile
@@ -10,11 +10,11 @@
 race:
 	go test -race ./...
 
-# The linter is pinned in tools/go.mod, apart from the product's modules.
+# tools/go.mod pins the linter's version, separately from the product's dependencies.
 lint:
 	go tool -modfile=tools/go.mod golangci-lint run ./...
 
-# PROXY_CONFIG names the configuration.
+# PROXY_CONFIG must hold the path of the configuration file.
 run: build
 	exec bin/initiator serve
 
