--- a/cmd/initiator/initiator.go
+++ b/cmd/initiator/initiator.go
@@ -128,7 +128,7 @@
 	if !cfg.SharedDiscovery() {
 		return 0
 	}
-	return time.Duration(cfg.Scheduler.Initiators) * discovery.ExpectedPollTime
+	return time.Duration(cfg.Scheduler.Initiators) * discovery.PollServiceTime
 }
 
 // newServers returns the servers for clients, by listen address. With NVMe over TCP, all targets speak NVMe, so the HTTP
