--- a/cmd/initiator/initiator.go
+++ b/cmd/initiator/initiator.go
@@ -73,7 +73,7 @@
 
 // serve runs an initiator until ctx is done or a server fails, then shuts it down gracefully and returns. The resource
 // limits apply to the whole process; they stay in force even if the initiator cannot be started.
-func serve(ctx context.Context, cfg *config.Config, operator *config.Operator, log *slog.Logger, options runOptions) error {
+func serve(ctx context.Context, cfg *config.Config, operator *config.OperatorFile, log *slog.Logger, options runOptions) error {
 	applyLimits(cfg.Limits)
 	in, err := newInitiator(cfg, operator, log)
 	if err != nil {
@@ -89,10 +89,10 @@
 }
 
 // newInitiator creates an initiator without starting any of its parts.
-func newInitiator(cfg *config.Config, operator *config.Operator, log *slog.Logger) (*initiator, error) {
+func newInitiator(cfg *config.Config, operator *config.OperatorFile, log *slog.Logger) (*initiator, error) {
 	sched, err := scheduler.New(cfg.Scheduler, cfg.Seed)
 	if err != nil {
-		return nil, config.Under("settings", err)
+		return nil, config.PrefixField("settings", err)
 	}
 	in := &initiator{config: cfg, log: log, clock: dispatcher.NewClock()}
 	in.registry = upstream.NewRegistry(upstream.Options{
@@ -115,7 +115,7 @@
 }
 
 // newDialer returns the dialer for targets: NVMe over TCP if the operator's file sets it up, HTTP otherwise.
-func newDialer(cfg *config.Config, operator *config.Operator) upstream.Dialer {
+func newDialer(cfg *config.Config, operator *config.OperatorFile) upstream.Dialer {
 	if operator.NVMe != nil {
 		return nvme.NewHost(nvmeHostOptions(operator.NVMe))
 	}
@@ -133,7 +133,7 @@
 
 // newServers returns the servers for clients, by listen address. With NVMe over TCP, all targets speak NVMe, so the HTTP
 // server answers only health checks.
-func (in *initiator) newServers(operator *config.Operator) map[string]server {
+func (in *initiator) newServers(operator *config.OperatorFile) map[string]server {
 	cfg := in.config
 	servers := map[string]server{
 		cfg.Listen: clienthttp.New(in.dispatcher, clienthttp.Options{
--- a/cmd/initiator/testbed_test.go
+++ b/cmd/initiator/testbed_test.go
@@ -141,7 +141,7 @@
 
 // mustLoad writes and loads the testbed's configuration and, unless operatorText is empty, an operator's file with that
 // text.
-func (b *testbed) mustLoad(t *testing.T, operatorText string) (*config.Config, *config.Operator) {
+func (b *testbed) mustLoad(t *testing.T, operatorText string) (*config.Config, *config.OperatorFile) {
 	t.Helper()
 	dir := t.TempDir()
 	configFile := filepath.Join(dir, "config.json")
--- a/cmd/simadapter/adapter.go
+++ b/cmd/simadapter/adapter.go
@@ -134,11 +134,11 @@
 	}
 	settings, err := event.Options.SchedulerSettings()
 	if err != nil {
-		return config.Under("options", err)
+		return config.PrefixField("options", err)
 	}
 	sched, err := scheduler.New(settings, seed)
 	if err != nil {
-		return config.Under("options", err)
+		return config.PrefixField("options", err)
 	}
 	a.schedulers[in.initiatorID] = sched
 	in.events = nil
