--- a/internal/faulttest/client_test.go
+++ b/internal/faulttest/client_test.go
@@ -13,41 +13,43 @@
 )
 
 const (
-	// crossingWindow is how soon after a request's last byte a close still counts as one that the initiator sent before the
-	// request arrived. Later, it closed the connection over the request.
+	// crossingWindow is how long after a request's last byte a close of the connection still counts as sent before the
+	// request arrived. A later close means that the initiator closed the connection although the request had arrived.
 	crossingWindow = 5 * time.Millisecond
-	// giveUpAfter is how long past its timeout, and the slack that is judged, a client waits for a response.
-	giveUpAfter = 200 * time.Millisecond
-	// maxSends is how often a client writes a request whose connection ended unread.
+	// readDeadlineMargin is how much longer than its timeout plus responseSlack a client waits for a response.
+	readDeadlineMargin = 200 * time.Millisecond
+	// maxSends is how often a client sends a request at most. It sends a request again if the connection ends before the
+	// initiator has read the request.
 	maxSends = 3
-	// dialTimeout is how long a connection to an initiator may take to come up.
+	// dialTimeout limits how long connecting to an initiator may take.
 	dialTimeout = time.Second
 )
 
-// errNoConnection says that there is no connection left to ask on.
-var errNoConnection = errors.New("no connection is left")
+// errNoConnection is the error for a request when no connection is idle and the client must not open a new one.
+var errNoConnection = errors.New("no connection is idle, and new connections are not allowed")
 
-// Client is a stand-in for the usual clients of one initiator: they keep their connections, and open more when all are
-// busy.
+// Client simulates the well-behaved clients of one initiator. They keep their connections open, and open new ones when all
+// are busy.
 type Client struct {
 	Addr string
-	// MayCloseUnread says that the initiator may close new connections unread, since there are too many.
+	// MayCloseUnread allows the initiator to close new connections without reading from them, because there are too many.
 	MayCloseUnread bool
 
-	ledger    *Ledger
+	history   *History
 	killed    atomic.Bool
-	reuseOnly atomic.Bool // no new connections are opened
+	reuseOnly atomic.Bool // do not open new connections
 	mu        sync.Mutex
 	idle      []net.Conn
 }
 
-// NewClient returns clients of the initiator at addr.
-func NewClient(addr string, ledger *Ledger) *Client { return &Client{Addr: addr, ledger: ledger} }
+// NewClient returns a client of the initiator at addr.
+func NewClient(addr string, history *History) *Client { return &Client{Addr: addr, history: history} }
 
-// MarkKilled notes that the initiator is about to be killed without notice: requests in flight then are not judged.
+// MarkKilled records that the initiator is about to be killed without a preceding SIGTERM. Requests that get no response
+// after that are not checked for one.
 func (c *Client) MarkKilled() { c.killed.Store(true) }
 
-// StopConnecting keeps the clients from opening connections: they go on with those that they have.
+// StopConnecting stops the client from opening new connections. It continues to use the ones that it has.
 func (c *Client) StopConnecting() { c.reuseOnly.Store(true) }
 
 // Close closes the idle connections.
@@ -55,13 +57,13 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, conn := range c.idle {
-		_ = conn.Close() // nothing is open on it
+		_ = conn.Close() // no request is in flight on it
 	}
 	c.idle = nil
 }
 
-// connect returns an idle connection, or a new one.
-func (c *Client) connect() (conn net.Conn, reused bool, err error) {
+// acquireConn returns an idle connection, or a new one if none is idle.
+func (c *Client) acquireConn() (conn net.Conn, reused bool, err error) {
 	if conn = c.takeIdle(); conn != nil {
 		return conn, true, nil
 	}
@@ -72,7 +74,7 @@
 	return conn, false, err
 }
 
-// takeIdle returns the connection that was used last; nil: none is idle.
+// takeIdle returns the idle connection that was used last, or nil if none is idle.
 func (c *Client) takeIdle() net.Conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -85,27 +87,28 @@
 	return conn
 }
 
-// Do sends a request, and notes how it ended. It sends it again on a new connection where the first ended unread.
-func (c *Client) Do(q Request) Outcome {
+// Do sends a request and records its outcome. If the connection ends before the initiator reads the request, Do sends the
+// request again on another connection, up to maxSends times in all.
+func (c *Client) Do(req Request) Outcome {
 	for sends := 1; ; sends++ {
-		o, connected := c.sendOnce(q)
-		if !o.Unread || !connected || sends == maxSends || q.Disconnects {
-			c.ledger.addOutcome(q.ID, o)
+		o, connected := c.sendOnce(req)
+		if !o.Unread || !connected || sends == maxSends || req.Disconnects {
+			c.history.recordOutcome(req.ID, o)
 			return o
 		}
 	}
 }
 
-// sendOnce sends a request once, and keeps the connection if it can be used again. It tells whether there was a connection at
-// all.
-func (c *Client) sendOnce(q Request) (o Outcome, connected bool) {
-	conn, reused, err := c.connect()
+// sendOnce sends a request once, and keeps the connection if it can be used again. It reports whether there was a
+// connection to send the request on.
+func (c *Client) sendOnce(req Request) (o Outcome, connected bool) {
+	conn, reused, err := c.acquireConn()
 	if err != nil {
 		return Outcome{Text: err.Error(), Unread: true}, false
 	}
-	o, keep := c.exchange(conn, reused, q)
+	o, keep := c.exchange(conn, reused, req)
 	if !keep {
-		_ = conn.Close() // the outcome is known
+		_ = conn.Close() // the outcome is already known
 		return o, true
 	}
 	c.mu.Lock()
@@ -114,17 +117,17 @@
 	return o, true
 }
 
-// exchange writes a request and reads its response.
-func (c *Client) exchange(conn net.Conn, reused bool, q Request) (o Outcome, keep bool) {
-	if err := q.writeTo(conn); err != nil {
+// exchange writes a request and reads its response. It returns whether the connection can be used again.
+func (c *Client) exchange(conn net.Conn, reused bool, req Request) (o Outcome, keep bool) {
+	if err := req.writeTo(conn); err != nil {
 		return Outcome{Text: err.Error(), Unread: true}, false
 	}
 	sentAt := time.Now()
-	c.recordSent(q, sentAt)
-	if q.Disconnects {
-		return c.disconnect(conn, q), false
+	c.recordSent(req, sentAt)
+	if req.Disconnects {
+		return c.disconnect(conn, req), false
 	}
-	if err := conn.SetReadDeadline(sentAt.Add(q.Timeout + responseSlack + giveUpAfter)); err != nil {
+	if err := conn.SetReadDeadline(sentAt.Add(req.Timeout + responseSlack + readDeadlineMargin)); err != nil {
 		return Outcome{Text: err.Error(), err: err}, false
 	}
 	o = c.classify(readResponse(bufio.NewReader(conn), sentAt), reused, sentAt)
@@ -134,26 +137,27 @@
 	return o, o.err == nil && !o.closesConnection
 }
 
-func (c *Client) recordSent(q Request, at time.Time) {
-	c.ledger.update(q.ID, func(r *record) {
+func (c *Client) recordSent(req Request, at time.Time) {
+	c.history.update(req.ID, func(r *requestRecord) {
 		r.sentAt = at
-		r.timeout = q.Timeout
-		r.nonIdempotent = q.Class.NonIdempotent
+		r.timeout = req.Timeout
+		r.nonIdempotent = req.Class.NonIdempotent
 	})
 }
 
-// disconnect has the client go without waiting for the response. Its caller closes the connection.
-func (c *Client) disconnect(conn net.Conn, q Request) Outcome {
-	time.Sleep(q.DisconnectAfter)
-	c.ledger.update(q.ID, func(r *record) { r.disconnectedAt = time.Now() })
-	if q.ByReset {
+// disconnect waits for the request's DisconnectAfter and records that the client disconnects without waiting for the
+// response. It resets the connection if the request says so; otherwise the caller closes it.
+func (c *Client) disconnect(conn net.Conn, req Request) Outcome {
+	time.Sleep(req.DisconnectAfter)
+	c.history.update(req.ID, func(r *requestRecord) { r.disconnectedAt = time.Now() })
+	if req.ResetOnDisconnect {
 		reset(conn)
 	}
-	return Outcome{Text: "disconnected", At: time.Now()}
+	return Outcome{Text: "disconnected", EndedAt: time.Now()}
 }
 
-// classify notes why there is no response: whether the initiator was killed, or ended the connection without having read the
-// request.
+// classify sets Killed and Unread in the outcome of a request without a response: whether the initiator was killed, and
+// whether the connection ended before the initiator read the request.
 func (c *Client) classify(o Outcome, reused bool, sentAt time.Time) Outcome {
 	if o.err == nil {
 		return o
@@ -161,60 +165,60 @@
 	o.Killed = c.killed.Load()
 	wasReset := errors.Is(o.err, syscall.ECONNRESET)
 	wasClosed := errors.Is(o.err, io.EOF) || errors.Is(o.err, io.ErrUnexpectedEOF)
-	crossed := o.Elapsed < crossingWindow+c.ledger.delays.Max(sentAt, o.At)
-	closedNew := wasReset && !reused && c.MayCloseUnread
-	o.Unread = !o.partial && (closedNew || (wasReset || wasClosed) && reused && crossed)
+	crossed := o.Elapsed < crossingWindow+c.history.delays.Longest(sentAt, o.EndedAt)
+	resetNew := wasReset && !reused && c.MayCloseUnread
+	o.Unread = !o.partial && (resetNew || (wasReset || wasClosed) && reused && crossed)
 	return o
 }
 
-// Pipeline sends several requests at once on a connection that no other request uses meanwhile, and reads their responses in
-// turn.
+// Pipeline sends several requests at once on a connection that no other request uses in the meantime, and reads their
+// responses in order.
 func (c *Client) Pipeline(requests []Request) {
-	conn, reused, err := c.connect()
+	conn, reused, err := c.acquireConn()
 	if err != nil {
 		return
 	}
-	defer func() { _ = conn.Close() }() // all outcomes are known
-	all := ""
-	for _, q := range requests {
-		all += q.encode()
+	defer func() { _ = conn.Close() }() // the outcomes are already known
+	encoded := ""
+	for _, req := range requests {
+		encoded += req.encode()
 	}
-	if _, err := io.WriteString(conn, all); err != nil {
+	if _, err := io.WriteString(conn, encoded); err != nil {
 		return
 	}
 	sentAt := time.Now()
-	in := bufio.NewReader(conn)
-	ended := false
-	for _, q := range requests {
-		c.recordSent(q, sentAt)
-		o := Outcome{Unread: ended}
-		if !ended {
-			o = c.readPipelined(conn, in, reused, q, sentAt)
-			// The first that has no response is the one to judge.
-			ended = o.closesConnection || o.Status == 0
+	reader := bufio.NewReader(conn)
+	connEnded := false
+	for _, req := range requests {
+		c.recordSent(req, sentAt)
+		o := Outcome{Unread: connEnded}
+		if !connEnded {
+			o = c.readPipelined(conn, reader, reused, req, sentAt)
+			// Only the first request without a response is checked. Those after it are recorded as unread.
+			connEnded = o.closesConnection || o.Status == 0
 		}
-		c.ledger.addOutcome(q.ID, o)
+		c.history.recordOutcome(req.ID, o)
 	}
 }
 
-// readPipelined reads the response to one of several requests that were sent at once.
-func (c *Client) readPipelined(conn net.Conn, in *bufio.Reader, reused bool, q Request, sentAt time.Time) Outcome {
-	if err := conn.SetReadDeadline(sentAt.Add(q.Timeout + responseSlack + giveUpAfter)); err != nil {
+// readPipelined reads the response to one of several pipelined requests.
+func (c *Client) readPipelined(conn net.Conn, reader *bufio.Reader, reused bool, req Request, sentAt time.Time) Outcome {
+	if err := conn.SetReadDeadline(sentAt.Add(req.Timeout + responseSlack + readDeadlineMargin)); err != nil {
 		return Outcome{Text: err.Error(), err: err}
 	}
-	return c.classify(readResponse(in, sentAt), reused, sentAt)
+	return c.classify(readResponse(reader, sentAt), reused, sentAt)
 }
 
-// readResponse reads one response to a request whose last byte was sent at that time.
-func readResponse(in *bufio.Reader, sentAt time.Time) Outcome {
+// readResponse reads the response to a request whose last byte was written at sentAt.
+func readResponse(reader *bufio.Reader, sentAt time.Time) Outcome {
 	o := Outcome{}
-	resp, err := http.ReadResponse(in, nil)
+	resp, err := http.ReadResponse(reader, nil)
 	var body []byte
 	if err == nil {
 		body, err = io.ReadAll(resp.Body)
 	}
-	o.At = time.Now()
-	o.Elapsed = o.At.Sub(sentAt)
+	o.EndedAt = time.Now()
+	o.Elapsed = o.EndedAt.Sub(sentAt)
 	if err != nil {
 		o.Text = err.Error()
 		o.err = err
--- a/internal/faulttest/config_test.go
+++ b/internal/faulttest/config_test.go
@@ -6,29 +6,29 @@
 )
 
 const (
-	// maxCountedDeadline is the longest deadline that counts for the time of SIGKILL.
-	maxCountedDeadline = 3 * time.Second
-	// killDelay is how long after the longest deadline SIGKILL may come.
-	killDelay = 700 * time.Millisecond
+	// maxDeadlineBeforeKill is the longest deadline that KillAfter takes into account. Longer ones count as this one.
+	maxDeadlineBeforeKill = 3 * time.Second
+	// killMargin is the time that KillAfter adds to the longest deadline.
+	killMargin = 700 * time.Millisecond
 )
 
-// Class is a request class as the settings tell it.
+// Class is a request class of the configuration.
 type Class struct {
 	Name          string
 	Deadline      time.Duration
 	NonIdempotent bool
 }
 
-// Config is what an initiator is told at its start.
+// Config holds the values of an initiator's configuration that differ between tests.
 type Config struct {
 	Listen    string
 	Discovery string
 	Classes   []Class
 	Cores     float64
-	Sockets   int // file descriptors
+	Sockets   int // limit on open file descriptors
 }
 
-// MaxDeadline returns the longest deadline of the classes.
+// MaxDeadline returns the longest deadline of all classes.
 func (c Config) MaxDeadline() time.Duration {
 	longest := time.Duration(0)
 	for _, class := range c.Classes {
@@ -37,12 +37,12 @@
 	return longest
 }
 
-// KillAfter returns how soon SIGKILL may follow SIGTERM.
+// KillAfter returns the shortest time after SIGTERM at which SIGKILL may follow.
 func (c Config) KillAfter() time.Duration {
-	return min(c.MaxDeadline(), maxCountedDeadline) + killDelay
+	return min(c.MaxDeadline(), maxDeadlineBeforeKill) + killMargin
 }
 
-// JSON returns the configuration file.
+// JSON returns the content of the configuration file.
 func (c Config) JSON() []byte {
 	classes := make([]map[string]any, 0, len(c.Classes))
 	for _, class := range c.Classes {
@@ -62,7 +62,7 @@
 			"limits":    map[string]any{"sendCap": 3, "dialTimeoutUs": 250000, "connIdleUs": 30000000}},
 	})
 	if err != nil {
-		panic(err) // only values that can be encoded
+		panic(err) // cannot happen: every value can be encoded
 	}
 	return raw
 }
--- a/internal/faulttest/delay_test.go
+++ b/internal/faulttest/delay_test.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// delayPollInterval is the time between two looks of a DelayMonitor.
+// delayPollInterval is how long a DelayMonitor sleeps between two measurements.
 const delayPollInterval = 2 * time.Millisecond
 
-// DelayMonitor measures by how much this process itself runs late, so that its own delays are not taken for those of
-// the initiators it judges.
+// DelayMonitor measures scheduling delays of the test process, so that the checks do not attribute them to the initiators
+// under test.
 type DelayMonitor struct {
 	mu     sync.Mutex
 	delays []delay
@@ -17,13 +17,13 @@
 	done   chan struct{}
 }
 
-// delay is one late wake-up of the monitor.
+// delay is a period in which the monitor woke up late.
 type delay struct {
-	until time.Time
-	by    time.Duration
+	end    time.Time
+	length time.Duration
 }
 
-// NewDelayMonitor starts a monitor; Stop ends it.
+// NewDelayMonitor starts a monitor. The caller must stop it with Stop.
 func NewDelayMonitor() *DelayMonitor {
 	m := &DelayMonitor{stop: make(chan struct{}), done: make(chan struct{})}
 	go m.run()
@@ -48,21 +48,22 @@
 	}
 }
 
-// Stop ends the monitor.
+// Stop stops the monitor and waits until it has stopped.
 func (m *DelayMonitor) Stop() {
 	close(m.stop)
 	<-m.done
 }
 
-// Max returns the longest delay of this process that overlaps the span, plus what the monitor cannot see.
-func (m *DelayMonitor) Max(from, to time.Time) time.Duration {
+// Longest returns the longest delay of the test process that overlaps the period between from and to. It adds the longest
+// delay that the monitor cannot detect.
+func (m *DelayMonitor) Longest(from, to time.Time) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	const unseen = 2 * delayPollInterval
-	longest := unseen
+	const undetected = 2 * delayPollInterval
+	longest := undetected
 	for _, d := range m.delays {
-		if d.until.After(from) && d.until.Add(-d.by).Before(to) {
-			longest = max(longest, d.by+unseen)
+		if d.end.After(from) && d.end.Add(-d.length).Before(to) {
+			longest = max(longest, d.length+undetected)
 		}
 	}
 	return longest
--- a/internal/faulttest/discovery_test.go
+++ b/internal/faulttest/discovery_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Entry is a target as discovery lists it.
-type Entry struct {
+// Endpoint is a target in discovery's endpoint list.
+type Endpoint struct {
 	ID      string `json:"id"`
 	Addr    string `json:"addr"`
 	Zone    string `json:"zone"`
@@ -19,93 +19,94 @@
 	Started int64  `json:"started_ms"`
 }
 
-// endpointList is the whole list in discovery's form.
+// endpointList is discovery's response: the full endpoint list.
 type endpointList struct {
-	Version int     `json:"version"`
-	Full    bool    `json:"full"`
-	Servers []Entry `json:"servers"`
+	Version int        `json:"version"`
+	Full    bool       `json:"full"`
+	Servers []Endpoint `json:"servers"`
 }
 
-// The states of an entry.
+// The states of an endpoint.
 const (
 	Serving  = "SERVING"
 	Draining = "DRAINING"
 	Deleted  = "DELETED"
 )
 
-// Discovery is a stand-in for the service that lists targets. It answers at several addresses, and can be suspended.
+// Discovery is a fake of the service that lists targets. It can listen at several addresses, and it can be suspended.
 type Discovery struct {
-	ledger    *Ledger
+	history   *History
 	mu        sync.Mutex
 	version   int
-	entries   []Entry // in order of the versions that changed them
-	changed   chan struct{}
-	suspended chan struct{} // closed when a suspension ends; nil: it answers
-	servers   map[string]*http.Server
+	endpoints []Endpoint              // in the order in which they were last set
+	changed   chan struct{}           // closed and replaced when the list changes
+	suspended chan struct{}           // closed when the suspension ends; nil while not suspended
+	servers   map[string]*http.Server // by address
 }
 
-// NewDiscovery returns a discovery with no target and no address.
-func NewDiscovery(ledger *Ledger) *Discovery {
-	return &Discovery{ledger: ledger, version: 1, changed: make(chan struct{}), servers: map[string]*http.Server{}}
+// NewDiscovery returns a fake discovery without targets that listens at no address yet.
+func NewDiscovery(history *History) *Discovery {
+	return &Discovery{history: history, version: 1, changed: make(chan struct{}), servers: map[string]*http.Server{}}
 }
 
-// Listen opens an address at which the list can be asked for.
+// Listen starts serving the endpoint list at a new address and returns the address.
 func (d *Discovery) Listen() (string, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
-	s := &http.Server{Handler: d}
+	server := &http.Server{Handler: d}
 	d.mu.Lock()
-	d.servers[l.Addr().String()] = s
+	d.servers[listener.Addr().String()] = server
 	d.mu.Unlock()
-	go func() { _ = s.Serve(l) }() // it ends with the address
-	return l.Addr().String(), nil
+	go func() { _ = server.Serve(listener) }() // returns an error when the address is closed
+	return listener.Addr().String(), nil
 }
 
-// CloseAddress closes an address and its open connections.
+// CloseAddress stops serving at an address and closes the connections there.
 func (d *Discovery) CloseAddress(addr string) {
 	d.mu.Lock()
-	s := d.servers[addr]
+	server := d.servers[addr]
 	delete(d.servers, addr)
 	d.mu.Unlock()
-	if s != nil {
-		_ = s.Close() // the listener may be closed already
+	if server != nil {
+		_ = server.Close() // the listener may be closed already
 	}
 }
 
-// Stop closes all addresses.
+// Stop ends a suspension and closes all addresses.
 func (d *Discovery) Stop() {
 	d.Resume()
 	d.mu.Lock()
 	servers := d.servers
 	d.servers = map[string]*http.Server{}
 	d.mu.Unlock()
-	for _, s := range servers {
-		_ = s.Close() // the listener may be closed already
+	for _, server := range servers {
+		_ = server.Close() // the listener may be closed already
 	}
 }
 
-// Set puts an entry into the list, in place of an older one of its id.
-func (d *Discovery) Set(e Entry) {
+// Set adds an endpoint to the list, and replaces the one with the same ID. An endpoint with the state Deleted is removed
+// from the list.
+func (d *Discovery) Set(endpoint Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	entries := d.entries[:0:0]
-	for _, x := range d.entries {
-		if x.ID != e.ID {
-			entries = append(entries, x)
+	endpoints := d.endpoints[:0:0]
+	for _, existing := range d.endpoints {
+		if existing.ID != endpoint.ID {
+			endpoints = append(endpoints, existing)
 		}
 	}
-	if e.State != Deleted {
-		entries = append(entries, e)
+	if endpoint.State != Deleted {
+		endpoints = append(endpoints, endpoint)
 	}
-	d.entries = entries
+	d.endpoints = endpoints
 	d.version++
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// Suspend leaves all calls without a response until Resume.
+// Suspend leaves all requests without a response until Resume is called.
 func (d *Discovery) Suspend() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -124,11 +125,12 @@
 	}
 }
 
-// ServeHTTP responds with the whole list, for a watch once it is newer than what the caller has.
+// ServeHTTP responds with the full endpoint list. It waits until the list is newer than the version in the query parameter
+// after, for at most wait_ms milliseconds. While discovery is suspended, it does not respond.
 func (d *Discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
-	after, _ := strconv.Atoi(query.Get("after"))    // absent: 0, older than any list
-	waitMs, _ := strconv.Atoi(query.Get("wait_ms")) // absent: no wait
+	after, _ := strconv.Atoi(query.Get("after"))    // 0 if absent, which is older than any list
+	waitMs, _ := strconv.Atoi(query.Get("wait_ms")) // 0 if absent: do not wait
 	timeout := time.After(time.Duration(waitMs) * time.Millisecond)
 	for waiting := true; waiting; {
 		d.mu.Lock()
@@ -153,18 +155,18 @@
 			}
 		}
 	}
-	d.write(w)
+	d.writeList(w)
 }
 
-func (d *Discovery) write(w http.ResponseWriter) {
+func (d *Discovery) writeList(w http.ResponseWriter) {
 	d.mu.Lock()
-	list := endpointList{Version: d.version, Full: true, Servers: d.entries}
+	list := endpointList{Version: d.version, Full: true, Servers: d.endpoints}
 	d.mu.Unlock()
-	_ = json.NewEncoder(w).Encode(list) // an initiator that has ended reads nothing
+	_ = json.NewEncoder(w).Encode(list) // fails if the initiator has exited
 	now := time.Now()
-	for _, e := range list.Servers {
-		if e.State == Draining {
-			d.ledger.RecordDrain(e.ID, now)
+	for _, endpoint := range list.Servers {
+		if endpoint.State == Draining {
+			d.history.RecordDrain(endpoint.ID, now)
 		}
 	}
 }
--- a/internal/faulttest/malformed_test.go
+++ b/internal/faulttest/malformed_test.go
@@ -11,13 +11,14 @@
 	"time"
 )
 
-// malformedTimeout is how soon a client that sends a malformed request is owed an error or a close.
+// malformedTimeout is how soon an initiator must respond to a malformed request with an error or close the connection.
 const malformedTimeout = 3 * time.Second
 
-// MalformedRequest is a request that cannot be served, or part of one.
+// MalformedRequest is an invalid or incomplete request.
 type MalformedRequest string
 
-// MalformedRequests are what bad clients send. Each is owed an error or a close.
+// MalformedRequests are the malformed requests of the soak test. The initiator must respond to each with an error or close
+// the connection.
 var MalformedRequests = []MalformedRequest{
 	"\x16\x03\x01noise\r\n\r\n",
 	"GET / HTTP/1.1\r\nA: " + MalformedRequest(strings.Repeat("b", 40<<10)),
@@ -29,16 +30,17 @@
 	"G",
 }
 
-// SendMalformed sends a malformed request. It returns an error if there is neither an error nor a close in time.
+// SendMalformed sends a malformed request. It returns an error if the initiator neither responds with an HTTP error nor
+// closes the connection within malformedTimeout.
 func SendMalformed(addr string, request MalformedRequest) error {
 	conn, err := net.DialTimeout("tcp", addr, dialTimeout)
 	if err != nil {
-		return nil // an address that is no longer listened at has closed
+		return nil // the initiator is not listening, which counts as a close
 	}
-	defer func() { _ = conn.Close() }() // the response is not needed any more
-	begun := time.Now()
+	defer func() { _ = conn.Close() }() // the response is no longer needed
+	start := time.Now()
 	go func() { _, _ = io.WriteString(conn, string(request)) }() // may fail: the initiator may close first
-	if err := conn.SetReadDeadline(begun.Add(malformedTimeout)); err != nil {
+	if err := conn.SetReadDeadline(start.Add(malformedTimeout)); err != nil {
 		return err
 	}
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -46,11 +48,12 @@
 	case err == nil && resp.StatusCode >= http.StatusBadRequest:
 		return nil
 	case err == nil:
-		return fmt.Errorf("%.30q got a response with status %d", request, resp.StatusCode)
+		return fmt.Errorf("malformed request %.30q: got status %d, want an error status", request, resp.StatusCode)
 	}
-	var timeout net.Error
-	if errors.As(err, &timeout) && timeout.Timeout() {
-		return fmt.Errorf("%.30q got neither an error nor a close within %v", request, malformedTimeout)
+	var netErr net.Error
+	if errors.As(err, &netErr) && netErr.Timeout() {
+		return fmt.Errorf("malformed request %.30q: got neither an error response nor a close within %v",
+			request, malformedTimeout)
 	}
 	return nil
 }
--- a/internal/faulttest/process_test.go
+++ b/internal/faulttest/process_test.go
@@ -17,38 +17,38 @@
 	"golang.org/x/sys/unix"
 )
 
-// Build builds the initiator's program into a folder and returns its path.
-func Build(dir string) (string, error) {
+// BuildInitiator builds the initiator in the directory dir and returns the path of the binary.
+func BuildInitiator(dir string) (string, error) {
 	path := filepath.Join(dir, "initiator")
 	out, err := exec.Command("go", "build", "-o", path, "dapplegate/cmd/initiator").CombinedOutput()
 	if err != nil {
-		return "", fmt.Errorf("build: %w: %s", err, out)
+		return "", fmt.Errorf("building the initiator: %w: %s", err, out)
 	}
 	return path, nil
 }
 
 const (
-	// readyTimeout is how long an initiator may take to be ready.
+	// readyTimeout is how long an initiator may take to become ready.
 	readyTimeout = 30 * time.Second
-	// readyPollInterval is the time between two looks whether it is.
+	// readyPollInterval is the time between two readiness checks.
 	readyPollInterval = 5 * time.Millisecond
-	// stopTimeout bounds the wait until a process stands still after SIGSTOP.
+	// stopTimeout limits the wait for a process to stop after SIGSTOP.
 	stopTimeout = time.Second
-	// exhaustedDescriptors is a limit below the number of descriptors that any initiator has open.
-	exhaustedDescriptors = 4
+	// exhaustedDescriptorLimit is a limit on open file descriptors that every running initiator already exceeds.
+	exhaustedDescriptorLimit = 4
 )
 
-// Process is one run of an initiator.
+// Process is a running initiator.
 type Process struct {
-	Config Config
-	path   string // of the configuration file
-	cmd    *exec.Cmd
-	log    lockedBuffer
-	ended  chan struct{}
-	err    error // how it ended, once ended is closed
+	Config     Config
+	configPath string
+	cmd        *exec.Cmd
+	log        lockedBuffer
+	exited     chan struct{}
+	err        error // the result of cmd.Wait; valid once exited is closed
 }
 
-// lockedBuffer is a log that is read while it is written.
+// lockedBuffer collects a process's log. It can be read while the process writes to it.
 type lockedBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -60,40 +60,41 @@
 	return b.buf.Write(p)
 }
 
-// Start runs the program and waits until it is ready.
+// Start starts the initiator binary with the given configuration, which it writes to dir, and waits until the initiator is
+// ready.
 func Start(program, dir string, config Config) (*Process, error) {
-	p := &Process{Config: config, path: filepath.Join(dir, "config.json"), ended: make(chan struct{})}
-	if err := p.Configure(config); err != nil {
+	p := &Process{Config: config, configPath: filepath.Join(dir, "config.json"), exited: make(chan struct{})}
+	if err := p.WriteConfig(config); err != nil {
 		return nil, err
 	}
 	p.cmd = exec.Command(program, "serve", "--log-level", "debug")
-	p.cmd.Env = append(os.Environ(), "PROXY_CONFIG="+p.path, "PROXY_NAME=", "PROXY_LISTEN=", "PROXY_DISCOVERY=")
+	p.cmd.Env = append(os.Environ(), "PROXY_CONFIG="+p.configPath, "PROXY_NAME=", "PROXY_LISTEN=", "PROXY_DISCOVERY=")
 	p.cmd.Stderr = &p.log
 	if err := p.cmd.Start(); err != nil {
 		return nil, err
 	}
 	go func() {
 		p.err = p.cmd.Wait()
-		close(p.ended)
+		close(p.exited)
 	}()
 	return p, p.awaitReady()
 }
 
-// Configure replaces the configuration file, in one step.
-func (p *Process) Configure(config Config) error {
-	next := p.path + ".next"
-	if err := os.WriteFile(next, config.JSON(), 0o600); err != nil {
+// WriteConfig replaces the configuration file atomically.
+func (p *Process) WriteConfig(config Config) error {
+	temporary := p.configPath + ".next"
+	if err := os.WriteFile(temporary, config.JSON(), 0o600); err != nil {
 		return err
 	}
 	p.Config = config
-	return os.Rename(next, p.path)
+	return os.Rename(temporary, p.configPath)
 }
 
 func (p *Process) awaitReady() error {
-	for end := time.Now().Add(readyTimeout); time.Now().Before(end); time.Sleep(readyPollInterval) {
+	for deadline := time.Now().Add(readyTimeout); time.Now().Before(deadline); time.Sleep(readyPollInterval) {
 		select {
-		case <-p.ended:
-			return fmt.Errorf("the initiator ended before it was ready: %w: %s", p.err, p.Log(""))
+		case <-p.exited:
+			return fmt.Errorf("the initiator exited before it was ready: %w: %s", p.err, p.LogLines(""))
 		default:
 		}
 		if p.ready() {
@@ -102,118 +103,118 @@
 		}
 	}
 	p.Kill()
-	return fmt.Errorf("the initiator was not ready within %v: %s", readyTimeout, p.Log(""))
+	return fmt.Errorf("the initiator was not ready after %v: %s", readyTimeout, p.LogLines(""))
 }
 
-// ready asks the initiator once whether it is ready.
+// ready sends one readiness check.
 func (p *Process) ready() bool {
 	resp, err := http.Get("http://" + p.Config.Listen + "/-/ready")
 	if err != nil {
 		return false
 	}
-	_ = resp.Body.Close() // only the status is wanted
+	_ = resp.Body.Close() // only the status is needed
 	return resp.StatusCode == http.StatusOK
 }
 
-// Signal sends the process a signal. One that has ended gets none.
-func (p *Process) Signal(s syscall.Signal) { _ = p.cmd.Process.Signal(s) }
+// Signal sends a signal to the process. It does nothing if the process has exited.
+func (p *Process) Signal(sig syscall.Signal) { _ = p.cmd.Process.Signal(sig) }
 
-// Pause stops the process for a while, as a busy machine would. If meanwhile is not nil, it is called once the process stands
-// still.
-func (p *Process) Pause(d time.Duration, meanwhile func()) {
+// Pause stops the process for a while, to simulate a busy machine that does not schedule it. If whilePaused is not nil,
+// Pause calls it once the process has stopped.
+func (p *Process) Pause(duration time.Duration, whilePaused func()) {
 	p.Signal(syscall.SIGSTOP)
-	begun := time.Now()
-	for !p.stopped() && time.Since(begun) < stopTimeout {
+	start := time.Now()
+	for !p.stopped() && time.Since(start) < stopTimeout {
 		time.Sleep(100 * time.Microsecond)
 	}
-	if meanwhile != nil {
-		meanwhile()
+	if whilePaused != nil {
+		whilePaused()
 	}
-	time.Sleep(time.Until(begun.Add(d)))
+	time.Sleep(time.Until(start.Add(duration)))
 	p.Signal(syscall.SIGCONT)
 }
 
-// ExhaustDescriptors leaves the process no descriptor to open for a while, so that accept, socket and open fail. What is open
-// stays.
-func (p *Process) ExhaustDescriptors(d time.Duration) error {
-	var before unix.Rlimit
+// ExhaustDescriptors lowers the process's limit on open file descriptors for a while, so that accept, socket and open fail.
+// Descriptors that are already open stay usable.
+func (p *Process) ExhaustDescriptors(duration time.Duration) error {
+	var original unix.Rlimit
 	pid := p.cmd.Process.Pid
-	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, nil, &before); err != nil {
+	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, nil, &original); err != nil {
 		return err
 	}
-	exhausted := unix.Rlimit{Cur: exhaustedDescriptors, Max: before.Max}
+	exhausted := unix.Rlimit{Cur: exhaustedDescriptorLimit, Max: original.Max}
 	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, &exhausted, nil); err != nil {
 		return err
 	}
-	time.Sleep(d)
-	return unix.Prlimit(pid, unix.RLIMIT_NOFILE, &before, nil)
+	time.Sleep(duration)
+	return unix.Prlimit(pid, unix.RLIMIT_NOFILE, &original, nil)
 }
 
-// stopped tells whether the process stands still after SIGSTOP.
+// stopped reports whether SIGSTOP has taken effect, or the process has exited.
 func (p *Process) stopped() bool {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
 	if err != nil {
-		return true // it has ended
+		return true // the process has exited
 	}
 	_, state, _ := strings.Cut(string(stat), ") ")
 	return strings.HasPrefix(state, "T")
 }
 
-// Kill ends the process at once, and waits until it has ended.
+// Kill sends SIGKILL and waits until the process has exited.
 func (p *Process) Kill() {
 	p.Signal(syscall.SIGKILL)
-	<-p.ended
+	<-p.exited
 }
 
-// Ended tells whether the process has ended, and how.
-func (p *Process) Ended() (bool, error) {
+// Exited reports whether the process has exited, and with which error.
+func (p *Process) Exited() (bool, error) {
 	select {
-	case <-p.ended:
+	case <-p.exited:
 		return true, p.err
 	default:
 		return false, nil
 	}
 }
 
-// Await waits until the process has ended; false when it has not by then.
-func (p *Process) Await(d time.Duration) bool {
+// WaitForExit waits until the process has exited. It returns false if that takes longer than the timeout.
+func (p *Process) WaitForExit(timeout time.Duration) bool {
 	select {
-	case <-p.ended:
+	case <-p.exited:
 		return true
-	case <-time.After(d):
+	case <-time.After(timeout):
 		return false
 	}
 }
 
-// Log returns the lines of the process's log that contain the text.
-func (p *Process) Log(text string) string {
-	return p.logLines(func(line string) bool { return strings.Contains(line, text) })
+// LogLines returns the lines of the process's log that contain the substring.
+func (p *Process) LogLines(substring string) string {
+	return p.filterLog(func(line string) bool { return strings.Contains(line, substring) })
 }
 
-// LogOf returns the lines of the process's log on a request.
-func (p *Process) LogOf(requestID string) string {
+// RequestLog returns the lines of the process's log about one request.
+func (p *Process) RequestLog(requestID string) string {
 	field := "request=" + requestID
-	return p.logLines(func(line string) bool { return slices.Contains(strings.Fields(line), field) })
+	return p.filterLog(func(line string) bool { return slices.Contains(strings.Fields(line), field) })
 }
 
-func (p *Process) logLines(matches func(line string) bool) string {
+func (p *Process) filterLog(matches func(line string) bool) string {
 	p.log.mu.Lock()
 	defer p.log.mu.Unlock()
-	var found strings.Builder
+	var lines strings.Builder
 	for line := range strings.Lines(p.log.buf.String()) {
 		if matches(line) {
-			found.WriteString(line)
+			lines.WriteString(line)
 		}
 	}
-	return found.String()
+	return lines.String()
 }
 
-// addresses counts the addresses given out.
-var addresses atomic.Int32
+// addressCount is the number of addresses that NewListenAddress has returned.
+var addressCount atomic.Int32
 
-// Address returns an address of the loopback for an initiator alone: a port of the stand-ins' own host might be taken by one
-// of them while the initiator is restarted.
-func Address() string {
-	n := addresses.Add(1)
+// NewListenAddress returns an address for an initiator to listen at. Each has a loopback IP address of its own. On the IP
+// address of the fake targets and discovery, one of these could take the initiator's port while the initiator restarts.
+func NewListenAddress() string {
+	n := addressCount.Add(1)
 	return fmt.Sprintf("127.%d.%d.%d:8080", 1+os.Getpid()%250, n/250, 1+n%250)
 }
--- a/internal/faulttest/regression_test.go
+++ b/internal/faulttest/regression_test.go
@@ -12,14 +12,14 @@
 	"time"
 )
 
-// program is the initiator under test.
+// program is the path of the initiator binary under test.
 var program string
 
 func TestMain(m *testing.M) {
-	os.Exit(run(m))
+	os.Exit(buildAndRun(m))
 }
 
-func run(m *testing.M) int {
+func buildAndRun(m *testing.M) int {
 	dir, err := os.MkdirTemp("", "faulttest")
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -30,7 +30,7 @@
 			fmt.Fprintln(os.Stderr, err)
 		}
 	}()
-	if program, err = Build(dir); err != nil {
+	if program, err = BuildInitiator(dir); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return 1
 	}
@@ -39,101 +39,101 @@
 
 var readClass = Class{Name: "read", Deadline: 1700 * time.Millisecond}
 
-// fixture is one initiator with a target and a discovery that lists it.
+// fixture is an initiator with a client, a fake discovery and the one target that it lists.
 type fixture struct {
-	ledger    *Ledger
+	history   *History
 	delays    *DelayMonitor
 	process   *Process
 	discovery *Discovery
 	client    *Client
 }
 
-// newFixture starts an initiator with one target, whose behaviour is drawn anew for each request.
+// newFixture starts an initiator with one target, which calls drawBehaviour for each request.
 func newFixture(t *testing.T, drawBehaviour func(*rand.Rand) Behaviour) *fixture {
 	t.Helper()
 	return newFixtureWithClass(t, readClass, drawBehaviour)
 }
 
-// newFixtureWithClass is newFixture with another class of requests.
+// newFixtureWithClass is like newFixture, but the initiator's configuration has the given request class.
 func newFixtureWithClass(t *testing.T, class Class, drawBehaviour func(*rand.Rand) Behaviour) *fixture {
 	t.Helper()
 	f := &fixture{delays: NewDelayMonitor()}
 	t.Cleanup(f.delays.Stop)
-	f.ledger = NewLedger(f.delays)
-	target, err := NewTarget("s-1", 1, f.ledger, drawBehaviour)
+	f.history = NewHistory(f.delays)
+	target, err := NewTarget("s-1", 1, f.history, drawBehaviour)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(target.Stop)
-	f.discovery = NewDiscovery(f.ledger)
+	f.discovery = NewDiscovery(f.history)
 	t.Cleanup(f.discovery.Stop)
-	f.discovery.Set(Entry{ID: "s-1", Addr: target.Addr().String(), State: Serving})
+	f.discovery.Set(Endpoint{ID: "s-1", Addr: target.Addr().String(), State: Serving})
 	discoveryAddr, err := f.discovery.Listen()
 	if err != nil {
 		t.Fatal(err)
 	}
-	listen := Address()
-	f.process, err = Start(program, t.TempDir(), Config{Listen: listen, Discovery: discoveryAddr, Classes: []Class{class}, Cores: 1, Sockets: 512})
+	listen := NewListenAddress()
+	f.process, err = Start(program, t.TempDir(), Config{Listen: listen, Discovery: discoveryAddr, Classes: []Class{class},
+		Cores: 1, Sockets: 512})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(f.process.Kill)
-	f.client = NewClient(listen, f.ledger)
+	f.client = NewClient(listen, f.history)
 	t.Cleanup(f.client.Close)
 	return f
 }
 
-// judge fails the test for each violation, with what the initiator logged of the request.
-func (f *fixture) judge(t *testing.T) {
+// check fails the test for each violation and prints the initiator's log of the request. It also fails the test if the
+// initiator has exited.
+func (f *fixture) check(t *testing.T) {
 	t.Helper()
-	for _, v := range f.ledger.Violations() {
-		t.Errorf("%v\n%s", v, f.process.LogOf(v.Request))
+	for _, v := range f.history.Violations() {
+		t.Errorf("%v\n%s", v, f.process.RequestLog(v.Request))
 	}
-	if ended, err := f.process.Ended(); ended {
-		t.Errorf("the initiator ended: %v", err)
+	if exited, err := f.process.Exited(); exited {
+		t.Errorf("the initiator exited: %v", err)
 	}
 }
 
-func respondAtOnce(*rand.Rand) Behaviour { return Behaviour{} }
+func serveImmediately(*rand.Rand) Behaviour { return Behaviour{} }
 
-// TestNoAttemptAfterClientDisconnected guards against an attempt that begins after its client has gone.
+// TestNoAttemptAfterClientDisconnected checks that no attempt begins after its client has disconnected.
 //
-// Symptom: a request was forwarded after it had ended; its log has "attempt begins", and then "request ended" with
-// reason=CLIENT_CLOSED.
-// Sequence: while the initiator is paused for 0.14 s, a client sends a request and closes or resets its connection at once.
-// The initiator continues, reads the request, and its attempt reaches the target 0.14 s after the client disconnected, where
-// 0.1 s is allowed.
-// Cause: one goroutine detects the disconnect and another writes the attempt. Nothing checked the client's connection before
-// the first byte, so the order in which the two ran decided.
+// It guards against a race in the initiator: one goroutine detects the disconnect and another writes the attempt, and the
+// client's connection was not checked before the first byte. While the initiator was paused for 0.14 s, a client sent a
+// request and closed or reset its connection at once. After the pause the initiator read the request, and the attempt
+// reached the target 0.14 s after the disconnect, where 0.1 s is allowed. The log showed the start of the attempt, followed
+// by the end of the request with reason=CLIENT_CLOSED.
 func TestNoAttemptAfterClientDisconnected(t *testing.T) {
-	f := newFixture(t, respondAtOnce)
+	f := newFixture(t, serveImmediately)
 	for i := range 12 {
 		f.client.Do(Request{ID: fmt.Sprintf("warm%d", i), Class: readClass, Timeout: readClass.Deadline})
 		f.process.Pause(140*time.Millisecond, func() {
 			var clients sync.WaitGroup
 			for j := range 6 {
 				clients.Go(func() {
-					f.client.Do(Request{ID: fmt.Sprintf("r%d-%d", i, j), Class: readClass, Timeout: readClass.Deadline, Disconnects: true, ByReset: j%3 == 2})
+					f.client.Do(Request{ID: fmt.Sprintf("r%d-%d", i, j), Class: readClass, Timeout: readClass.Deadline,
+						Disconnects: true, ResetOnDisconnect: j%3 == 2})
 				})
 			}
 			clients.Wait()
 		})
 		time.Sleep(20 * time.Millisecond)
 	}
-	f.judge(t)
+	f.check(t)
 }
 
-// TestRepeatedResponseServesNoOtherRequest guards against a response that passes for that of another request.
+// TestRepeatedResponseIsNotUsedForNextRequest checks that the second copy of a response is not taken for the response to
+// the next request on the connection.
 //
-// Symptom: a client got a response that was made for another request; the log of the request has "attempt begins" with idle
-// below 10 ms.
-// Sequence: a target sends each of its responses a second time, up to 9 ms later, unless another request has arrived on the
-// connection. Under a burst four connections to it are open; from then on one that has just carried a response carries the
-// next request at once. The copy arrives between the check of the connection and the first byte of that request, and is read
-// as its response.
-// Cause: the quarantine of 10 ms after a response was not kept once there were four connections, and the connection was
-// checked before the attempt was handed to the goroutine that writes it.
-func TestRepeatedResponseServesNoOtherRequest(t *testing.T) {
+// The target sends each response a second time, up to 9 ms later, unless another request has arrived on the connection. The
+// test guards against two faults. The quarantine of 10 ms after a response was not kept once four connections to the target
+// were open, as happens under a burst. And the connection was checked before the attempt was handed to the goroutine that
+// writes it. A connection then carried the next request right after a response. The copy arrived between the check and the
+// first byte of that request and was read as its response, so a client got a response that was made for another request.
+// The log showed the start of such an attempt with idle below 10 ms.
+func TestRepeatedResponseIsNotUsedForNextRequest(t *testing.T) {
 	f := newFixture(t, func(rng *rand.Rand) Behaviour {
 		return Behaviour{Delay: time.Duration(rng.IntN(3000)) * time.Microsecond,
 			RepeatAfter: time.Duration(1+rng.IntN(8000)) * time.Microsecond}
@@ -147,21 +147,22 @@
 		})
 	}
 	clients.Wait()
-	f.judge(t)
-	if requests, served := f.ledger.Counts(); served < requests*9/10 {
-		t.Errorf("%d of %d requests were served", served, requests)
+	f.check(t)
+	if requests, served := f.history.Counts(); served < requests*9/10 {
+		t.Errorf("%d of %d requests were served, want at least 90%%", served, requests)
 	}
 }
 
-// TestOpenRequestIsAnsweredBeforeTheKill guards against requests without a response in a restart.
+// TestRequestInFlightGetsResponseBeforeSIGKILL checks that a request in flight at SIGTERM gets a response before SIGKILL.
 //
-// Symptom: accepted requests got no response at all in a restart; "attempt begins" is the last line on them in the log.
-// Sequence: a target hangs, a client sends a request with a timeout of 5 s, and the initiator gets SIGTERM at once. SIGKILL
-// comes as early as it may, 3.7 s later, and finds the request in flight.
-// Cause: only requests accepted well after SIGTERM had their timeouts cut to what is left before SIGKILL. Earlier ones kept
-// theirs, which may be longer than that.
-func TestOpenRequestIsAnsweredBeforeTheKill(t *testing.T) {
-	f := newFixtureWithClass(t, Class{Name: "read", Deadline: 5 * time.Second}, func(*rand.Rand) Behaviour { return Behaviour{Reply: Hang} })
+// A target hangs, a client sends a request with a timeout of 5 s, and the initiator gets SIGTERM at once. SIGKILL follows
+// as early as allowed, 3.7 s later. The test guards against accepted requests that get no response in a restart: only the
+// timeouts of requests accepted well after SIGTERM were shortened to the time left before SIGKILL. Earlier requests kept
+// their timeouts, which can be longer, and SIGKILL came while they were in flight. The last line about them in the log was
+// the start of the attempt.
+func TestRequestInFlightGetsResponseBeforeSIGKILL(t *testing.T) {
+	f := newFixtureWithClass(t, Class{Name: "read", Deadline: 5 * time.Second},
+		func(*rand.Rand) Behaviour { return Behaviour{Reply: Hang} })
 	var clients sync.WaitGroup
 	for i := range 4 {
 		clients.Go(func() {
@@ -171,25 +172,24 @@
 	time.Sleep(50 * time.Millisecond)
 	terminatedAt := time.Now()
 	f.process.Signal(syscall.SIGTERM)
-	f.process.Await(time.Until(terminatedAt.Add(f.process.Config.KillAfter())))
+	f.process.WaitForExit(time.Until(terminatedAt.Add(f.process.Config.KillAfter())))
 	f.process.Kill()
 	clients.Wait()
-	for _, v := range f.ledger.Violations() {
-		t.Errorf("%v\n%s", v, f.process.LogOf(v.Request))
+	for _, v := range f.history.Violations() {
+		t.Errorf("%v\n%s", v, f.process.RequestLog(v.Request))
 	}
 }
 
-// TestConnectionBeforeTheListenerClosesIsServed guards against connections that the listener resets when it closes.
+// TestConnectionOpenedBeforeListenerClosesIsServed checks that a connection opened before the end of the accept grace is
+// served.
 //
-// Symptom: requests on new connections got no response in a restart: the connections are reset, and the log does not mention
-// them.
-// Sequence: clients open connections and send requests 0.37 s after SIGTERM, while the initiator is paused for 0.14 s. It
-// continues 0.5 s after SIGTERM, when the accept grace of 0.45 s is over.
-// Cause: the timer that closes the listener ran before the goroutine that accepts. The connections that the kernel had
-// accepted by then were reset with the listener.
-func TestConnectionBeforeTheListenerClosesIsServed(t *testing.T) {
+// Clients open connections and send requests 0.37 s after SIGTERM, while the initiator is paused for 0.14 s. The initiator
+// continues 0.5 s after SIGTERM, when the accept grace of 0.45 s is over. The test guards against requests on new
+// connections that get no response in a restart: the timer that closes the listener ran before the goroutine that accepts,
+// and closing the listener reset the connections that the kernel had accepted by then. The log did not mention them.
+func TestConnectionOpenedBeforeListenerClosesIsServed(t *testing.T) {
 	for range 3 {
-		f := newFixture(t, respondAtOnce)
+		f := newFixture(t, serveImmediately)
 		terminatedAt := time.Now()
 		f.process.Signal(syscall.SIGTERM)
 		time.Sleep(time.Until(terminatedAt.Add(365 * time.Millisecond)))
@@ -202,9 +202,9 @@
 				}
 				clients.Go(func() {
 					defer func() { _ = conn.Close() }() // the response has been read
-					q := Request{ID: fmt.Sprintf("r%d", i), Class: readClass, Timeout: readClass.Deadline}
-					if o, _ := f.client.exchange(conn, false, q); o.Status != http.StatusOK {
-						t.Errorf("status %d, %s, %v after its last byte", o.Status, o.Text, o.Elapsed)
+					req := Request{ID: fmt.Sprintf("r%d", i), Class: readClass, Timeout: readClass.Deadline}
+					if o, _ := f.client.exchange(conn, false, req); o.Status != http.StatusOK {
+						t.Errorf("got status %d (%s) %v after the request's last byte, want 200", o.Status, o.Text, o.Elapsed)
 					}
 				})
 			}
@@ -216,16 +216,16 @@
 // firstRequestTimeout is how long the initiator waits for the first request of a connection.
 const firstRequestTimeout = 2 * time.Second
 
-// TestRequestAtTheReadTimeoutIsAnswered guards against a close over a request that is there but unread.
+// TestRequestAtFirstRequestTimeoutGetsResponse checks that the timeout for a connection's first request does not close a
+// connection on which a request has arrived but has not been read.
 //
-// Symptom: a connection was closed over a request, with no response: the connection is reset, and the log has it as
+// A client opens a connection and sends its first request just before the 2 s that it has for that are over, while the
+// initiator is paused. The initiator continues after the 2 s. The test guards against a timeout that depends on the clock
+// alone and does not check for unread bytes: the connection was reset without a response to the request, and the log showed
 // NO_FIRST_REQUEST.
-// Sequence: a client opens a connection and sends its first request just before the 2 s that it has for that are over, while
-// the initiator is paused. The initiator continues after the 2 s.
-// Cause: the timeout closed the connection by the clock alone, without a check for unread bytes.
-func TestRequestAtTheReadTimeoutIsAnswered(t *testing.T) {
-	f := newFixture(t, respondAtOnce)
-	begun := time.Now()
+func TestRequestAtFirstRequestTimeoutGetsResponse(t *testing.T) {
+	f := newFixture(t, serveImmediately)
+	start := time.Now()
 	var conns []net.Conn
 	for range 8 {
 		conn, err := net.Dial("tcp", f.client.Addr)
@@ -235,17 +235,17 @@
 		defer func() { _ = conn.Close() }() // the response has been read
 		conns = append(conns, conn)
 	}
-	time.Sleep(time.Until(begun.Add(firstRequestTimeout - 70*time.Millisecond)))
+	time.Sleep(time.Until(start.Add(firstRequestTimeout - 70*time.Millisecond)))
 	var clients sync.WaitGroup
 	f.process.Pause(140*time.Millisecond, func() {
 		for i, conn := range conns {
 			clients.Go(func() {
-				q := Request{ID: fmt.Sprintf("r%d", i), Class: readClass, Timeout: readClass.Deadline}
-				o, _ := f.client.exchange(conn, false, q)
-				f.ledger.addOutcome(q.ID, o)
+				req := Request{ID: fmt.Sprintf("r%d", i), Class: readClass, Timeout: readClass.Deadline}
+				o, _ := f.client.exchange(conn, false, req)
+				f.history.recordOutcome(req.ID, o)
 			})
 		}
 	})
 	clients.Wait()
-	f.judge(t)
+	f.check(t)
 }
--- a/internal/faulttest/soak_clients_test.go
+++ b/internal/faulttest/soak_clients_test.go
@@ -10,80 +10,80 @@
 )
 
 const (
-	// pipelineLength is the number of requests that a client sends at once where it pipelines.
+	// pipelineLength is the number of requests that a pipelining client sends at once.
 	pipelineLength = 3
-	// crowdSize is the number of connections that an idle crowd opens: more than the initiator may hold.
-	crowdSize = 300
+	// connFloodSize is the number of idle connections that a connection flood opens, more than the initiator may hold.
+	connFloodSize = 300
 )
 
-// runClients asks at random moments until the run is done, and waits for all outcomes.
-func (s *soak) runClients(rng *rand.Rand) {
-	var open sync.WaitGroup
-	defer open.Wait()
+// runClients sends requests at random times until the run is done, and waits for all outcomes.
+func (s *soakRun) runClients(rng *rand.Rand) {
+	var inFlight sync.WaitGroup
+	defer inFlight.Wait()
 	for s.wait(time.Duration(rng.ExpFloat64() * float64(time.Second) / soakRate)) {
 		if rng.IntN(100) == 0 {
 			requests := s.drawPipeline(rng, pipelineLength)
 			_, client := s.current()
-			open.Go(func() { client.Pipeline(requests) })
+			inFlight.Go(func() { client.Pipeline(requests) })
 			continue
 		}
-		q := s.drawRequest(rng)
+		req := s.drawRequest(rng)
 		retries := rng.IntN(2) == 0
 		_, client := s.current()
-		open.Go(func() {
-			// Some ask again at once when they are rejected, with the time that they have left.
-			if o := client.Do(q); retries && rejected(o) && o.Elapsed < q.Timeout {
-				q.ID += "-again"
-				q.Timeout -= o.Elapsed
-				client.Do(q)
+		inFlight.Go(func() {
+			// Some clients retry a rejected request at once, with the remaining time as its timeout.
+			if o := client.Do(req); retries && rejected(o) && o.Elapsed < req.Timeout {
+				req.ID += "-again"
+				req.Timeout -= o.Elapsed
+				client.Do(req)
 			}
 		})
 	}
 }
 
-// drawRequest draws what a usual client asks.
-func (s *soak) drawRequest(rng *rand.Rand) Request {
+// drawRequest returns a random valid request.
+func (s *soakRun) drawRequest(rng *rand.Rand) Request {
 	class := s.config.Classes[rng.IntN(len(s.config.Classes))]
-	q := Request{ID: s.nextID(), Class: class, Shard: rng.IntN(soakShards), Timeout: class.Deadline}
+	req := Request{ID: s.nextID(), Class: class, Shard: rng.IntN(soakShards), Timeout: class.Deadline}
 	if class.Name != "read" {
-		q.Body = string(make([]byte, 1+rng.IntN(8<<10)))
+		req.Body = string(make([]byte, 1+rng.IntN(8<<10)))
 	}
 	if rng.IntN(20) == 0 {
-		q.Timeout = time.Duration(rng.IntN(60)) * time.Millisecond
+		req.Timeout = time.Duration(rng.IntN(60)) * time.Millisecond
 	}
 	if rng.IntN(10) == 0 {
-		q.Pieces = 2 + rng.IntN(4)
-		q.PieceInterval = time.Duration(rng.IntN(20)) * time.Millisecond
+		req.Segments = 2 + rng.IntN(4)
+		req.SegmentInterval = time.Duration(rng.IntN(20)) * time.Millisecond
 	}
 	if rng.IntN(8) == 0 {
-		q.Disconnects = true
-		q.ByReset = rng.IntN(2) == 0
-		q.DisconnectAfter = time.Duration(rng.ExpFloat64() * 10 * float64(time.Millisecond))
+		req.Disconnects = true
+		req.ResetOnDisconnect = rng.IntN(2) == 0
+		req.DisconnectAfter = time.Duration(rng.ExpFloat64() * 10 * float64(time.Millisecond))
 	}
-	return q
+	return req
 }
 
-func (s *soak) nextID() string { return fmt.Sprintf("r%d-%d", s.seed, s.requests.Add(1)) }
+func (s *soakRun) nextID() string { return fmt.Sprintf("r%d-%d", s.seed, s.requestCount.Add(1)) }
 
-// drawPipeline draws n requests with the same timeout.
-func (s *soak) drawPipeline(rng *rand.Rand, n int) []Request {
+// drawPipeline returns n requests that differ only in their IDs.
+func (s *soakRun) drawPipeline(rng *rand.Rand, n int) []Request {
 	requests := []Request{s.drawRequest(rng)}
 	requests[0].Disconnects = false
 	for len(requests) < n {
-		q := requests[0]
-		q.ID = s.nextID()
-		requests = append(requests, q)
+		req := requests[0]
+		req.ID = s.nextID()
+		requests = append(requests, req)
 	}
 	return requests
 }
 
-// runMalformedClients sends what cannot be served.
-func (s *soak) runMalformedClients(rng *rand.Rand) {
-	var open sync.WaitGroup
-	defer open.Wait()
+// runMalformedClients sends malformed requests at random times until the run is done.
+func (s *soakRun) runMalformedClients(rng *rand.Rand) {
+	var inFlight sync.WaitGroup
+	defer inFlight.Wait()
 	for s.wait(time.Duration(100+rng.IntN(200)) * time.Millisecond) {
 		request := MalformedRequests[rng.IntN(len(MalformedRequests))]
-		open.Go(func() {
+		inFlight.Go(func() {
 			if err := SendMalformed(s.config.Listen, request); err != nil {
 				s.t.Error(err)
 			}
@@ -91,18 +91,19 @@
 	}
 }
 
-// runIdleCrowd holds connections that ask for nothing, past what the initiator may hold, where the run has a crowd.
-func (s *soak) runIdleCrowd(rng *rand.Rand) {
-	if !s.crowd {
+// runConnFlood opens more connections than the initiator may hold, and keeps them until the run is done. They are idle,
+// some of them after a readiness check. It does nothing if the run has no connection flood.
+func (s *soakRun) runConnFlood(rng *rand.Rand) {
+	if !s.connFlood {
 		return
 	}
 	var conns []net.Conn
 	defer func() {
 		for _, conn := range conns {
-			_ = conn.Close() // the initiator may have closed it
+			_ = conn.Close() // the initiator may have closed the connection
 		}
 	}()
-	for range crowdSize {
+	for range connFloodSize {
 		if !s.wait(time.Duration(rng.IntN(20)) * time.Millisecond) {
 			return
 		}
--- a/internal/faulttest/soak_faults_test.go
+++ b/internal/faulttest/soak_faults_test.go
@@ -10,69 +10,70 @@
 )
 
 const (
-	// maxPause is the longest that an initiator is paused for.
+	// maxPause is the maximum duration of a pause of the initiator.
 	maxPause = 145 * time.Millisecond
-	// maxShortage is the longest that an initiator has no descriptor to open. Past half a second no request of a client that
-	// waits some milliseconds could have its response in time.
-	maxShortage = 400 * time.Millisecond
-	// oldDiscoveryGrace is how long a discovery that was left keeps its open connections.
-	oldDiscoveryGrace = 1500 * time.Millisecond
-	// newConnectionGrace is how long after SIGTERM clients open new connections.
-	newConnectionGrace = 400 * time.Millisecond
-	// maxMovesInARow is the most configurations that follow one another.
-	maxMovesInARow = 3
+	// maxDescriptorShortage is the maximum duration for which an initiator cannot open descriptors. If it were longer than
+	// half a second, the time that responseSlack allows, a request with a timeout of a few milliseconds could not get its
+	// response in time.
+	maxDescriptorShortage = 400 * time.Millisecond
+	// oldDiscoveryCloseDelay is how long after a move the old address of discovery and its connections stay open.
+	oldDiscoveryCloseDelay = 1500 * time.Millisecond
+	// newConnectionTime is how long after SIGTERM clients still open new connections.
+	newConnectionTime = 400 * time.Millisecond
+	// maxConsecutiveMoves is the maximum number of moves of discovery in quick succession.
+	maxConsecutiveMoves = 3
 )
 
-// addTarget starts a target for a shard, in place of the one that served it.
-func (s *soak) addTarget(shard int) {
+// addTarget starts a target for a shard. It replaces the one that served the shard before.
+func (s *soakRun) addTarget(shard int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	index := len(s.targets)
 	id := fmt.Sprintf("s-%d", index)
-	behaviour := targetBehaviour(s.random(targetStream + uint64(index)))
-	target, err := NewTarget(id, s.seed<<8+uint64(index), s.ledger, behaviour)
+	drawBehaviour := targetBehaviour(s.newRand(targetStreamBase + uint64(index)))
+	target, err := NewTarget(id, s.seed<<8+uint64(index), s.history, drawBehaviour)
 	if err != nil {
 		s.t.Error(err)
 		return
 	}
-	s.serving[shard] = index
+	s.targetOfShard[shard] = index
 	s.targets = append(s.targets, target)
-	s.discovery.Set(Entry{ID: id, Addr: target.Addr().String(), Cell: shard, State: Serving})
+	s.discovery.Set(Endpoint{ID: id, Addr: target.Addr().String(), Cell: shard, State: Serving})
 }
 
-// targetBehaviour draws a target's fault rates, and returns the function that draws its behaviour for each request.
-func targetBehaviour(plan *rand.Rand) func(*rand.Rand) Behaviour {
-	faults := plan.Float64() * 0.15
-	hangs := 0.0
-	if plan.IntN(4) == 0 {
-		hangs = plan.Float64() * 0.3
+// targetBehaviour draws a target's fault rates and returns the function that draws the target's behaviour for each request.
+func targetBehaviour(rateRNG *rand.Rand) func(*rand.Rand) Behaviour {
+	faultRate := rateRNG.Float64() * 0.15
+	hangRate := 0.0
+	if rateRNG.IntN(4) == 0 {
+		hangRate = rateRNG.Float64() * 0.3
 	}
-	repeats := plan.Float64() * 0.3
-	meanDelayMs := 1 + plan.Float64()*15
-	faulty := []Reply{RespondError, RespondRejected, ResetConnection, RespondGarbage, StopMidResponse, RespondWithoutLength,
-		CutWithoutLength}
+	repeatRate := rateRNG.Float64() * 0.3
+	meanDelayMs := 1 + rateRNG.Float64()*15
+	faultReplies := []Reply{RespondError, RespondRejected, ResetConnection, RespondGarbage, StallMidResponse,
+		RespondWithoutLength, ResetWithoutLength}
 	return func(rng *rand.Rand) Behaviour {
-		b := Behaviour{Delay: time.Duration(rng.ExpFloat64() * meanDelayMs * float64(time.Millisecond))}
+		behaviour := Behaviour{Delay: time.Duration(rng.ExpFloat64() * meanDelayMs * float64(time.Millisecond))}
 		switch p := rng.Float64(); {
-		case p < hangs:
-			b.Reply = Hang
-		case p < hangs+faults:
-			b.Reply = faulty[rng.IntN(len(faulty))]
+		case p < hangRate:
+			behaviour.Reply = Hang
+		case p < hangRate+faultRate:
+			behaviour.Reply = faultReplies[rng.IntN(len(faultReplies))]
 		default:
-			b.CloseAfter = rng.IntN(50) == 0
+			behaviour.CloseAfterResponse = rng.IntN(50) == 0
 			switch {
 			case rng.IntN(20) == 0:
-				b.CloseIdleAfter = time.Duration(1+rng.IntN(100)) * time.Millisecond
-			case rng.Float64() < repeats:
-				b.RepeatAfter = time.Duration(1+rng.IntN(8000)) * time.Microsecond
+				behaviour.CloseIdleAfter = time.Duration(1+rng.IntN(100)) * time.Millisecond
+			case rng.Float64() < repeatRate:
+				behaviour.RepeatAfter = time.Duration(1+rng.IntN(8000)) * time.Microsecond
 			}
 		}
-		return b
+		return behaviour
 	}
 }
 
-// runPauses has the process stand still now and then.
-func (s *soak) runPauses(rng *rand.Rand) {
+// runPauses pauses the initiator at random times.
+func (s *soakRun) runPauses(rng *rand.Rand) {
 	for s.wait(time.Duration(200+rng.IntN(500)) * time.Millisecond) {
 		s.signalMu.Lock()
 		process, _ := s.current()
@@ -81,42 +82,44 @@
 	}
 }
 
-// runShortages leaves the process no descriptors now and then.
-func (s *soak) runShortages(rng *rand.Rand) {
+// runDescriptorShortages exhausts the initiator's descriptors at random times.
+func (s *soakRun) runDescriptorShortages(rng *rand.Rand) {
 	for s.wait(time.Duration(1000+rng.IntN(2000)) * time.Millisecond) {
 		process, _ := s.current()
-		err := process.ExhaustDescriptors(time.Duration(rng.Int64N(int64(maxShortage))))
+		err := process.ExhaustDescriptors(time.Duration(rng.Int64N(int64(maxDescriptorShortage))))
 		if err != nil && !errors.Is(err, syscall.ESRCH) {
 			s.t.Error(err)
 		}
 	}
 }
 
-// runDrains replaces targets: one drains, another takes its shard, and the first is removed later on.
-func (s *soak) runDrains(rng *rand.Rand) {
-	var open sync.WaitGroup
-	defer open.Wait()
+// runDrains replaces targets at random times: it drains one, starts another for the same shard, and later removes and stops
+// the drained one.
+func (s *soakRun) runDrains(rng *rand.Rand) {
+	var removals sync.WaitGroup
+	defer removals.Wait()
 	for s.wait(time.Duration(500+rng.IntN(1000)) * time.Millisecond) {
 		shard := rng.IntN(soakShards)
 		s.mu.Lock()
-		old := s.targets[s.serving[shard]]
+		old := s.targets[s.targetOfShard[shard]]
 		s.mu.Unlock()
-		s.discovery.Set(Entry{ID: old.ID, Addr: old.Addr().String(), Cell: shard, State: Draining})
+		s.discovery.Set(Endpoint{ID: old.ID, Addr: old.Addr().String(), Cell: shard, State: Draining})
 		s.addTarget(shard)
-		drainTime := time.Duration(1500+rng.IntN(1500)) * time.Millisecond
-		open.Go(func() {
-			if s.wait(drainTime) {
-				s.discovery.Set(Entry{ID: old.ID, State: Deleted})
+		removeAfter := time.Duration(1500+rng.IntN(1500)) * time.Millisecond
+		removals.Go(func() {
+			if s.wait(removeAfter) {
+				s.discovery.Set(Endpoint{ID: old.ID, State: Deleted})
 				old.Stop()
 			}
 		})
 	}
 }
 
-// runDiscoveryMoves suspends discovery, and moves it by new configurations, some in a row.
-func (s *soak) runDiscoveryMoves(rng *rand.Rand) {
-	var open sync.WaitGroup
-	defer open.Wait()
+// runDiscoveryMoves suspends discovery at random times and moves it to other addresses, sometimes several times in quick
+// succession.
+func (s *soakRun) runDiscoveryMoves(rng *rand.Rand) {
+	var closes sync.WaitGroup
+	defer closes.Wait()
 	defer s.discovery.Resume()
 	for s.wait(time.Duration(1000+rng.IntN(2000)) * time.Millisecond) {
 		if rng.IntN(3) == 0 {
@@ -124,15 +127,16 @@
 			time.Sleep(time.Duration(rng.IntN(1500)) * time.Millisecond)
 			s.discovery.Resume()
 		}
-		for range 1 + rng.IntN(maxMovesInARow) {
-			open.Go(s.moveDiscovery())
+		for range 1 + rng.IntN(maxConsecutiveMoves) {
+			closes.Go(s.moveDiscovery())
 			time.Sleep(time.Duration(rng.IntN(50)) * time.Millisecond)
 		}
 	}
 }
 
-// moveDiscovery moves discovery once, and returns what ends the old address.
-func (s *soak) moveDiscovery() func() {
+// moveDiscovery moves discovery to a new address and reloads the initiator's configuration. It returns a function that
+// closes the old address after oldDiscoveryCloseDelay.
+func (s *soakRun) moveDiscovery() func() {
 	next, err := s.discovery.Listen()
 	if err != nil {
 		s.t.Error(err)
@@ -143,19 +147,19 @@
 	s.discoveryAddr = next
 	s.config.Discovery = next
 	process, _ := s.current()
-	if err := process.Configure(s.config); err != nil {
+	if err := process.WriteConfig(s.config); err != nil {
 		s.t.Error(err)
 	}
 	process.Signal(syscall.SIGHUP)
 	s.signalMu.Unlock()
 	return func() {
-		time.Sleep(oldDiscoveryGrace)
+		time.Sleep(oldDiscoveryCloseDelay)
 		s.discovery.CloseAddress(old)
 	}
 }
 
-// runRestart ends the process once, most times with notice, and starts its successor.
-func (s *soak) runRestart(rng *rand.Rand) {
+// runRestart restarts the initiator once, usually with SIGTERM before SIGKILL.
+func (s *soakRun) runRestart(rng *rand.Rand) {
 	time.Sleep(soakDuration/4 + time.Duration(rng.Int64N(int64(soakDuration/4))))
 	process, client := s.current()
 	if rng.IntN(4) == 0 {
@@ -170,13 +174,13 @@
 	s.start()
 }
 
-// terminate sends SIGTERM, some times more than once, and waits until the process ends or SIGKILL may come.
-func (s *soak) terminate(process *Process, client *Client, rng *rand.Rand) {
-	begun := time.Now()
+// terminate sends SIGTERM, sometimes more than once, and waits until the process has exited or SIGKILL is allowed.
+func (s *soakRun) terminate(process *Process, client *Client, rng *rand.Rand) {
+	start := time.Now()
 	for range 1 + rng.IntN(3) {
 		process.Signal(syscall.SIGTERM)
 		time.Sleep(time.Duration(rng.IntN(20)) * time.Millisecond)
 	}
-	time.AfterFunc(newConnectionGrace-time.Since(begun), client.StopConnecting)
-	process.Await(time.Until(begun.Add(s.killAfter)))
+	time.AfterFunc(newConnectionTime-time.Since(start), client.StopConnecting)
+	process.WaitForExit(time.Until(start.Add(s.killAfter)))
 }
--- a/internal/faulttest/soak_test.go
+++ b/internal/faulttest/soak_test.go
@@ -12,55 +12,55 @@
 )
 
 var (
-	soakSeeds = flag.Int("seeds", 12, "how many seeds the soak runs")
-	soakFrom  = flag.Int("from", 1, "the first seed of the soak")
+	soakSeeds = flag.Int("seeds", 12, "number of seeds that the soak test runs")
+	soakFrom  = flag.Int("from", 1, "first seed of the soak test")
 )
 
 const (
-	// soakDuration is how long clients ask in one run of the soak.
+	// soakDuration is how long clients send requests in one run.
 	soakDuration = 8 * time.Second
-	// soakShards is the number of shards, with one target each.
+	// soakShards is the number of shards. Each is served by one target.
 	soakShards = 6
-	// soakRate is the number of requests that arrive in a second.
+	// soakRate is the mean number of requests per second.
 	soakRate = 150
-	// minServedPart is the part of the requests that must be served: one in so many.
-	minServedPart = 5
+	// minServedDivisor defines the minimum share of requests that must be served, as 1/minServedDivisor.
+	minServedDivisor = 5
 )
 
-// The sources of random numbers of a run, all drawn from its seed.
+// The random number streams of a run, which are seeded with the run's seed and the stream's number.
 const (
-	planStream   = 1
-	faultStreams = 10  // and one more for each part of the run
-	targetStream = 100 // and one more for each target
+	configStream       = 1
+	activityStreamBase = 10  // plus the index of the activity
+	targetStreamBase   = 100 // plus the index of the target
 )
 
-// soak is one run under a mix of faults that follows from its seed.
-type soak struct {
+// soakRun is one run of the soak test, under a mix of faults that is derived from its seed.
+type soakRun struct {
 	t             *testing.T
 	seed          uint64
-	ledger        *Ledger
+	history       *History
 	delays        *DelayMonitor
 	discovery     *Discovery
 	discoveryAddr string
-	config        Config        // its Discovery changes under signalMu while the run goes on
-	killAfter     time.Duration // how soon SIGKILL follows SIGTERM, of config
+	config        Config        // Discovery changes during the run and is protected by signalMu
+	killAfter     time.Duration // time between SIGTERM and SIGKILL, from config
 	dir           string
 	process       *Process
-	processes     []*Process // all that there were
+	processes     []*Process // in the order in which they were started
 	client        *Client
-	crowd         bool
-	done          chan struct{} // closed when clients stop asking
-	signalMu      sync.Mutex    // one pause or signal at a time
-	mu            sync.Mutex
+	connFlood     bool          // whether the run opens more connections than the initiator may hold
+	done          chan struct{} // closed when clients stop sending requests
+	signalMu      sync.Mutex    // held during a pause, a configuration reload, and a kill with the restart after it
+	mu            sync.Mutex    // protects process, client, processes, targets and targetOfShard
 	targets       []*Target
-	serving       [soakShards]int // the index of the target that serves each shard
-	requests      atomic.Int64
+	targetOfShard [soakShards]int // by shard: index in targets of the target that serves it
+	requestCount  atomic.Int64
 }
 
-// random returns the source of random numbers of one part of the run.
-func (s *soak) random(stream uint64) *rand.Rand { return rand.New(rand.NewPCG(s.seed, stream)) }
+// newRand returns the random number generator of a stream.
+func (s *soakRun) newRand(stream uint64) *rand.Rand { return rand.New(rand.NewPCG(s.seed, stream)) }
 
-// TestSoak runs real initiators under mixes of faults, a seed each, and wants every rule kept.
+// TestSoak runs an initiator under a different mix of faults for each seed and checks that it violates no rule.
 func TestSoak(t *testing.T) {
 	for seed := *soakFrom; seed < *soakFrom+*soakSeeds; seed++ {
 		t.Run(fmt.Sprintf("seed%d", seed), func(t *testing.T) {
@@ -71,10 +71,10 @@
 }
 
 func runSoak(t *testing.T, seed uint64) {
-	s := &soak{t: t, seed: seed, delays: NewDelayMonitor(), dir: t.TempDir(), done: make(chan struct{})}
+	s := &soakRun{t: t, seed: seed, delays: NewDelayMonitor(), dir: t.TempDir(), done: make(chan struct{})}
 	t.Cleanup(s.delays.Stop)
-	s.ledger = NewLedger(s.delays)
-	s.discovery = NewDiscovery(s.ledger)
+	s.history = NewHistory(s.delays)
+	s.discovery = NewDiscovery(s.history)
 	t.Cleanup(s.discovery.Stop)
 	t.Cleanup(func() {
 		for _, target := range s.targets {
@@ -84,27 +84,27 @@
 	for shard := range soakShards {
 		s.addTarget(shard)
 	}
-	s.plan()
+	s.drawConfig()
 	if !s.start() {
 		return
 	}
 	t.Cleanup(func() { s.process.Kill() })
-	// The order gives each part its source of random numbers.
-	parts := []func(*rand.Rand){s.runClients, s.runMalformedClients, s.runPauses, s.runDrains, s.runDiscoveryMoves, s.runRestart,
-		s.runIdleCrowd, s.runShortages}
+	// The index of an activity determines its random number stream.
+	activities := []func(*rand.Rand){s.runClients, s.runMalformedClients, s.runPauses, s.runDrains, s.runDiscoveryMoves,
+		s.runRestart, s.runConnFlood, s.runDescriptorShortages}
 	var running sync.WaitGroup
-	for i, part := range parts {
-		running.Go(func() { part(s.random(faultStreams + uint64(i))) })
+	for i, activity := range activities {
+		running.Go(func() { activity(s.newRand(activityStreamBase + uint64(i))) })
 	}
 	time.Sleep(soakDuration)
 	close(s.done)
 	running.Wait()
-	s.judge()
+	s.check()
 }
 
-// plan draws the settings of the run.
-func (s *soak) plan() {
-	rng := s.random(planStream)
+// drawConfig draws the run's configuration, and whether the run has a connection flood.
+func (s *soakRun) drawConfig() {
+	rng := s.newRand(configStream)
 	deadlines := [][3]time.Duration{{400, 670, 1670}, {1200, 2000, 5000}, {300, 900, 2500}}[rng.IntN(3)]
 	s.config.Classes = []Class{
 		{Name: "read", Deadline: deadlines[0] * time.Millisecond},
@@ -115,16 +115,17 @@
 	s.killAfter = s.config.KillAfter()
 	s.config.Cores = 1
 	s.config.Sockets = 512
-	if s.crowd = rng.IntN(3) == 0; s.crowd {
+	if s.connFlood = rng.IntN(3) == 0; s.connFlood {
 		s.config.Sockets = 192
 	}
 }
 
-// start starts an initiator at the address it has, or at a first one.
-func (s *soak) start() bool {
+// start starts an initiator and its client. It uses the addresses of the previous initiator and of discovery, and creates
+// them at the first call.
+func (s *soakRun) start() bool {
 	var err error
 	if s.config.Listen == "" {
-		s.config.Listen = Address()
+		s.config.Listen = NewListenAddress()
 	}
 	if s.discoveryAddr == "" {
 		if s.discoveryAddr, err = s.discovery.Listen(); err != nil {
@@ -141,55 +142,55 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.process = process
-	s.client = NewClient(s.config.Listen, s.ledger)
-	s.client.MayCloseUnread = s.crowd
+	s.client = NewClient(s.config.Listen, s.history)
+	s.client.MayCloseUnread = s.connFlood
 	s.processes = append(s.processes, process)
 	return true
 }
 
-// current returns the process that runs now, and its clients.
-func (s *soak) current() (*Process, *Client) {
+// current returns the current process and its client.
+func (s *soakRun) current() (*Process, *Client) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.process, s.client
 }
 
-// wait waits for so long. It returns false once the run is done.
-func (s *soak) wait(d time.Duration) bool {
+// wait waits for the duration and returns true. It returns false early if the run is done.
+func (s *soakRun) wait(duration time.Duration) bool {
 	select {
 	case <-s.done:
 		return false
-	case <-time.After(d):
+	case <-time.After(duration):
 		return true
 	}
 }
 
-// logOf returns what all processes logged on a request.
-func (s *soak) logOf(requestID string) string {
-	found := ""
+// requestLog returns the log lines of all processes about a request.
+func (s *soakRun) requestLog(requestID string) string {
+	log := ""
 	for i, p := range s.processes {
-		if lines := p.LogOf(requestID); lines != "" {
-			found += fmt.Sprintf("process %d:\n%s", i, lines)
+		if lines := p.RequestLog(requestID); lines != "" {
+			log += fmt.Sprintf("process %d:\n%s", i, lines)
 		}
 	}
-	return found
+	return log
 }
 
-func (s *soak) judge() {
+func (s *soakRun) check() {
 	process, client := s.current()
 	client.Close()
-	for _, v := range s.ledger.Violations() {
-		s.t.Errorf("%v\n%s", v, s.logOf(v.Request))
+	for _, v := range s.history.Violations() {
+		s.t.Errorf("%v\n%s", v, s.requestLog(v.Request))
 	}
-	if ended, err := process.Ended(); ended {
-		s.t.Errorf("the initiator ended: %v\n%s", err, process.Log("panic"))
+	if exited, err := process.Exited(); exited {
+		s.t.Errorf("the initiator exited: %v\n%s", err, process.LogLines("panic"))
 	}
-	requests, served := s.ledger.Counts()
-	s.t.Logf("%d requests, %d served, crowd %v", requests, served, s.crowd)
-	if served < requests/minServedPart {
-		s.t.Errorf("%d of %d requests were served", served, requests)
+	requests, served := s.history.Counts()
+	s.t.Logf("%d requests, %d served, connection flood: %v", requests, served, s.connFlood)
+	if served < requests/minServedDivisor {
+		s.t.Errorf("too few requests were served: %d of %d", served, requests)
 	}
 }
 
-// rejected tells whether a client may ask again at once.
-func rejected(o Outcome) bool { return o.Status == http.StatusServiceUnavailable }
+// rejected reports whether a request ended with status 503, after which its client may retry it at once.
+func rejected(outcome Outcome) bool { return outcome.Status == http.StatusServiceUnavailable }
