--- a/internal/faulttest/checks_test.go
+++ b/internal/faulttest/checks_test.go
@@ -87,8 +87,8 @@
 	return violations
 }
 
-// checkAttemptTimeouts checks that no attempt announced a longer timeout to its target than the time that the client still
-// waited, plus attemptTimeoutSlack.
+// checkAttemptTimeouts checks that no attempt announced a timeout to its target that exceeded the remaining time of the
+// client by more than attemptTimeoutSlack.
 func (h *History) checkAttemptTimeouts(r *requestRecord) (violations []Violation) {
 	if r.sentAt.IsZero() {
 		return nil
--- a/internal/faulttest/process_test.go
+++ b/internal/faulttest/process_test.go
@@ -106,7 +106,7 @@
 	return fmt.Errorf("the initiator was not ready after %v: %s", readyTimeout, p.LogLines(""))
 }
 
-// ready sends one readiness check.
+// ready sends a readiness check and reports whether it succeeded.
 func (p *Process) ready() bool {
 	resp, err := http.Get("http://" + p.Config.Listen + "/-/ready")
 	if err != nil {
@@ -212,8 +212,8 @@
 // addressCount is the number of addresses that NewListenAddress has returned.
 var addressCount atomic.Int32
 
-// NewListenAddress returns an address for an initiator to listen at. Each has a loopback IP address of its own. On the IP
-// address of the fake targets and discovery, one of these could take the initiator's port while the initiator restarts.
+// NewListenAddress returns an address for an initiator to listen at. Each has a loopback IP address of its own. If an
+// initiator shared the IP address of the fake targets and discovery, one of them could take its port while it restarts.
 func NewListenAddress() string {
 	n := addressCount.Add(1)
 	return fmt.Sprintf("127.%d.%d.%d:8080", 1+os.Getpid()%250, n/250, 1+n%250)
