--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -68,12 +68,12 @@
 	FallUs             int64    `json:"fallUs"`
 	TipMultiple        float64  `json:"tipMultiple"`
 	SettleAfterDoubtUs int64    `json:"settleAfterDoubtUs"`
-	ResendRatio        *float64 `json:"resendRatio"` // nil: there is no retry budget
+	ResendRatio        *float64 `json:"resendRatio"` // nil: retries are not limited by a budget
 	ExtraFree          float64  `json:"extraFree"`
 	ResendSpanUs       int64    `json:"resendSpanUs"`
 }
 
-// registryModeOnRequest is the value of registryMode with which the initiator must request the endpoint list from discovery.
+// registryModeOnRequest is the value of registryMode if the initiator must request the endpoint list from discovery.
 const registryModeOnRequest = "on_request"
 
 // Microseconds converts a number of microseconds to a duration.
