--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -103,13 +103,13 @@
 	if len(s.Classes) == 0 || len(s.Plans) == 0 {
 		return &SettingsError{
 			Field:   "Classes, Plans",
-			Problem: "at least one class and one plan are required",
+			Problem: "settings need at least one class and one plan",
 		}
 	}
 	if s.Initiators < 1 {
 		return &SettingsError{
 			Field:   "Initiators",
-			Problem: fmt.Sprintf("number of initiators is %d, must be at least 1", s.Initiators),
+			Problem: fmt.Sprintf("settings name %d initiators", s.Initiators),
 		}
 	}
 	for _, class := range s.Classes {
