--- a/cmd/simadapter/decode.go
+++ b/cmd/simadapter/decode.go
@@ -82,13 +82,13 @@
 		return nil, err
 	}
 	ended := scheduler.AttemptEnded{
-		RequestID:  *event.Rid,
-		Attempt:    *event.Leg,
-		Target:     *event.Target,
-		Status:     status,
-		Latency:    config.Microseconds(*event.SpentUs),
-		Answered:   *event.Complete,
-		LoadReport: decodeLoadReport(event.ServerStats),
+		RequestID:    *event.Rid,
+		Attempt:      *event.Leg,
+		Target:       *event.Target,
+		Status:       status,
+		Latency:      config.Microseconds(*event.SpentUs),
+		RequestEnded: *event.Complete,
+		LoadReport:   decodeLoadReport(event.ServerStats),
 	}
 	if event.Used != nil {
 		ended.VolumeUsage = *event.Used
--- a/cmd/simadapter/samples_test.go
+++ b/cmd/simadapter/samples_test.go
@@ -39,7 +39,7 @@
 		{`{"type":"result","initiatorId":"initiator_3","rid":"r","leg":2,"target":"target_abuevth","stateCode":"delivered","spentUs":18500,` +
 			`"complete":true,"used":86,"delta":3,"serverStats":{"load_share":0.62,"mean_ms":14.5,"depth":3,"concurrent":5}}`,
 			scheduler.AttemptEnded{RequestID: "r", Attempt: 2, Target: "target_abuevth", Status: scheduler.Succeeded, Latency: 18500 * time.Microsecond,
-				Answered: true, VolumeUsage: 86, LoadReport: &scheduler.LoadReport{QueueDepth: 3, InFlight: 5}}},
+				RequestEnded: true, VolumeUsage: 86, LoadReport: &scheduler.LoadReport{QueueDepth: 3, InFlight: 5}}},
 		{`{"type":"clientGone","initiatorId":"initiator_5","rid":"0e6f2b19"}`, scheduler.ClientClosed{RequestID: "0e6f2b19"}},
 		{`{"type":"reminder","initiatorId":"initiator_3","keyBack":"sweep"}`, scheduler.Timer{}},
 		{`{"type":"message","initiatorId":"initiator_3","author":2,"raw":"6869"}`, nil},
--- a/internal/clienthttp/handler.go
+++ b/internal/clienthttp/handler.go
@@ -54,7 +54,7 @@
 	liftReadDeadline(w)
 	call.ReceivedAt = conn.requestArrival()
 	call.ClientTimeout = s.shutdownSchedule.LimitTimeout(call.ClientTimeout, call.ReceivedAt, s.shutdownStartedAt.Load())
-	call.ClientGone = conn.peerClosed
+	call.ClientClosed = conn.peerClosed
 	s.dispatch(w, r, conn, call)
 }
 
--- a/internal/dispatcher/actions.go
+++ b/internal/dispatcher/actions.go
@@ -56,7 +56,7 @@
 		Number:          state.beginAttempt(action.Target, now),
 		Target:          action.Target,
 		Deadline:        now.Add(action.Timeout),
-		ClientGone:      state.call.ClientGone,
+		ClientClosed:    state.call.ClientClosed,
 		Payload:         state.call.Payload,
 	}
 	if action.StartWithin > 0 {
--- a/internal/dispatcher/call.go
+++ b/internal/dispatcher/call.go
@@ -67,9 +67,9 @@
 	// Respond receives the final response. It is called exactly once, or never if the call is cancelled first. It must not
 	// block, because it runs in the dispatcher's goroutine, which serves all calls.
 	Respond func(Response)
-	// ClientGone reports whether the client has closed its connection. It may be called from any goroutine, even after the
+	// ClientClosed reports whether the client has closed its connection. It may be called from any goroutine, even after the
 	// response; nil if this cannot be determined.
-	ClientGone func() bool
+	ClientClosed func() bool
 }
 
 // Attempt is one attempt to have a target execute a request.
@@ -80,7 +80,7 @@
 	Target          string
 	StartBy         time.Time   // latest time for sending the first byte; zero if unlimited
 	Deadline        time.Time   // when the attempt times out
-	ClientGone      func() bool // ClientGone of the call
+	ClientClosed    func() bool // ClientGone of the call
 	Payload         any         // Payload of the call
 }
 
--- a/internal/dispatcher/messages.go
+++ b/internal/dispatcher/messages.go
@@ -105,14 +105,14 @@
 		d.respond(state, Response{Status: Served, Payload: result.Payload})
 	}
 	d.events = append(d.events, scheduler.AttemptEnded{
-		RequestID:   result.RequestID,
-		Attempt:     result.Number,
-		Target:      result.Target,
-		Status:      result.Status,
-		Latency:     latency,
-		Answered:    state.ended,
-		LoadReport:  result.LoadReport,
-		VolumeUsage: result.VolumeUsage,
+		RequestID:    result.RequestID,
+		Attempt:      result.Number,
+		Target:       result.Target,
+		Status:       result.Status,
+		Latency:      latency,
+		RequestEnded: state.ended,
+		LoadReport:   result.LoadReport,
+		VolumeUsage:  result.VolumeUsage,
 	})
 	d.releaseIfDone(state)
 }
--- a/internal/nvme/iocommand.go
+++ b/internal/nvme/iocommand.go
@@ -119,11 +119,11 @@
 func (q *controllerQueue) newCall(p *pendingCommand, advancedRetry bool) *dispatcher.Call {
 	namespace := q.server.namespaces[p.ioRequest.NamespaceID]
 	call := &dispatcher.Call{
-		Request:    namespace.schedulerRequest(p.ioRequest),
-		ReceivedAt: time.Now(),
-		Payload:    p.ioRequest,
-		ClientGone: func() bool { return socket.ClosedByPeer(q.conn) },
-		Respond:    func(response dispatcher.Response) { q.respond(p, response, advancedRetry) },
+		Request:      namespace.schedulerRequest(p.ioRequest),
+		ReceivedAt:   time.Now(),
+		Payload:      p.ioRequest,
+		ClientClosed: func() bool { return socket.ClosedByPeer(q.conn) },
+		Respond:      func(response dispatcher.Response) { q.respond(p, response, advancedRetry) },
 	}
 	deadline := q.server.options.ClassDeadlines[call.Class]
 	call.ClientTimeout = q.server.shutdownSchedule.LimitTimeout(deadline, call.ReceivedAt, q.server.shutdownAt.Load())
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -53,7 +53,7 @@
 
 // clientGone reports whether the client has closed its connection. The dispatcher also cancels the attempt in that case, but
 // the actor may not have handled the message yet.
-func (a *inFlightAttempt) clientGone() bool { return a.ClientGone != nil && a.ClientGone() }
+func (a *inFlightAttempt) clientGone() bool { return a.ClientClosed != nil && a.ClientClosed() }
 
 // runAttempt gets a connection, sends the attempt on it and reports the result. A connection that cannot be used again is
 // closed before the report, so that nothing of the attempt is in flight once the scheduler has the result.
--- a/scheduler/attempts.go
+++ b/scheduler/attempts.go
@@ -24,7 +24,7 @@
 	switch {
 	case r.answered:
 		s.release(r)
-	case e.Answered:
+	case e.RequestEnded:
 		s.endRequest(r)
 	case s.now >= r.giveUpAt || !s.mayRetry(r):
 		s.giveUp(r)
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -118,14 +118,14 @@
 
 // AttemptEnded reports the end of an attempt.
 type AttemptEnded struct {
-	RequestID   string
-	Attempt     int // number of the attempt within its request, starting at 0
-	Target      string
-	Status      AttemptStatus
-	Latency     time.Duration // from the Send action to the end
-	Answered    bool          // no response is needed: the client has it or has closed its connection
-	LoadReport  *LoadReport   // nil: none
-	VolumeUsage int           // 1 + usage over all initiators, in % of the provisioned rate; 0: absent
+	RequestID    string
+	Attempt      int // number of the attempt within its request, starting at 0
+	Target       string
+	Status       AttemptStatus
+	Latency      time.Duration // from the Send action to the end
+	RequestEnded bool          // no response is needed: the client has it or has closed its connection
+	LoadReport   *LoadReport   // nil: none
+	VolumeUsage  int           // 1 + usage over all initiators, in % of the provisioned rate; 0: absent
 }
 
 // ResponseStarted reports that the response of the attempt in flight has begun to arrive.
--- a/scheduler/harness_test.go
+++ b/scheduler/harness_test.go
@@ -78,11 +78,11 @@
 // endAttempt ends the last attempt of the request.
 func (h *harness) endAttempt(id string, status AttemptStatus, latency time.Duration) {
 	h.step(AttemptEnded{
-		RequestID: id,
-		Attempt:   h.attempts[id] - 1,
-		Status:    status,
-		Latency:   latency,
-		Answered:  status == Succeeded,
+		RequestID:    id,
+		Attempt:      h.attempts[id] - 1,
+		Status:       status,
+		Latency:      latency,
+		RequestEnded: status == Succeeded,
 	})
 }
 
--- a/scheduler/latency_test.go
+++ b/scheduler/latency_test.go
@@ -64,11 +64,11 @@
 			h.step(testRequest(id, "v", 1))
 			h.now += 40 * ms
 			h.step(AttemptEnded{
-				RequestID:  id,
-				Status:     Succeeded,
-				Latency:    40 * ms,
-				Answered:   true,
-				LoadReport: report,
+				RequestID:    id,
+				Status:       Succeeded,
+				Latency:      40 * ms,
+				RequestEnded: true,
+				LoadReport:   report,
 			})
 		}
 		if got := h.scheduler.expectedLatency(h.target()); got < 0.039 || got > 0.041 {
--- a/scheduler/priority_test.go
+++ b/scheduler/priority_test.go
@@ -28,11 +28,11 @@
 		h.step(testRequest("earlier", "v", 1))
 		h.now += 50 * ms
 		h.step(AttemptEnded{
-			RequestID:  "earlier",
-			Status:     Succeeded,
-			Latency:    50 * ms,
-			Answered:   true,
-			LoadReport: &LoadReport{QueueDepth: -1, InFlight: c.reportedLoad},
+			RequestID:    "earlier",
+			Status:       Succeeded,
+			Latency:      50 * ms,
+			RequestEnded: true,
+			LoadReport:   &LoadReport{QueueDepth: -1, InFlight: c.reportedLoad},
 		})
 		h.now += c.age
 		low := testRequest("low", "w", 1)
--- a/scheduler/simulation_test.go
+++ b/scheduler/simulation_test.go
@@ -232,13 +232,13 @@
 		attempt.status = s.nextStatus(hasTimedOut, failureRate)
 		s.recordStatus(r, attempt)
 		events = append(events, AttemptEnded{
-			RequestID:   r.ID,
-			Attempt:     number,
-			Target:      attempt.Target,
-			Status:      attempt.status,
-			Latency:     s.now - attempt.sentAt,
-			Answered:    r.ended,
-			VolumeUsage: s.rng.IntN(200),
+			RequestID:    r.ID,
+			Attempt:      number,
+			Target:       attempt.Target,
+			Status:       attempt.status,
+			Latency:      s.now - attempt.sentAt,
+			RequestEnded: r.ended,
+			VolumeUsage:  s.rng.IntN(200),
 		})
 	}
 	return events
--- a/scheduler/timer_test.go
+++ b/scheduler/timer_test.go
@@ -53,7 +53,7 @@
 		}
 		request := testRequest("c", "v", 1)
 		request.Timeout -= 300 * ms // the client sent it 300 ms ago
-		h.step(request, AttemptEnded{RequestID: "b", Status: Succeeded, Latency: 600 * ms, Answered: true})
+		h.step(request, AttemptEnded{RequestID: "b", Status: Succeeded, Latency: 600 * ms, RequestEnded: true})
 		if got := h.scheduler.requests["c"].objectiveEndsAt - h.now; got != c.wantObjective {
 			t.Errorf("%s: objective in %v, want %v", c.name, got, c.wantObjective)
 		}
