--- a/internal/dispatcher/actions.go
+++ b/internal/dispatcher/actions.go
@@ -13,7 +13,7 @@
 	case scheduler.SetTimer:
 		d.setTimer(now.Add(action.Delay))
 	case scheduler.Send:
-		if state := d.idleCall(action.RequestID); state != nil {
+		if state := d.queuedCall(action.RequestID); state != nil {
 			d.send(state, now, action)
 		}
 	case scheduler.Reject:
@@ -21,18 +21,18 @@
 	case scheduler.Fail:
 		d.finish(action.RequestID, Response{Status: Failed})
 	case scheduler.WatchEndpoints:
-		// Only the simulator's adapter needs this action. In the daemon, the discovery watcher polls on its own.
+		// Only the simulator's adapter needs this action. In the initiator, the discovery watcher polls on its own.
 	}
 }
 
-// idleCall returns the call if it has not ended and has no attempt in flight. Otherwise it returns nil, and the action is
-// dropped.
+// queuedCall returns the call if it is queued in the scheduler: it has not ended and has no attempt in flight. Otherwise it
+// returns nil, and the action is dropped.
 //
 // An action may refer to a call that has ended or been released: the client has closed the connection, and the scheduler has
 // ended the request on an event that precedes ClientClosed in the same batch. Nobody would read the response. An action for
 // a call with an attempt in flight cannot occur, since the scheduler ends or sends a request only after AttemptEnded.
 // Dropping it anyway ensures that a request has one attempt at a time.
-func (d *Dispatcher) idleCall(requestID string) *callState {
+func (d *Dispatcher) queuedCall(requestID string) *callState {
 	state := d.calls.get(requestID)
 	if state == nil || state.ended || state.inFlight {
 		return nil
@@ -40,9 +40,9 @@
 	return state
 }
 
-// finish gives an idle call its response and releases the call.
+// finish gives a queued call its response and releases the call.
 func (d *Dispatcher) finish(requestID string, response Response) {
-	if state := d.idleCall(requestID); state != nil {
+	if state := d.queuedCall(requestID); state != nil {
 		d.respond(state, response)
 		d.releaseIfDone(state)
 	}
--- a/internal/dispatcher/call.go
+++ b/internal/dispatcher/call.go
@@ -41,7 +41,7 @@
 type Response struct {
 	Status            Status
 	Payload           any                     // payload of the AttemptResult; set if Status is Served
-	RetryAfter        time.Duration           // how long the client should wait before a retry; 0 if unspecified
+	RetryAfter        time.Duration           // how long the client should wait before it retries; 0: no advice
 	LastAttemptStatus scheduler.AttemptStatus // outcome of the last attempt; meaningless if there was none
 }
 
@@ -55,20 +55,20 @@
 // dispatcher sets. The server must not change a call after Submit.
 type Call struct {
 	scheduler.Request
-	// ClientRequestID is the ID that the client gave the request; empty if it gave none. The response is Duplicate while this
-	// ID is reserved for another request.
+	// ClientRequestID is the ID that the client gave the request; empty: none. The response is Duplicate while this ID is
+	// reserved for another request.
 	ClientRequestID string
 	// ReceivedAt is when the last byte of the request arrived.
 	ReceivedAt time.Time
 	// ClientTimeout is how long after ReceivedAt the client stops waiting for the response.
 	ClientTimeout time.Duration
-	// Payload is passed to the upstream with each attempt. The dispatcher doesn't read it.
+	// Payload is passed to the upstream with each attempt. The dispatcher does not read it.
 	Payload any
-	// Respond receives the final response. It is called exactly once, or never if the call is cancelled first. It must not
-	// block, because it runs in the dispatcher's goroutine, which serves all calls.
+	// Respond receives the final response. It is called exactly once, or never if the call is cancelled or Run returns first.
+	// It must not block, because it runs in the dispatcher's goroutine, which serves all calls.
 	Respond func(Response)
 	// ClientClosed reports whether the client has closed its connection. It may be called from any goroutine, even after the
-	// response; nil if this cannot be determined.
+	// response. nil: this cannot be determined.
 	ClientClosed func() bool
 }
 
@@ -76,11 +76,11 @@
 type Attempt struct {
 	RequestID       string // assigned by the dispatcher
 	ClientRequestID string // given by the client, for logs; may be empty
-	Number          int    // attempt number within the request, from 0
+	Number          int    // number of the attempt within its request, from 0
 	Target          string
-	StartBy         time.Time   // latest time for sending the first byte; zero if unlimited
+	StartBy         time.Time   // latest time for sending the first byte; zero: no bound
 	Deadline        time.Time   // when the attempt times out
-	ClientClosed    func() bool // ClientGone of the call
+	ClientClosed    func() bool // ClientClosed of the call
 	Payload         any         // Payload of the call
 }
 
@@ -90,7 +90,7 @@
 	Number      int
 	Target      string
 	Status      scheduler.AttemptStatus
-	LoadReport  *scheduler.LoadReport // load report of the target; nil if it sent none
+	LoadReport  *scheduler.LoadReport // load report of the target; nil: none
 	VolumeUsage int                   // see scheduler.AttemptEnded
 	Payload     any                   // payload for the response; set if Status is Succeeded
 }
--- a/internal/dispatcher/calllog.go
+++ b/internal/dispatcher/calllog.go
@@ -32,7 +32,7 @@
 	fieldReason         = "reason"
 	fieldTarget         = "target"
 	fieldAttempt        = "attempt"  // number of the attempt, from 0
-	fieldAttempts       = "attempts" // number of attempts sent
+	fieldAttempts       = "attempts" // number of attempts begun
 	fieldInFlight       = "in_flight"
 	fieldLatency        = "latency"      // time since the attempt started
 	fieldLate           = "late"         // how late a step was
--- a/internal/dispatcher/calltable.go
+++ b/internal/dispatcher/calltable.go
@@ -22,7 +22,7 @@
 	t.byID[call.ID] = &callState{call: call}
 }
 
-// get returns the state of the call with the given request ID, or nil if the table doesn't hold it.
+// get returns the state of the call with the given request ID, or nil if the table does not hold it.
 func (t *callTable) get(id string) *callState { return t.byID[id] }
 
 func (t *callTable) remove(state *callState) { delete(t.byID, state.call.ID) }
--- a/internal/dispatcher/clock.go
+++ b/internal/dispatcher/clock.go
@@ -4,7 +4,7 @@
 
 // Clock converts times of the process to scheduler time. Scheduler time is Unix time, because the endpoint list gives the
 // start times of targets in Unix time. The wall clock is read only once, and the monotonic clock is used from then on, so
-// that a step of the wall clock doesn't move deadlines.
+// that a step of the wall clock does not move deadlines.
 type Clock struct {
 	start time.Time // includes a monotonic clock reading
 }
--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -15,16 +15,16 @@
 
 // Options configures a Dispatcher.
 type Options struct {
-	// MaxOpenCalls limits the number of calls that are open at a time; 0 means no limit.
+	// MaxOpenCalls limits the number of calls that are open at a time; 0: no limit.
 	MaxOpenCalls int
-	// ResponseWriteMargin is subtracted from each client's timeout to leave time for writing the response. It doesn't cover
-	// late steps, for which the scheduler has a timer margin of its own.
+	// ResponseWriteMargin is subtracted from each client's timeout to leave time for writing the response. It does not
+	// cover late steps, for which the scheduler has a timer margin of its own.
 	ResponseWriteMargin time.Duration
-	// Logger receives the events of each request at debug level; nil disables logging.
+	// Logger receives the events of each request at debug level; nil: no logging.
 	Logger *slog.Logger
 }
 
-// Dispatcher is the event loop around a scheduler. All methods except Run may be called from any goroutine and don't block.
+// Dispatcher is the event loop around a scheduler. All methods except Run may be called from any goroutine and do not block.
 // They take effect in the order in which they were called, except that endpoint lists are applied before all other messages
 // of the same batch. The goroutine that executes Run owns all fields except inbox and openCalls.
 type Dispatcher struct {
@@ -39,8 +39,8 @@
 	calls      callTable
 	requestIDs requestIDs
 
-	nextTimer        time.Time     // when to step even without a message; zero if no timer is set
-	shutdownDeadline time.Time     // when attempts still in flight are cancelled; zero if no shutdown has begun
+	nextTimer        time.Time     // when to step even without a message; zero: no timer is set
+	shutdownDeadline time.Time     // when attempts still in flight are cancelled; zero: no shutdown has begun
 	lastStep         time.Duration // scheduler time of the last step
 
 	// Buffers reused for each batch of messages.
--- a/internal/dispatcher/dispatcher_test.go
+++ b/internal/dispatcher/dispatcher_test.go
@@ -136,7 +136,7 @@
 }
 
 // TestNonIdempotentIsNotRetried ends the attempt of a write in ways that leave open whether the target has executed it.
-// There must be no second attempt, and the response must be Failed, which doesn't guarantee that a retry is safe.
+// There must be no second attempt, and the response must be Failed, which does not guarantee that a retry is safe.
 func TestNonIdempotentIsNotRetried(t *testing.T) {
 	mayHaveExecuted := []scheduler.AttemptStatus{
 		scheduler.ConnectionReset, scheduler.DeadlineExceeded, scheduler.Errored, scheduler.Cancelled,
@@ -281,9 +281,9 @@
 	}
 }
 
-// TestRetryStartsWithinDedupWindow checks that a retry of a request with an idempotency key must start within the target's
-// dedup window, since the target drops repeats only in that time. The dispatcher must convert the scheduler's StartWithin to
-// the attempt's StartBy.
+// TestRetryStartsWithinDedupWindow checks that a retry of a request with an idempotency key must start within the dedup
+// window of its class, since targets discard duplicates only in that time. The dispatcher must convert the scheduler's
+// StartWithin to the attempt's StartBy.
 func TestRetryStartsWithinDedupWindow(t *testing.T) {
 	const dedupWindow = time.Second
 	h := newHarness(t)
--- a/internal/dispatcher/shutdown.go
+++ b/internal/dispatcher/shutdown.go
@@ -11,14 +11,15 @@
 	// ServeConnsFor is how long a server reads new requests from its open connections. Their clients know no other initiator
 	// until the successor is up.
 	ServeConnsFor time.Duration
-	// AnswerBy is when requests received after AcceptGrace must have their responses, so that the successor needn't wait.
+	// AnswerBy is when requests received after AcceptGrace must have their responses, so that the successor does not have to
+	// wait.
 	AnswerBy time.Duration
 	// FinalAnswerBy is when all requests must have their responses, because SIGKILL may follow soon after.
 	FinalAnswerBy time.Duration
 }
 
 const (
-	// maxAnswerBy limits AnswerBy, so that the successor needn't wait for the longest deadline.
+	// maxAnswerBy limits AnswerBy, so that the successor does not have to wait for the longest deadline.
 	maxAnswerBy = 2600 * time.Millisecond
 	// lastRequestTimeout is how long before AnswerBy servers stop reading requests, so that the last ones can be served.
 	lastRequestTimeout = 800 * time.Millisecond
--- a/internal/endpoints/endpoints.go
+++ b/internal/endpoints/endpoints.go
@@ -27,7 +27,7 @@
 	Zone      string `json:"zone"`
 	Shard     *int   `json:"cell"`       // once Validate has succeeded, nil only for a removed target
 	State     string `json:"state"`      // a key of targetStates once Validate has succeeded
-	StartedMs int64  `json:"started_ms"` // last start of the target, Unix time in milliseconds; 0 means long ago
+	StartedMs int64  `json:"started_ms"` // last start of the target, Unix time in milliseconds; 0: long ago
 }
 
 // stateRemoved marks a target that is no longer listed. It occurs only in lists of changes.
@@ -109,11 +109,11 @@
 // IsRemoved reports whether the entry removes the target from the list.
 func (e *Entry) IsRemoved() bool { return e.State == stateRemoved }
 
-// TargetState returns the target's state as the scheduler has it.
+// TargetState converts the entry's state to that of the scheduler. The list must be valid, see Validate.
 func (e *Entry) TargetState() scheduler.TargetState { return targetStates[e.State] }
 
 // Target converts the entry to a scheduler.Target. startedAt is the target's last start in scheduler time, which the caller
-// derives from StartedMs.
+// derives from StartedMs. The list must be valid, see Validate.
 func (e *Entry) Target(startedAt time.Duration) scheduler.Target {
 	target := scheduler.Target{
 		ID:        e.ID,
--- a/internal/endpoints/endpoints_test.go
+++ b/internal/endpoints/endpoints_test.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// TestTruncatedLists checks that a valid list is rejected if it is truncated at any point, and that random input doesn't
-// make Decode panic.
+// TestTruncatedLists checks that a valid list is rejected if it is truncated at any point, and that random input does
+// not make Decode panic.
 func TestTruncatedLists(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		complete := listJSON(rapid.IntRange(0, 99).Draw(t, "version"), rapid.Bool().Draw(t, "full"), entryJSON, entryJSON)
--- a/internal/propertytest/propertytest.go
+++ b/internal/propertytest/propertytest.go
@@ -14,7 +14,7 @@
 }
 
 // Main sets the flags of rapid, runs the tests of a package and exits. It is called by TestMain of a package whose tests
-// import rapid; otherwise the flags don't exist, and Main panics.
+// import rapid; otherwise the flags do not exist, and Main panics.
 func Main(m *testing.M) {
 	flag.Parse()
 	for name, value := range rapidFlags {
--- a/scheduler/attempts.go
+++ b/scheduler/attempts.go
@@ -22,7 +22,7 @@
 	}
 	r.recordExecution(t, e.Status)
 	switch {
-	case r.answered:
+	case r.ended:
 		s.release(r)
 	case e.RequestEnded:
 		s.endRequest(r)
@@ -44,8 +44,8 @@
 	s.pendingGiveUps.add(r)
 }
 
-// onResponseStarted exempts the request from being given up, so that the attempt in flight can finish
-// after the request's giveUpAt.
+// onResponseStarted removes the request from pendingGiveUps, since its attempt in flight may finish after
+// giveUpAt.
 func (s *Scheduler) onResponseStarted(e ResponseStarted) {
 	if r := s.requests[e.RequestID]; r != nil {
 		s.pendingGiveUps.remove(r)
@@ -54,7 +54,7 @@
 
 // onClientClosed ends the request. An attempt in flight continues.
 func (s *Scheduler) onClientClosed(e ClientClosed) {
-	if r := s.requests[e.RequestID]; r != nil && !r.answered {
+	if r := s.requests[e.RequestID]; r != nil && !r.ended {
 		s.endRequest(r)
 	}
 }
--- a/scheduler/completion.go
+++ b/scheduler/completion.go
@@ -30,7 +30,7 @@
 // endRequest records that the request needs no response any more, and removes it unless an attempt is in
 // flight.
 func (s *Scheduler) endRequest(r *request) {
-	r.answered = true
+	r.ended = true
 	s.pendingGiveUps.remove(r)
 	if r.inFlight == nil {
 		r.dequeue()
--- a/scheduler/concurrency.go
+++ b/scheduler/concurrency.go
@@ -14,8 +14,8 @@
 	// initiators; each initiator may have one attempt in any case. A bound is needed because requests
 	// differ in size, so latencies exceed the base latency even if nothing is queued at the target.
 	sharedMinConcurrency = 4
-	// concurrencyIncrement is what PARDA adds to the limit at each update. Since it is constant, all
-	// initiators get the same share.
+	// concurrencyIncrement is what PARDA (see updateConcurrency) adds to the limit at each update. Since it
+	// is constant, all initiators get the same share.
 	concurrencyIncrement = 0.25
 	// maxConcurrencyGrowth is the largest factor that one update applies to the limit.
 	maxConcurrencyGrowth = 2
@@ -23,17 +23,18 @@
 	// A higher value would queue more requests at the target, where they can no longer be reordered.
 	latencyTolerance = 1.5
 	// pressureMemoryObjectives is how long pressure on a target counts as recent, in shortest objectives.
-	// A target without recent pressure may have a longer queue, since the order of requests does not
-	// matter there.
+	// A target is under pressure when a request for it misses its objective or is deprioritized. A target
+	// without recent pressure may have a longer queue, since the order of requests does not matter there.
 	pressureMemoryObjectives = 30
 	// noPressureFactor multiplies the latency tolerance of a target without recent pressure.
 	noPressureFactor = 2
 )
 
-// updateConcurrency adjusts the concurrency limit after a success. It follows PARDA: the limit converges
-// to the value at which the smoothed latency is latencyTolerance times the base latency. It differs from
-// PARDA as follows: the latency goal is relative to the target's base latency and higher without recent
-// pressure, the factor of one update is bounded, and the limit grows only while it is fully used.
+// updateConcurrency adjusts the concurrency limit after a success. It follows the flow control of PARDA
+// (Proportional Allocation of Resources for Distributed Storage Access): the limit converges to the value
+// at which the smoothed latency is latencyTolerance times the base latency. It differs from PARDA as
+// follows: the latency goal is relative to the target's base latency and higher without recent pressure,
+// the factor of one update is bounded, and the limit grows only while it is fully used.
 func (s *Scheduler) updateConcurrency(t *target) {
 	latencyGoal := latencyTolerance * t.baseLatency
 	if s.now-t.lastPressure > pressureMemoryObjectives*s.shortestObjective {
--- a/scheduler/dispatch.go
+++ b/scheduler/dispatch.go
@@ -5,7 +5,8 @@
 	q.wakeAt = never
 	for q.target != nil && len(q.queued) > 0 {
 		hasCapacity := s.hasCapacity(q.target)
-		// A sequential run may exceed the concurrency limit, since it costs the target less.
+		// A sequential run may exceed the concurrency limit, since consecutive attempts for one extent cost
+		// the target less.
 		if !hasCapacity && !s.hasCapacityBeyond(q.target, maxSequentialRun-1) {
 			return
 		}
@@ -63,7 +64,7 @@
 	t.sequentialRun++
 }
 
-// freshLoad is the target's last reported load, or -1 if the report is too old.
+// freshLoad is the target's last reported load, or -1 if there is no report or it is too old.
 func (s *Scheduler) freshLoad(t *target) float64 {
 	if s.now-t.loadReportedAt < s.shortestObjective/2 {
 		return t.reportedLoad
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -42,9 +42,9 @@
 	Targets  []Target
 }
 
-// Request is a new client request. The scheduler ends it exactly once: with Reject, with Fail, after an
-// attempt that is reported with AttemptEnded.Answered, or without a response after ClientClosed. A
-// request with the ID of one that has not ended, or has an attempt in flight, is ignored.
+// Request is a new client request. It ends exactly once: with a Reject or Fail action, or without an
+// action at a ClientClosed event or an AttemptEnded event with RequestEnded set. A request with the ID of
+// one that has not ended, or has an attempt in flight, is ignored.
 type Request struct {
 	ID         string
 	Class      string        // name of a Class
@@ -119,7 +119,7 @@
 // AttemptEnded reports the end of an attempt.
 type AttemptEnded struct {
 	RequestID    string
-	Attempt      int // number of the attempt within its request, starting at 0
+	Attempt      int // number of the attempt within its request, from 0
 	Target       string
 	Status       AttemptStatus
 	Latency      time.Duration // from the Send action to the end
--- a/scheduler/givenup.go
+++ b/scheduler/givenup.go
@@ -14,23 +14,23 @@
 }
 
 // find returns the given-up request of which r may be a client retry, or nil.
-func (m *givenUpRequests) find(r *request) *request { return m.byKey[r.clientRetryKey()] }
+func (g *givenUpRequests) find(r *request) *request { return g.byKey[r.clientRetryKey()] }
 
 // remove removes the given-up request of which r is a client retry.
-func (m *givenUpRequests) remove(r *request) { delete(m.byKey, r.clientRetryKey()) }
+func (g *givenUpRequests) remove(r *request) { delete(g.byKey, r.clientRetryKey()) }
 
 // add records the request, and removes the oldest ones whose client no longer waits.
-func (m *givenUpRequests) add(r *request, now time.Duration) {
-	m.byKey[r.clientRetryKey()] = r
-	m.inOrder = append(m.inOrder, r)
-	for len(m.inOrder) > 0 {
-		oldest := m.inOrder[0]
+func (g *givenUpRequests) add(r *request, now time.Duration) {
+	g.byKey[r.clientRetryKey()] = r
+	g.inOrder = append(g.inOrder, r)
+	for len(g.inOrder) > 0 {
+		oldest := g.inOrder[0]
 		if now <= oldest.firstArrival+oldest.class.Deadline {
 			return
 		}
-		if m.byKey[oldest.clientRetryKey()] == oldest {
-			delete(m.byKey, oldest.clientRetryKey())
+		if g.byKey[oldest.clientRetryKey()] == oldest {
+			delete(g.byKey, oldest.clientRetryKey())
 		}
-		m.inOrder = m.inOrder[1:]
+		g.inOrder = g.inOrder[1:]
 	}
 }
--- a/scheduler/ordering.go
+++ b/scheduler/ordering.go
@@ -38,7 +38,8 @@
 }
 
 // serialAdmissionTime returns the time from which the request may start, so that requests for a
-// serialized extent run in order. It is never as long as an earlier request for the extent has not ended.
+// serialized extent run in order. While an earlier request for the extent has not ended, it returns the
+// constant never.
 func (s *Scheduler) serialAdmissionTime(r *request) time.Duration {
 	q := s.serialQueues[r.Extent]
 	if q == nil || !r.isSerialized() {
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -57,7 +57,8 @@
 }
 
 // migrateQueued moves queued new objects away from shards whose expected wait has become much longer than
-// that of the best shard. A request keeps its tags, because its units were already charged to the volume,
+// that of the best shard. A request that may have been executed stays, because it may be stored there
+// already. A request that moves keeps its tags, because its units were already charged to the volume,
 // whose bucket is common to all shards.
 func (s *Scheduler) migrateQueued() {
 	for _, q := range s.shardQueues {
--- a/scheduler/priority.go
+++ b/scheduler/priority.go
@@ -7,8 +7,8 @@
 
 // priority is the value of one unit of the request if it is served within its objective. It is the full
 // weight while the volume's reservation has enough units left. Otherwise it is the weight times
-// WithinShareFactor from the start tag on. The further away the start tag still is, the closer it is to
-// the weight times BeyondShareFactor.
+// WithinShareFactor once the request is eligible. Until then, it is lower: the further away the start tag,
+// the closer it is to the weight times BeyondShareFactor.
 func (s *Scheduler) priority(r *request) float64 {
 	weight := r.class.PriorityWeight * r.volume.plan.PriorityFactor
 	if s.reservationCredit(r.volume) >= r.Units {
--- a/scheduler/request.go
+++ b/scheduler/request.go
@@ -30,7 +30,7 @@
 	sentAt     time.Duration // start of the last attempt
 	loadAtSend float64       // load that the target had reported shortly before the last attempt; -1: unknown
 	charged    bool          // its units have been taken from the volume's rate limit
-	answered   bool          // no response is needed: the client has it or has closed its connection
+	ended      bool          // no response is needed: the client has it or has closed its connection
 
 	mayHaveExecuted bool
 	firstExecution  execution // the first attempt that may have been executed
--- a/scheduler/rulechecks_test.go
+++ b/scheduler/rulechecks_test.go
@@ -143,7 +143,7 @@
 		}
 	}
 	for _, other := range s.serialized[r.Extent] {
-		if other != r && other.mayStillRunAt > 0 && s.now < other.mayStillRunAt+s.settings.SettleTime {
+		if other != r && other.mayStillRunSince > 0 && s.now < other.mayStillRunSince+s.settings.SettleTime {
 			s.violation("rule 5: %s sent within the settle time of its extent", r.ID)
 		}
 	}
--- a/scheduler/selection.go
+++ b/scheduler/selection.go
@@ -103,7 +103,8 @@
 }
 
 // collectAdmitted fills s.admitted with the queue's requests that may be sent now, and marks those that
-// are past their objective or deprioritized. For the others it sets the queue's wakeAt.
+// are past their objective or deprioritized. For requests that must still wait, it sets the queue's
+// wakeAt.
 func (s *Scheduler) collectAdmitted(q *shardQueue) {
 	t := q.target
 	s.admitted = s.admitted[:0]
--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -87,7 +87,7 @@
 	WithinShareFactor float64       // fraction of the priority weight for units beyond the reservation
 	BeyondShareFactor float64       // fraction of the priority weight for units beyond the volume's share
 	UsageReportPeriod time.Duration // interval between usage reports; 0: there are none
-	WatchEndpoints    bool          // the endpoint list must be requested with a WatchEndpoints action
+	WatchEndpoints    bool          // emit WatchEndpoints actions; false: the caller watches the list itself
 }
 
 // SettingsError reports invalid settings.
--- a/scheduler/share.go
+++ b/scheduler/share.go
@@ -48,7 +48,8 @@
 	u.globalAt = now
 }
 
-// isGlobalKnown reports whether there is a recent usage report. If the period is 0, there are none.
+// isGlobalKnown reports whether the last usage report is recent and the global rate is positive. If the
+// period is 0, there are no reports.
 func (u *serviceRates) isGlobalKnown(now, period time.Duration) bool {
 	return period > 0 && u.globalAt > 0 && now-u.globalAt < usageReportLifetime*period && u.global > 0
 }
--- a/scheduler/simulation_test.go
+++ b/scheduler/simulation_test.go
@@ -14,11 +14,11 @@
 // observedRequest is what the simulation knows about a request, from events and actions only.
 type observedRequest struct {
 	Request
-	class         Class
-	deadline      time.Duration
-	attempts      []observedAttempt
-	ended         bool
-	mayStillRunAt time.Duration // end of the last attempt that may still be running at its target; 0: none
+	class            Class
+	deadline         time.Duration
+	attempts         []observedAttempt
+	ended            bool
+	mayStillRunSince time.Duration // end of the last attempt that may still be running at its target; 0: none
 }
 
 type observedAttempt struct {
@@ -258,7 +258,7 @@
 func (s *simulation) recordStatus(r *observedRequest, attempt *observedAttempt) {
 	switch attempt.status {
 	case DeadlineExceeded, ConnectionReset, Cancelled:
-		r.mayStillRunAt = s.now
+		r.mayStillRunSince = s.now
 	case Succeeded:
 		r.ended = true
 		addUnits(s.served, attempt.Target, s.now, r.Units)
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -79,7 +79,7 @@
 	h := newHarness(t, settings, servingTarget(testTarget, 0))
 	h.step(EndpointList{Targets: []Target{{ID: testTarget, StartedAt: h.now}}})
 	state := h.target()
-	var sent, answered []time.Duration
+	var sent, responded []time.Duration
 	countWithinWindow := func(times []time.Duration) int {
 		return len(trimBefore(times, h.now-settings.SlowStart.Window))
 	}
@@ -88,19 +88,19 @@
 		h.step(testRequest(fmt.Sprint("r", i), "v", 1))
 		if len(h.sends) > before {
 			sent = append(sent, h.now)
-			if got, limit := countWithinWindow(sent), max(1, 2*countWithinWindow(answered)); got > limit {
+			if got, limit := countWithinWindow(sent), max(1, 2*countWithinWindow(responded)); got > limit {
 				t.Fatalf("%d requests sent within the window to a target that responded to %d",
-					got, countWithinWindow(answered))
+					got, countWithinWindow(responded))
 			}
 		}
 		h.advance(20 * ms)
 		for _, r := range slices.Clone(state.inFlight) {
 			h.endAttempt(r.ID, Succeeded, 20*ms)
-			answered = append(answered, h.now)
+			responded = append(responded, h.now)
 		}
 	}
-	if len(answered) < 40 {
-		t.Errorf("%d responses during slow start, want at least 40", len(answered))
+	if len(responded) < 40 {
+		t.Errorf("%d responses during slow start, want at least 40", len(responded))
 	}
 }
 
--- a/scheduler/sweep.go
+++ b/scheduler/sweep.go
@@ -11,7 +11,8 @@
 const idleStateObjectives = 60
 
 // sweep removes idle state periodically, so that memory does not grow with the number of volumes, extents
-// and targets ever seen. A removed volume starts with a full bucket, as after a synchronization point.
+// and targets ever seen. If a removed volume returns, it starts with a full bucket, as after a
+// synchronization point.
 func (s *Scheduler) sweep() {
 	if s.now-s.lastSweep <= idleStateObjectives*s.shortestObjective {
 		return
@@ -44,7 +45,7 @@
 	})
 }
 
-// sweepTargets removes the targets that are no longer in the endpoint list.
+// sweepTargets removes the idle targets that are no longer in the endpoint list.
 func (s *Scheduler) sweepTargets(since time.Duration) {
 	s.targets = slices.DeleteFunc(s.targets, func(t *target) bool {
 		isGone := t.State == Removed && len(t.inFlight) == 0 && t.lastContact < since
--- a/scheduler/tags.go
+++ b/scheduler/tags.go
@@ -20,9 +20,9 @@
 }
 
 // sigma is the depth of the volume's bucket: one second of its rate plus one request of the largest size,
-// since otherwise the bucket of a slow volume could never hold such a request. The rate is divided
-// equally among the initiators, unlike that of rho: a burst may arrive here before the measured share
-// reflects it.
+// since otherwise the bucket of a slow volume could never hold such a request. The rate is the
+// provisioned rate, or the reservation if that is higher. It is divided equally among the initiators,
+// unlike that of rho: a burst may arrive here before the measured share reflects it.
 func (s *Scheduler) sigma(v *volume) float64 {
 	return max(v.plan.Reservation, v.plan.ProvisionedRate)/v.initiators +
 		max(s.settings.MaxUnits, s.settings.MeanUnits)
