--- a/internal/dispatcher/actions.go
+++ b/internal/dispatcher/actions.go
@@ -99,5 +99,5 @@
 	}
 	d.calls.remove(state)
 	d.openCalls.Add(-1)
-	d.requestIDs.release(state.call.ClientRequestID, state.mayHaveExecuted)
+	d.clientRequestIDs.release(state.call.ClientRequestID, state.mayHaveExecuted)
 }
--- a/internal/dispatcher/call.go
+++ b/internal/dispatcher/call.go
@@ -13,15 +13,15 @@
 const (
 	// Served means that the target has served the request and Response.Payload holds its response.
 	Served Status = iota
-	// Rejected guarantees that the client can safely send the request again. An idempotent request may have been executed.
+	// Rejected guarantees that the client can safely send the request again. The request may have been executed only if it is
+	// idempotent or every target discards duplicates of it.
 	Rejected
 	// Failed guarantees nothing about whether the request was executed.
 	Failed
-	// Duplicate means that a request with the same ID is open, or ended recently and may have been executed.
+	// Duplicate means that a request with the same client request ID is open, or ended recently and may have been executed.
 	Duplicate
 )
 
-// statusNames holds the status names used in logs.
 var statusNames = [...]string{
 	Served:    "SERVED",
 	Rejected:  "REJECTED",
@@ -29,7 +29,7 @@
 	Duplicate: "DUPLICATE",
 }
 
-// String returns the status name used in logs.
+// String returns the name of the status in logs.
 func (s Status) String() string {
 	if s < 0 || int(s) >= len(statusNames) {
 		return fmt.Sprintf("STATUS_%d", int(s))
--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -36,8 +36,8 @@
 	inbox     *mailbox.Mailbox[message]
 	openCalls atomic.Int64 // submitted and not released yet
 
-	calls      callTable
-	requestIDs requestIDs
+	calls            callTable
+	clientRequestIDs clientRequestIDs
 
 	nextTimer        time.Time     // when to step even without a message; zero: no timer is set
 	shutdownDeadline time.Time     // when attempts still in flight are cancelled; zero: no shutdown has begun
@@ -54,13 +54,13 @@
 		options.Logger = slog.New(slog.DiscardHandler)
 	}
 	return &Dispatcher{
-		scheduler:  s,
-		upstream:   upstream,
-		clock:      clock,
-		options:    options,
-		inbox:      mailbox.New[message](),
-		calls:      newCallTable(),
-		requestIDs: newRequestIDs(),
+		scheduler:        s,
+		upstream:         upstream,
+		clock:            clock,
+		options:          options,
+		inbox:            mailbox.New[message](),
+		calls:            newCallTable(),
+		clientRequestIDs: newClientRequestIDs(),
 	}
 }
 
--- a/internal/dispatcher/messages.go
+++ b/internal/dispatcher/messages.go
@@ -30,7 +30,7 @@
 // Endpoint lists come first. Otherwise a request that precedes a list in the batch could be sent to a target that is already
 // known to be draining.
 func (d *Dispatcher) applyMessages(now time.Time, messages []message) []scheduler.Event {
-	d.requestIDs.expire(now)
+	d.clientRequestIDs.expire(now)
 	d.events = d.events[:0]
 	d.endpointEvents = d.endpointEvents[:0]
 	for _, m := range messages {
@@ -56,10 +56,10 @@
 	return d.endpointEvents
 }
 
-// accept opens a call, unless its request ID is reserved. Targets identify requests by these IDs, and would treat a second
-// request with the same ID as a hedged request.
+// accept opens a call, unless its client request ID is reserved. Targets identify requests by these IDs, and would treat a
+// second request with the same ID as a hedged request.
 func (d *Dispatcher) accept(now time.Time, call *Call) {
-	if !d.requestIDs.reserve(call.ClientRequestID) {
+	if !d.clientRequestIDs.reserve(call.ClientRequestID) {
 		d.openCalls.Add(-1)
 		d.logCall(eventRequestEnded, call, slog.String(fieldReason, Duplicate.String()))
 		call.Respond(Response{Status: Duplicate})
--- a/internal/dispatcher/requestids.go
+++ b/internal/dispatcher/requestids.go
@@ -5,22 +5,23 @@
 // executedIDLifetime is the minimum time for which the ID of a request that may have been executed stays reserved.
 const executedIDLifetime = 5 * time.Second
 
-// requestIDs prevents clients from using a request ID twice. Targets identify requests by these IDs. They would treat a
-// second request with the same ID as a hedged request, or execute a write twice. An ID is reserved while its request is
-// open, and for executedIDLifetime or longer after the end of a request that may have been executed. If no target can have
-// executed the request, its ID is free at once, so that the client can send a rejected request again with the same ID.
+// clientRequestIDs prevents clients from using a request ID twice. Targets identify requests by the IDs that clients give
+// them. They would treat a second request with the same ID as a hedged request, or execute a write twice. An ID is reserved
+// while its request is open, and for executedIDLifetime or longer after the end of a request that may have been executed. If
+// no target can have executed the request, its ID is free at once, so that the client can send a rejected request again with
+// the same ID.
 //
 // The IDs of ended requests are kept in two generations, so that they expire without work for each ID. Expiry is checked at
 // the start of each step, before IDs are reserved or released.
-type requestIDs struct {
+type clientRequestIDs struct {
 	open         map[string]bool
 	executed     map[string]bool // requests that may have been executed and ended since the last rotation
 	prevExecuted map[string]bool // the same for requests that ended between the last two rotations
 	lastRotation time.Time
 }
 
-func newRequestIDs() requestIDs {
-	return requestIDs{
+func newClientRequestIDs() clientRequestIDs {
+	return clientRequestIDs{
 		open:         map[string]bool{},
 		executed:     map[string]bool{},
 		prevExecuted: map[string]bool{},
@@ -29,7 +30,7 @@
 
 // reserve reserves the ID of a new request. It returns false if the ID is already reserved. It always returns true for the
 // empty ID, which requests without an ID have.
-func (r *requestIDs) reserve(id string) bool {
+func (r *clientRequestIDs) reserve(id string) bool {
 	if id == "" {
 		return true
 	}
@@ -42,7 +43,7 @@
 
 // release ends the reservation of an open request's ID: at once, or after executedIDLifetime or longer if the request may
 // have been executed.
-func (r *requestIDs) release(id string, mayHaveExecuted bool) {
+func (r *clientRequestIDs) release(id string, mayHaveExecuted bool) {
 	if id == "" {
 		return
 	}
@@ -53,7 +54,7 @@
 }
 
 // expire frees the IDs whose lifetime has ended.
-func (r *requestIDs) expire(now time.Time) {
+func (r *clientRequestIDs) expire(now time.Time) {
 	sinceRotation := now.Sub(r.lastRotation)
 	if sinceRotation <= executedIDLifetime {
 		return
--- a/internal/dispatcher/requestids_test.go
+++ b/internal/dispatcher/requestids_test.go
@@ -57,7 +57,7 @@
 
 	h.submitWithID(t, "c", "get")
 	h.receive(attemptEnded{h.upstream.result(scheduler.Succeeded)})
-	ids := h.requestIDs
+	ids := h.clientRequestIDs
 	if n := len(ids.open) + len(ids.executed) + len(ids.prevExecuted); n != 1 {
 		t.Errorf("%d IDs are reserved, want only the last one", n)
 	}
--- a/scheduler/actions.go
+++ b/scheduler/actions.go
@@ -9,7 +9,8 @@
 	// Send starts an attempt of RequestID at Target, with Timeout and StartWithin.
 	Send ActionKind = iota
 	// Reject ends RequestID and tells the client that it is safe to send the request again: it was not
-	// executed, or its class makes a repeat safe. RetryAfter is the advice to the client.
+	// executed, it is idempotent, or every target discards duplicates of it. RetryAfter is the advice to the
+	// client.
 	Reject
 	// Fail ends RequestID without stating whether it was executed.
 	Fail
--- a/scheduler/completion.go
+++ b/scheduler/completion.go
@@ -8,7 +8,7 @@
 // giveUp ends the request without a response from a target: it rejects the request if a client retry is
 // safe, and otherwise fails it.
 func (s *Scheduler) giveUp(r *request) {
-	if r.isRepeatSafe() {
+	if r.isClientRetrySafe() {
 		s.emit(Action{Kind: Reject, RequestID: r.ID, RetryAfter: s.retryAfter(r)})
 	} else {
 		s.emit(Action{Kind: Fail, RequestID: r.ID})
--- a/scheduler/doc.go
+++ b/scheduler/doc.go
@@ -2,9 +2,9 @@
 // its data, and how each request ends.
 //
 // The package reads no clock and opens no socket. The caller passes the current time and a batch of [Event]
-// values to [Scheduler.Step] and executes the returned [Action] values in order. Times are durations since an
-// origin long before the first step; where a comment says so, 0 means none or long ago. The same settings,
-// seed and events always produce the same actions.
+// values to [Scheduler.Step] and carries out the returned [Action] values in order. Times are durations
+// since an origin long before the first step; where a comment says so, 0 means none or long ago. The same
+// settings, seed and events always produce the same actions.
 //
 // Requests are ordered by redemptive fair queuing (RFQ): each volume has a token bucket, which determines the
 // start tag and the finish tag of each of its requests. tags.go explains the terms.
@@ -12,7 +12,8 @@
 // Seven rules hold for every sequence of events. Each is listed with the functions that enforce it:
 //
 //  1. Each request ends exactly once, by its deadline: giveUpOverdue and endRequest.
-//  2. No request is executed twice unless its class allows it: mayRetry, isInDedupScope and isRepeatSafe.
+//  2. No request is executed twice unless its class allows it: mayRetry, isInDedupScope and
+//     isClientRetrySafe.
 //  3. No attempt goes to a draining or removed target: assignTargets.
 //  4. A target in slow start gets no more than this initiator's share of what it can serve:
 //     slowStart.admissionTime. If that share is less than one request, the target gets one request per
--- a/scheduler/idempotency.go
+++ b/scheduler/idempotency.go
@@ -4,7 +4,7 @@
 
 // Whether a request may be sent again depends on its class and on whether it may have been executed. The
 // scheduler sends it again itself (a retry, see mayRetry and isInDedupScope), rejects it, which allows the
-// client to send it again (see isRepeatSafe), or fails it:
+// client to send it again (see isClientRetrySafe), or fails it:
 //
 //	class                         not executed   may have executed
 //	Idempotent                    retry, reject  retry, reject
@@ -32,8 +32,8 @@
 	return false
 }
 
-// isRepeatSafe reports whether the client may send the request again, to any target and at any time.
-func (r *request) isRepeatSafe() bool {
+// isClientRetrySafe reports whether the client may send the request again, to any target and at any time.
+func (r *request) isClientRetrySafe() bool {
 	if !r.mayHaveExecuted || r.class.Idempotency == Idempotent {
 		return true
 	}
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -60,7 +60,8 @@
 
 // budget is the number of units that a target of this age can serve within a window for this initiator.
 // The capacity grows linearly from InitialCapacity; served is the number of units that the target has
-// served within the window.
+// served within the window. The budget is an equal share of the capacity or, if that is more, a part of
+// the equal share plus the served units.
 func (p *slowStart) budget(age time.Duration, served float64) float64 {
 	if p.oneRequestPerWindow {
 		// The target fails at OverloadFactor times what it can serve. Half of that keeps a safe distance
