--- a/internal/dispatcher/dispatcher_test.go
+++ b/internal/dispatcher/dispatcher_test.go
@@ -271,7 +271,8 @@
 	}
 }
 
-// TestSchedulerTimeNeverGoesBack steps the dispatcher with a time before that of the previous step.
+// TestSchedulerTimeNeverGoesBack steps the dispatcher with a time before that of the previous step, as after a fault of the
+// platform's clock. The scheduler requires that its time never decreases, so the dispatcher must not pass that time on.
 func TestSchedulerTimeNeverGoesBack(t *testing.T) {
 	h := newHarness(t)
 	before := h.lastStep
--- a/scheduler/idempotency.go
+++ b/scheduler/idempotency.go
@@ -48,7 +48,7 @@
 // dedupEndsAt is the time from which targets no longer discard duplicates of a request that needs
 // deduplication.
 func (r *request) dedupEndsAt() time.Duration {
-	return r.firstExecution.since + r.class.DedupWindow
+	return r.firstExecution.attemptSentAt + r.class.DedupWindow
 }
 
 // isInDedupScope reports whether the target may get another attempt: it discards duplicates of the
--- a/scheduler/request.go
+++ b/scheduler/request.go
@@ -38,9 +38,9 @@
 
 // execution records where a request may have been executed, and when that attempt was sent.
 type execution struct {
-	zone  string
-	shard int
-	since time.Duration
+	zone          string
+	shard         int
+	attemptSentAt time.Duration
 }
 
 // clientRetryKey holds the properties that a request and its client retries have in common.
@@ -59,7 +59,7 @@
 		return
 	}
 	r.mayHaveExecuted = true
-	r.firstExecution = execution{zone: t.Zone, shard: t.Shard, since: r.sentAt}
+	r.firstExecution = execution{zone: t.Zone, shard: t.Shard, attemptSentAt: r.sentAt}
 }
 
 // removeRequest removes the request from the list, if present, and returns the list.
--- a/scheduler/simulation_test.go
+++ b/scheduler/simulation_test.go
@@ -119,7 +119,7 @@
 }
 
 // staleEvents returns events that the scheduler must ignore: an early timer, the end of an attempt that
-// was never sent, and the end of an unknown request.
+// was never sent, and a closed connection of an unknown request's client.
 func (s *simulation) staleEvents() []Event {
 	id := s.open[s.rng.IntN(len(s.open))].ID
 	return []Event{
@@ -136,6 +136,7 @@
 	return s.open[s.rng.IntN(len(s.open))]
 }
 
+// takeDueTimers removes the timers that are due and reports whether there were any.
 func (s *simulation) takeDueTimers() bool {
 	isDue := func(at time.Duration) bool { return at <= s.now }
 	hasDue := slices.ContainsFunc(s.timers, isDue)
@@ -143,7 +144,7 @@
 	return hasDue
 }
 
-// nextEndpointList generates and records a failure, or a list with one changed target.
+// nextEndpointList generates a failure, or generates and records a list with one changed target.
 func (s *simulation) nextEndpointList() EndpointList {
 	if s.randomBool(0.1) {
 		return EndpointList{Failed: true}
