--- a/scheduler/arrival.go
+++ b/scheduler/arrival.go
@@ -81,9 +81,9 @@
 // dispatcher subtracts its ResponseWriteMargin from the timeout.
 func (s *Scheduler) timerMargin() time.Duration { return timerMarginTicks * s.settings.Tick }
 
-// adjustForStall moves the objective of a request that arrived while the process was stalled to an
-// earlier time, by the time that the request has waited. The wait follows from the remaining timeout, on
-// the assumption that the client's full timeout is the deadline of the class.
+// adjustForStall moves the end of the objective of a request that arrived while the process was stalled
+// to an earlier time, by the time that the request has waited. The wait follows from the remaining
+// timeout, on the assumption that the client's full timeout is the deadline of the class.
 func (s *Scheduler) adjustForStall(r *request) {
 	waited := r.class.Deadline - r.Timeout
 	if s.stall > 0 && waited < s.stall+s.shortestObjective/timersPerObjective {
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -135,7 +135,7 @@
 type ClientClosed struct{ RequestID string }
 
 // Shutdown begins the graceful shutdown: each request, including those yet to arrive, must end within the
-// grace period.
+// grace period. The caller must cancel the attempts that are still in flight at its end.
 type Shutdown struct{ GracePeriod time.Duration }
 
 // Timer reports that the timer requested with SetTimer has fired.
--- a/scheduler/selection.go
+++ b/scheduler/selection.go
@@ -17,7 +17,7 @@
 // kind.
 type candidates struct {
 	eligible      *request // least finish tag among those with a start tag not after now
-	sequential    *request // least finish tag among the eligible ones for the extent of the last attempt
+	sequential    *request // like eligible, but only first attempts for the extent of the last attempt
 	nextEligible  *request // least start tag among those with a start tag after now
 	deprioritized *request // highest priority among the deprioritized ones
 	pastObjective *request // least finish tag among those past their objective
