--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -63,11 +63,11 @@
 const (
 	// Succeeded attempts were served.
 	Succeeded AttemptStatus = iota
-	// Errored attempts were answered with an error and may have been executed.
+	// Errored attempts got an error response and may have been executed.
 	Errored
 	// Rejected attempts were refused before execution.
 	Rejected
-	// DeadlineExceeded attempts were not answered in time and may have been executed.
+	// DeadlineExceeded attempts got no response in time and may have been executed.
 	DeadlineExceeded
 	// ConnectFailed attempts got no connection or were not sent completely, so the target cannot have
 	// executed them.
