--- a/scheduler/completion.go
+++ b/scheduler/completion.go
@@ -8,7 +8,7 @@
 // giveUp ends the request without a response from a target: it rejects the request if a client retry is
 // safe, and otherwise fails it.
 func (s *Scheduler) giveUp(r *request) {
-	if r.isRepeatSafe() {
+	if r.isClientRetrySafe() {
 		s.emit(Action{Kind: Reject, RequestID: r.ID, RetryAfter: s.retryAfter(r)})
 	} else {
 		s.emit(Action{Kind: Fail, RequestID: r.ID})
@@ -30,7 +30,7 @@
 // endRequest records that the request needs no response any more, and removes it unless an attempt is in
 // flight.
 func (s *Scheduler) endRequest(r *request) {
-	r.answered = true
+	r.ended = true
 	s.pendingGiveUps.remove(r)
 	if r.inFlight == nil {
 		r.dequeue()
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -42,9 +42,9 @@
 	Targets  []Target
 }
 
-// Request is a new client request. The scheduler ends it exactly once: with Reject, with Fail, after an
-// attempt that is reported with AttemptEnded.Answered, or without a response after ClientClosed. A
-// request with the ID of one that has not ended, or has an attempt in flight, is ignored.
+// Request is a new client request. It ends exactly once: with a Reject or Fail action, or without an
+// action at a ClientClosed event or an AttemptEnded event with RequestEnded set. A request with the ID of
+// one that has not ended, or has an attempt in flight, is ignored.
 type Request struct {
 	ID         string
 	Class      string        // name of a Class
@@ -63,11 +63,11 @@
 const (
 	// Succeeded attempts were served.
 	Succeeded AttemptStatus = iota
-	// Errored attempts were answered with an error and may have been executed.
+	// Errored attempts got an error response and may have been executed.
 	Errored
 	// Rejected attempts were refused before execution.
 	Rejected
-	// DeadlineExceeded attempts were not answered in time and may have been executed.
+	// DeadlineExceeded attempts got no response in time and may have been executed.
 	DeadlineExceeded
 	// ConnectFailed attempts got no connection or were not sent completely, so the target cannot have
 	// executed them.
@@ -118,14 +118,14 @@
 
 // AttemptEnded reports the end of an attempt.
 type AttemptEnded struct {
-	RequestID   string
-	Attempt     int // number of the attempt within its request, starting at 0
-	Target      string
-	Status      AttemptStatus
-	Latency     time.Duration // from the Send action to the end
-	Answered    bool          // no response is needed: the client has it or has closed its connection
-	LoadReport  *LoadReport   // nil: none
-	VolumeUsage int           // 1 + usage over all initiators, in % of the provisioned rate; 0: absent
+	RequestID    string
+	Attempt      int // number of the attempt within its request, from 0
+	Target       string
+	Status       AttemptStatus
+	Latency      time.Duration // from the Send action to the end
+	RequestEnded bool          // no response is needed: the client has it or has closed its connection
+	LoadReport   *LoadReport   // nil: none
+	VolumeUsage  int           // 1 + usage over all initiators, in % of the provisioned rate; 0: absent
 }
 
 // ResponseStarted reports that the response of the attempt in flight has begun to arrive.
@@ -135,7 +135,7 @@
 type ClientClosed struct{ RequestID string }
 
 // Shutdown begins the graceful shutdown: each request, including those yet to arrive, must end within the
-// grace period.
+// grace period. The caller must cancel the attempts that are still in flight at its end.
 type Shutdown struct{ GracePeriod time.Duration }
 
 // Timer reports that the timer requested with SetTimer has fired.
