--- a/internal/clienthttp/accept.go
+++ b/internal/clienthttp/accept.go
@@ -42,7 +42,7 @@
 type listener struct {
 	net.Listener
 	table               *connTable
-	lastFailureLoggedAt time.Time // zero: none was logged
+	lastFailureLoggedAt time.Time // zero if none was logged
 }
 
 // Accept implements net.Listener. An error that it returns is permanent and stops the server.
--- a/internal/clienthttp/accept_test.go
+++ b/internal/clienthttp/accept_test.go
@@ -14,14 +14,14 @@
 // failingListener fails with each of its errors in turn, and with EMFILE until emfileUntil, before it accepts.
 type failingListener struct {
 	net.Listener
-	mutex       sync.Mutex
+	mu          sync.Mutex
 	errnos      []syscall.Errno
 	emfileUntil time.Time
 }
 
 func (l *failingListener) Accept() (net.Conn, error) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	if time.Now().Before(l.emfileUntil) {
 		l.errnos = append(l.errnos, syscall.EMFILE)
 	}
@@ -50,7 +50,7 @@
 	ended := make(chan error, 1)
 	go func() { ended <- s.Serve(failing) }()
 	go d.respondToNext(1)
-	wantServed(t, l.Addr().String(), validGet, 1)
+	expectServed(t, l.Addr().String(), validGet, 1)
 	if err := s.http.Close(); err != nil {
 		t.Error(err)
 	}
--- a/internal/clienthttp/conn.go
+++ b/internal/clienthttp/conn.go
@@ -28,17 +28,17 @@
 	// rawConn is nil if the connection does not provide one; reads then go through Conn.
 	rawConn syscall.RawConn
 
-	// readMutex is held while available bytes are read, and during the check whether to close the connection. It is
-	// locked after connTable.mutex. It is never held during Conn.Close, which waits for a read that has begun.
-	readMutex sync.Mutex
+	// readMu is held while available bytes are read, and during the check whether to close the connection. It is
+	// locked after connTable.mu. It is never held during Conn.Close, which waits for a read that has begun.
+	readMu sync.Mutex
 
 	// state is written by the reader, the handler, the state hook and the table: see connState for the transitions.
 	state atomicConnState
-	// lastReadAt is when bytes were last read, or when net/http proceeded to bytes that had been read ahead; nil: no
+	// lastReadAt is when bytes were last read, or when net/http proceeded to bytes that had been read ahead; nil if no
 	// bytes were read. Written by the reader and the state hook, read by the table.
 	lastReadAt atomic.Pointer[time.Time]
 	// receivingSince is when the first bytes of the current request were read, or when net/http could begin with them if
-	// they had been read ahead; nil: no request has begun. Written by the reader and the state hook, read by the table.
+	// they had been read ahead; nil if no request has begun. Written by the reader and the state hook, read by the table.
 	receivingSince atomic.Pointer[time.Time]
 	// requestCount is how often net/http has reported the connection as active: once for each head that was read, and for
 	// most heads that were incomplete or malformed. Written by the state hook, read for the log.
@@ -46,15 +46,15 @@
 	// hasResponded is whether net/http has written a response and kept the connection. Written by the state hook, read by
 	// the reader and the table.
 	hasResponded atomic.Bool
-	// closeReason is the first reason that was recorded; nil: none yet. Written by any goroutine, read for the log.
+	// closeReason is the first reason that was recorded; nil if there is none yet. Written by any goroutine, read for the log.
 	closeReason atomic.Pointer[closeReason]
-	// inFlightRequestID is the client's ID of the request in flight; nil: no request is. Set by the handler, cleared by
-	// the state hook, read for the log.
+	// inFlightRequestID is the client's ID of the request in flight; nil if no request is in flight. Set by the handler,
+	// cleared by the state hook, read for the log.
 	inFlightRequestID atomic.Pointer[string]
 
 	// closeDetectionLost is closed when net/http can no longer detect that the client closes, because its background read
-	// received the first byte of a further request; nil: the connection is not monitored. The reader closes it, through
-	// closeDetectionLostOnce; the handler receives from it.
+	// received the first byte of a further request; nil if the connection is not monitored. The reader closes the channel,
+	// through closeDetectionLostOnce; the handler receives from it.
 	closeDetectionLost     chan struct{}
 	closeDetectionLostOnce sync.Once
 
@@ -72,11 +72,11 @@
 	// requestArrivedAt is when the last byte of the request that was passed to net/http arrived at this machine: the
 	// earliest possible time, where the exact time is not known.
 	requestArrivedAt time.Time
-	// unreadSince is the earliest time at which bytes that are unread now can have arrived; zero: unknown.
+	// unreadSince is the earliest time at which bytes that are unread now can have arrived; zero if that is unknown.
 	unreadSince time.Time
 
 	// idleSince is when the connection was accepted, when it last became idle, or when it could not be evicted because a
-	// request was arriving. Guarded by connTable.mutex.
+	// request was arriving. Guarded by connTable.mu.
 	idleSince time.Time
 	// acceptedAt is when the connection was accepted, and acceptTook is how long that Accept call took. Set before the
 	// first read.
@@ -125,7 +125,7 @@
 		next = stateReceiving
 	}
 	c.responsePending = false
-	// The state is one of the last two if net/http has responded without calling the handler.
+	// The state is received or receiving if net/http has responded without calling the handler.
 	for _, from := range []connState{stateResponded, stateInFlight, stateReceived, stateReceiving} {
 		if c.state.CompareAndSwap(from, next) {
 			return
@@ -156,17 +156,17 @@
 const response503 = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 
 // closeIfNothingUnread shuts the connection down and marks it closed if it is still in the observed state and nothing is
-// unread on it. The caller holds readMutex, and still has to call Conn.Close.
+// unread on it. The caller holds readMu, and still has to call Conn.Close.
 //
 // What the client is sent depends on what it may expect, because its next request may already be on its way:
 //
 //   - After a response: nothing. A client that finds its connection closed sends its request once more, on a new
 //     connection.
-//   - On a new connection: response503. The client's first request counts as accepted, and the client does not send it again by
-//     itself.
+//   - On a new connection: response503. The client's first request counts as accepted, and the client does not send it
+//     again by itself.
 //   - After part of a request, or a request that no handler has claimed: response503, for the same reason.
-//   - After a malformed request: nothing. It has its response, which announces the close. The connection is only marked
-//     closed here, even if bytes are unread.
+//   - After a malformed request: nothing. The client has its response, which announces the close. The connection is only
+//     marked closed here, even if bytes are unread.
 func (c *clientConn) closeIfNothingUnread(observed connState) (closed bool) {
 	markClosed := func() bool { return c.state.CompareAndSwap(observed, stateClosed) }
 	if observed == stateMalformed {
@@ -178,9 +178,9 @@
 	return socket.ShutdownIfIdle(c.Conn, response503, markClosed)
 }
 
-// peerClosed reports whether the client has closed the connection or its write side, even if earlier bytes are still
+// clientClosed reports whether the client has closed the connection or its write side, even if earlier bytes are still
 // unread.
-func (c *clientConn) peerClosed() bool {
+func (c *clientConn) clientClosed() bool {
 	return c.Conn != nil && socket.ClosedByPeer(c.Conn)
 }
 
--- a/internal/clienthttp/connread.go
+++ b/internal/clienthttp/connread.go
@@ -68,8 +68,8 @@
 	return taken, nil
 }
 
-// deliver passes bytes to net/http up to the end of the current request, and returns how many that is. includesLast is
-// whether data ends with the last byte that has arrived.
+// deliver passes bytes to net/http up to the end of the current request, and returns how many that is. arrived holds the
+// arrival times of the bytes that were read together with data; includesLast is whether data ends with the last of them.
 func (c *clientConn) deliver(data []byte, arrived arrivalTimes, includesLast bool) (taken int) {
 	taken, complete := c.scanner.scan(data)
 	if !complete {
@@ -179,7 +179,8 @@
 	return arrived
 }
 
-// sinceLastData returns how long ago the last bytes arrived at this machine; 0: just now, or unknown.
+// sinceLastData returns how long ago the last bytes arrived at this machine, or 0 if they arrived just now or the time is
+// unknown.
 func (c *clientConn) sinceLastData() time.Duration {
 	if c.rawConn == nil {
 		return 0
@@ -203,9 +204,9 @@
 func (c *clientConn) readAtDeadline(buffer []byte, deadlineError error) (n int, err error) {
 	if c.state.Load() == stateIdle {
 		reason := c.readFailureReason(deadlineError)
-		c.readMutex.Lock()
+		c.readMu.Lock()
 		closed := c.closeIfNothingUnread(stateIdle)
-		c.readMutex.Unlock()
+		c.readMu.Unlock()
 		if closed {
 			c.recordCloseReason(reason)
 			return 0, deadlineError
@@ -223,11 +224,11 @@
 
 // readAvailable reads without waiting, and returns syscall.EAGAIN if there is nothing to read.
 //
-// The read and the change of state are one step under readMutex. Otherwise the connection could be closed as idle just
+// The read and the change of state are one step under readMu. Otherwise the connection could be closed as idle just
 // after a request has been read from the socket, and that request would get no response.
 func (c *clientConn) readAvailable(fd int, buffer []byte) (int, error) {
-	c.readMutex.Lock()
-	defer c.readMutex.Unlock()
+	c.readMu.Lock()
+	defer c.readMu.Unlock()
 	if c.state.Load() == stateClosed {
 		return 0, net.ErrClosed
 	}
--- a/internal/clienthttp/conntable.go
+++ b/internal/clienthttp/conntable.go
@@ -19,49 +19,49 @@
 // has already arrived on it would otherwise get no response. The table evicts a connection without a request to make room
 // for it. If there is none, the request of the new connection is rejected at once and the connection is closed.
 //
-// Idle connections are evicted well below maxOpen. Clients have a limit of their own, against which they count all their
+// Idle connections are evicted well below maxConns. Clients have a limit of their own, against which they count all their
 // open connections, idle ones included. If idle connections used up that limit, well-behaved clients could not even
-// connect, and maxOpen would never be reached.
+// connect, and maxConns would never be reached.
 type connTable struct {
-	// maxOpen is the number of open connections above which a new one is over the limit, unless another is evicted.
-	maxOpen int
+	// maxConns is the number of open connections above which a new one is over the limit, unless another is evicted.
+	maxConns int
 	// evictIdleAbove is the number of open connections, in flight or not, above which each new one evicts one that has
 	// been idle long enough.
 	evictIdleAbove int
 	log            *slog.Logger
 
-	mutex        sync.Mutex // guards the fields below, and idleSince of each connection
+	mu           sync.Mutex // guards the fields below, and idleSince of each connection
 	open         map[*clientConn]bool
 	shuttingDown bool // whether connections are closed because of a graceful shutdown
 }
 
-func newConnTable(maxOpen, evictIdleAbove int, log *slog.Logger) *connTable {
-	return &connTable{maxOpen: maxOpen, evictIdleAbove: min(evictIdleAbove, maxOpen), log: log, open: map[*clientConn]bool{}}
+func newConnTable(maxConns, evictIdleAbove int, log *slog.Logger) *connTable {
+	return &connTable{maxConns: maxConns, evictIdleAbove: min(evictIdleAbove, maxConns), log: log, open: map[*clientConn]bool{}}
 }
 
 // add adds an accepted connection to the table, and evicts another if there are too many.
 func (t *connTable) add(accepted net.Conn) *clientConn {
 	c := newClientConn(accepted)
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	t.open[c] = true
 	if len(t.open) <= t.evictIdleAbove {
 		return c
 	}
-	overMaxOpen := len(t.open) > t.maxOpen
-	if !t.makeRoomFor(c, overMaxOpen) && overMaxOpen {
+	overMaxConns := len(t.open) > t.maxConns
+	if !t.makeRoomFor(c, overMaxConns) && overMaxConns {
 		t.markOverLimit(c)
 	}
 	return c
 }
 
 // markOverLimit marks a connection so that its request is rejected. If too many connections are over the limit already,
-// it sends response503 and closes the connection at once, even if bytes are unread on it. The caller holds t.mutex, and
+// it sends response503 and closes the connection at once, even if bytes are unread on it. The caller holds t.mu, and
 // nothing has been read from the connection yet.
 func (t *connTable) markOverLimit(c *clientConn) {
 	c.overLimit = true
 	c.recordCloseReason(reasonConnectionLimit)
-	if len(t.open) > t.maxOpen+maxConnsOverLimit {
+	if len(t.open) > t.maxConns+maxConnsOverLimit {
 		c.state.Store(stateClosed)
 		socket.TrySend(c.Conn, response503)
 		_ = c.Close()
@@ -73,8 +73,8 @@
 // a further request as long as its idle timeout. During shutdown it closes no idle connection, because clients cannot
 // open others.
 func (t *connTable) closeTimedOut(keepAlive, claimTimeout time.Duration) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	for c := range t.open {
 		switch state := c.state.Load(); {
 		case (state == stateReceiving || state == stateReceived) && c.receivingFor() >= claimTimeout:
@@ -103,9 +103,9 @@
 
 // onResponded records that net/http has written a response and keeps the connection open.
 func (t *connTable) onResponded(c *clientConn) {
-	t.mutex.Lock()
+	t.mu.Lock()
 	c.idleSince = time.Now()
-	t.mutex.Unlock()
+	t.mu.Unlock()
 	c.hasResponded.Store(true)
 	c.inFlightRequestID.Store(nil)
 	c.beginNextRequest()
@@ -113,10 +113,10 @@
 
 // onClosed removes the connection from the table and logs why it ended.
 func (t *connTable) onClosed(c *clientConn) {
-	t.mutex.Lock()
+	t.mu.Lock()
 	delete(t.open, c)
 	shuttingDown := t.shuttingDown
-	t.mutex.Unlock()
+	t.mu.Unlock()
 	t.log.Info("connection ended",
 		slog.String("side", "client"),
 		slog.String("peer", c.RemoteAddr().String()),
--- a/internal/clienthttp/conntable_test.go
+++ b/internal/clienthttp/conntable_test.go
@@ -160,18 +160,18 @@
 
 // lockedBuffer collects log output, and may be read while it is written.
 type lockedBuffer struct {
-	mutex sync.Mutex
-	text  strings.Builder
+	mu   sync.Mutex
+	text strings.Builder
 }
 
 func (b *lockedBuffer) Write(p []byte) (int, error) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	return b.text.Write(p)
 }
 
 func (b *lockedBuffer) String() string {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	return b.text.String()
 }
--- a/internal/clienthttp/eviction.go
+++ b/internal/clienthttp/eviction.go
@@ -7,11 +7,12 @@
 	// Well-behaved clients send a request as soon as they are connected.
 	silentTimeout = 50 * time.Millisecond
 	// minIdleBeforeEviction is how long a connection must have been idle after a response before it may be evicted while
-	// the table has at most maxOpen connections. It is short, so that many connections with one request each do not keep
+	// the table has at most maxConns connections. It is short, so that many connections with one request each do not keep
 	// other clients out.
 	minIdleBeforeEviction = 25 * time.Millisecond
 	// stalledTimeout is how long nothing more of a partly received request must have arrived for the request to count as
-	// stalled. A complete request is claimed long before that, unless the process is delayed.
+	// stalled. A complete request that has been read ahead is passed to net/http long before that, unless the process is
+	// delayed.
 	stalledTimeout = 200 * time.Millisecond
 	// maxEvictionAttempts is how many connections are tried to make room for a new one, which has to wait meanwhile.
 	maxEvictionAttempts = 8
@@ -23,7 +24,7 @@
 const (
 	// rankKeep: not evicted, because a request is in flight or may have arrived.
 	rankKeep evictionRank = iota
-	// rankNew: new, and nothing has been read yet; evicted only if the table has more than maxOpen connections.
+	// rankNew: new, and nothing has been read yet; evicted only if the table has more than maxConns connections.
 	rankNew
 	// rankIdle: idle after a response.
 	rankIdle
@@ -33,11 +34,11 @@
 	rankMalformed
 )
 
-// makeRoomFor evicts a connection other than newConn, and reports whether it did. overMaxOpen is whether the table has
-// more than maxOpen connections. The caller holds t.mutex.
-func (t *connTable) makeRoomFor(newConn *clientConn, overMaxOpen bool) bool {
+// makeRoomFor evicts a connection other than newConn, and reports whether it did. overMaxConns is whether the table has
+// more than maxConns connections. The caller holds t.mu.
+func (t *connTable) makeRoomFor(newConn *clientConn, overMaxConns bool) bool {
 	for range maxEvictionAttempts {
-		candidate, observed := t.evictionCandidate(newConn, overMaxOpen)
+		candidate, observed := t.evictionCandidate(newConn, overMaxConns)
 		if candidate == nil {
 			return false
 		}
@@ -50,13 +51,13 @@
 }
 
 // evictionCandidate returns the connection to evict and its observed state, or nil if none may be evicted. It is the
-// connection of the highest rank, and among equals the one that has been idle longest. The caller holds t.mutex.
-func (t *connTable) evictionCandidate(except *clientConn, overMaxOpen bool) (candidate *clientConn, observed connState) {
+// connection of the highest rank, and among equals the one that has been idle longest. The caller holds t.mu.
+func (t *connTable) evictionCandidate(except *clientConn, overMaxConns bool) (candidate *clientConn, observed connState) {
 	now := time.Now()
 	highest := rankKeep
 	for c := range t.open {
 		state := c.state.Load()
-		rank := rankForEviction(c, state, overMaxOpen, now)
+		rank := rankForEviction(c, state, overMaxConns, now)
 		if c == except || rank == rankKeep {
 			continue
 		}
@@ -69,13 +70,13 @@
 	return candidate, observed
 }
 
-// rankForEviction ranks a connection in the observed state. The caller holds t.mutex.
-func rankForEviction(c *clientConn, observed connState, overMaxOpen bool, now time.Time) evictionRank {
+// rankForEviction ranks a connection in the observed state. The caller holds t.mu.
+func rankForEviction(c *clientConn, observed connState, overMaxConns bool, now time.Time) evictionRank {
 	switch observed {
 	case stateMalformed:
 		return rankMalformed
 	case stateIdle:
-		return rankIdleForEviction(c, overMaxOpen, now)
+		return rankIdleForEviction(c, overMaxConns, now)
 	case stateReceiving:
 		if !c.hasResponded.Load() && now.Sub(c.lastReadTime()) > stalledTimeout {
 			return rankNoFirstRequest
@@ -84,10 +85,10 @@
 	return rankKeep
 }
 
-func rankIdleForEviction(c *clientConn, overMaxOpen bool, now time.Time) evictionRank {
+func rankIdleForEviction(c *clientConn, overMaxConns bool, now time.Time) evictionRank {
 	idleFor := now.Sub(c.idleSince)
 	if c.hasResponded.Load() {
-		if overMaxOpen || idleFor > minIdleBeforeEviction {
+		if overMaxConns || idleFor > minIdleBeforeEviction {
 			return rankIdle
 		}
 		return rankKeep
@@ -95,7 +96,7 @@
 	if idleFor > silentTimeout {
 		return rankNoFirstRequest
 	}
-	if overMaxOpen {
+	if overMaxConns {
 		return rankNew
 	}
 	return rankKeep
@@ -104,16 +105,16 @@
 // closeIfUnchanged closes a connection for an eviction, a timeout or a shutdown, if it is still in the observed state:
 // idle, receiving, received or malformed. It reports whether it did. A connection with unread bytes is not closed,
 // because a request is arriving on it, unless it is malformed. closeIfNothingUnread documents what the client gets. The
-// caller holds t.mutex.
+// caller holds t.mu.
 func (t *connTable) closeIfUnchanged(c *clientConn, observed connState, reason closeReason) bool {
-	c.readMutex.Lock()
+	c.readMu.Lock()
 	closed := c.closeIfNothingUnread(observed)
 	if closed {
 		c.recordCloseReason(reason)
 	}
-	// Close waits for a read that has begun, and that read waits for readMutex. If the mutex were held during Close, both
+	// Close waits for a read that has begun, and that read waits for readMu. If the mutex were held during Close, both
 	// would wait forever, and so would everything that needs the table.
-	c.readMutex.Unlock()
+	c.readMu.Unlock()
 	if !closed {
 		return false
 	}
--- a/internal/clienthttp/eviction_test.go
+++ b/internal/clienthttp/eviction_test.go
@@ -16,7 +16,7 @@
 // connection with a request in flight must stay open.
 func TestConnectionsWithoutValidRequestAreEvicted(t *testing.T) {
 	const maxConns = 8
-	const useless = maxConns - 1
+	const evictable = maxConns - 1
 	for name, raw := range map[string]string{
 		"silent":       "",
 		"partial head": validPutHead,
@@ -28,12 +28,12 @@
 			inFlight := dial(t, addr)
 			send(inFlight, validPut)
 			call := <-d.calls
-			for range useless {
+			for range evictable {
 				send(dial(t, addr), raw)
 			}
 			time.Sleep(5 * silentTimeout)
-			go d.respondToNext(useless)
-			for range useless {
+			go d.respondToNext(evictable)
+			for range evictable {
 				if response, _, _ := roundTripOnNewConn(t, addr, validPut); response.StatusCode != http.StatusOK {
 					t.Errorf("well-behaved client got status %d", response.StatusCode)
 				}
@@ -50,25 +50,25 @@
 
 // TestIdleConnectionsAreEvictedEarly has clients send one request each and keep their connections open. Idle connections
 // must be evicted above evictIdleAbove, for the reason given at connTable, while requests in flight may use all of
-// maxOpen.
+// maxConns.
 func TestIdleConnectionsAreEvictedEarly(t *testing.T) {
 	const maxConns = 8
 	const evictIdleAbove = 3
 	const clients = 2 * evictIdleAbove
 	s, d, addr := startServer(t, maxConns)
-	s.conns.mutex.Lock()
+	s.conns.mu.Lock()
 	s.conns.evictIdleAbove = evictIdleAbove
-	s.conns.mutex.Unlock()
+	s.conns.mu.Unlock()
 	go d.respondToNext(clients)
 	for range clients {
 		roundTripOnNewConn(t, addr, validPut)
 		time.Sleep(2 * minIdleBeforeEviction)
 	}
-	s.conns.mutex.Lock()
+	s.conns.mu.Lock()
 	if open := len(s.conns.open); open > evictIdleAbove {
 		t.Errorf("%d idle connections are open, want %d", open, evictIdleAbove)
 	}
-	s.conns.mutex.Unlock()
+	s.conns.mu.Unlock()
 	for i := range maxConns {
 		send(dial(t, addr), validPut)
 		select {
@@ -80,17 +80,17 @@
 }
 
 // TestCompleteRequestIsNotEvicted closes connections, to make room or at the end of a shutdown, when a request has been
-// read completely and its handler has not claimed it yet. The connection must stay open until nothing has arrived for
-// stalledTimeout.
+// read completely and its handler has not claimed it yet. The connection must stay open, however long it was idle before
+// the request.
 //
-// The table knows only that part of a request has been read. If it took the client for a slow one and closed the
-// connection, a request that was about to be served would get no response.
+// If the table took the client for one that has stopped within its request and closed the connection, a request that was
+// about to be served would get no response.
 func TestCompleteRequestIsNotEvicted(t *testing.T) {
-	// Makes the connection look idle for long before the request. The time of the last read is left as it is, because a
-	// busy machine makes it longer anyway.
+	// Makes the connection look idle for long before the request. The time of the last read is left as it is, because on a
+	// busy machine it is long ago anyway.
 	makeIdleForLong := func(s *Server) {
-		s.conns.mutex.Lock()
-		defer s.conns.mutex.Unlock()
+		s.conns.mu.Lock()
+		defer s.conns.mu.Unlock()
 		for c := range s.conns.open {
 			c.idleSince = c.idleSince.Add(-time.Minute)
 		}
@@ -98,8 +98,8 @@
 	for name, closeConns := range map[string]func(*Server){
 		"to make room": func(s *Server) {
 			makeIdleForLong(s)
-			s.conns.mutex.Lock()
-			defer s.conns.mutex.Unlock()
+			s.conns.mu.Lock()
+			defer s.conns.mu.Unlock()
 			if c, observed := s.conns.evictionCandidate(nil, true); c != nil {
 				s.conns.closeIfUnchanged(c, observed, reasonConnectionLimit)
 			}
@@ -110,14 +110,14 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			wantServed(t, startServerWithDelay(t, time.Minute, closeConns), validGet, 1)
+			expectServed(t, startServerWithDelay(t, time.Minute, closeConns), validGet, 1)
 		})
 	}
 }
 
-// TestRequestReadAheadIsNotEvicted has a client's second request arrive along with its first, so that net/http reads both
-// in one step. Idle connections are closed when the first request has its response, and when net/http has parsed the
-// second.
+// TestRequestReadAheadIsNotEvicted has a client's second request arrive along with its first, so that both are read from
+// the socket in one step. Idle connections are closed when the first request has its response, and when net/http has
+// parsed the second.
 //
 // A connection with a request that was read ahead must not count as idle until net/http reads again. If it counted as
 // idle from the first response on, it would be closed without a response to the second request.
@@ -133,7 +133,7 @@
 	}
 	l := listen(t)
 	serve(t, s, l)
-	wantServed(t, l.Addr().String(), validGet+validGet, 2)
+	expectServed(t, l.Addr().String(), validGet+validGet, 2)
 }
 
 // TestRequestReadAheadIsNotEvictedBeforeClaim has a client's second request arrive along with its first, and closes idle
@@ -151,7 +151,7 @@
 		}
 		isSecond = true
 	})
-	wantServed(t, addr, validGet+validGet, 2)
+	expectServed(t, addr, validGet+validGet, 2)
 }
 
 // TestEvictionResponseDoesNotBlock evicts a connection with part of a request whose client reads nothing, so that the
@@ -275,15 +275,15 @@
 			for s.isOpen(conn.LocalAddr()) {
 				time.Sleep(time.Millisecond)
 			}
-			wantServiceUnavailable(t, conn)
+			expectServiceUnavailable(t, conn)
 		})
 	}
 }
 
 // isOpen reports whether the table holds the connection of the client with the given address.
 func (s *Server) isOpen(client net.Addr) bool {
-	s.conns.mutex.Lock()
-	defer s.conns.mutex.Unlock()
+	s.conns.mu.Lock()
+	defer s.conns.mu.Unlock()
 	for c := range s.conns.open {
 		if c.RemoteAddr().String() == client.String() {
 			return true
@@ -292,9 +292,9 @@
 	return false
 }
 
-// wantServiceUnavailable sends a request on a connection that the server has closed, and expects a 503 with a Retry-After
+// expectServiceUnavailable sends a request on a connection that the server has closed, and expects a 503 with a Retry-After
 // header.
-func wantServiceUnavailable(t *testing.T, conn net.Conn) {
+func expectServiceUnavailable(t *testing.T, conn net.Conn) {
 	t.Helper()
 	response, _, err := exchange(conn, validGet)
 	if err != nil {
@@ -317,13 +317,13 @@
 		<-d.calls
 	}
 	var conns []net.Conn
-	s.conns.mutex.Lock() // so that none of them is served before all are open
+	s.conns.mu.Lock() // so that none of them is served before all are open
 	for range maxConnsOverLimit + 8 {
 		conn := dial(t, addr)
 		send(conn, validGet)
 		conns = append(conns, conn)
 	}
-	s.conns.mutex.Unlock()
+	s.conns.mu.Unlock()
 	for _, conn := range conns {
 		setDeadline(t, conn, time.Now().Add(testTimeout))
 		response, err := http.ReadResponse(bufio.NewReader(conn), nil)
--- a/internal/clienthttp/handler.go
+++ b/internal/clienthttp/handler.go
@@ -15,16 +15,16 @@
 const (
 	// readinessPath is the path of the platform's readiness check: whether clients may be sent to this server.
 	readinessPath = "/-/ready"
-	// peerCheckInterval is how often a connection is checked for a close that net/http can no longer detect. Nothing may
-	// be forwarded for a client later than 0.1 s after it has closed.
-	peerCheckInterval = 25 * time.Millisecond
+	// closeCheckInterval is how often a connection is checked for a close that net/http can no longer detect. Nothing may
+	// be forwarded for a client later than 0.1 s after the client has closed its connection.
+	closeCheckInterval = 25 * time.Millisecond
 	// writeTimeout limits how long a client may take to read a target's data.
 	writeTimeout = 5 * time.Second
-	// bodyDiscardTimeout and maxDiscardedBytes limit how much of a malformed request's body is read and discarded. That
-	// is done so that the client can read the response before a reset.
+	// bodyDiscardTimeout and maxDiscardedBytes limit how much of a malformed request's body is read and discarded, so
+	// that the client can read the response before a reset.
 	bodyDiscardTimeout = 3 * time.Second
 	maxDiscardedBytes  = 64 << 20
-	// discardBufferSize is in bytes.
+	// discardBufferSize is the size, in bytes, of the buffer through which a body is discarded.
 	discardBufferSize = 16 << 10
 )
 
@@ -54,7 +54,7 @@
 	liftReadDeadline(w)
 	call.ReceivedAt = conn.requestArrival()
 	call.ClientTimeout = s.shutdownSchedule.LimitTimeout(call.ClientTimeout, call.ReceivedAt, s.shutdownStartedAt.Load())
-	call.ClientGone = conn.peerClosed
+	call.ClientGone = conn.clientClosed
 	s.dispatch(w, r, conn, call)
 }
 
@@ -85,15 +85,15 @@
 
 // readRequest reads the head and the body of a request into a call for the dispatcher.
 func (s *Server) readRequest(r *http.Request) (*dispatcher.Call, *requestError) {
-	call, message, err := s.parseHead(r)
+	call, forwarded, err := s.parseHead(r)
 	if err != nil {
 		return nil, err
 	}
-	message.Body, err = readBody(r)
+	forwarded.Body, err = readBody(r)
 	if err != nil {
 		return nil, err
 	}
-	call.Payload = message
+	call.Payload = forwarded
 	return call, nil
 }
 
@@ -111,7 +111,7 @@
 	// The buffer lets the dispatcher's goroutine respond without waiting for this one.
 	responses := make(chan dispatcher.Response, 1)
 	call.Respond = func(response dispatcher.Response) { responses <- response }
-	if conn.isCloseDetectionLost() && conn.peerClosed() {
+	if conn.isCloseDetectionLost() && conn.clientClosed() {
 		// The client closed the connection while this request waited behind another.
 		panic(http.ErrAbortHandler)
 	}
@@ -137,18 +137,18 @@
 	ctx context.Context, conn *clientConn, responses <-chan dispatcher.Response,
 ) (response dispatcher.Response, ok bool) {
 	closeDetectionLost := conn.closeDetectionLost
-	var peerCheck <-chan time.Time
+	var closeCheck <-chan time.Time
 	for {
 		select {
 		case response := <-responses:
 			return response, true
 		case <-closeDetectionLost:
-			ticker := time.NewTicker(peerCheckInterval)
+			ticker := time.NewTicker(closeCheckInterval)
 			defer ticker.Stop()
-			peerCheck = ticker.C
+			closeCheck = ticker.C
 			closeDetectionLost = nil
-		case <-peerCheck:
-			if conn.peerClosed() {
+		case <-closeCheck:
+			if conn.clientClosed() {
 				return dispatcher.Response{}, false
 			}
 		case <-ctx.Done():
--- a/internal/clienthttp/handler_test.go
+++ b/internal/clienthttp/handler_test.go
@@ -45,9 +45,9 @@
 	}
 	go func() {
 		call := <-d.calls
-		message := call.Payload.(*httpmsg.Request)
+		forwarded := call.Payload.(*httpmsg.Request)
 		text := fmt.Sprint(call.Class, call.Plan, call.Volume, call.Extent, call.Units, call.Shard, call.Initiators,
-			call.ClientTimeout, message.Method, message.URI, message.ID, string(message.Body))
+			call.ClientTimeout, forwarded.Method, forwarded.URI, forwarded.ID, string(forwarded.Body))
 		call.Respond(dispatcher.Response{Payload: []byte(text)})
 	}()
 	want := fmt.Sprint("put", "std", "00000003b4d60021", "7f3a9c21e0b4d655", 2.0, 5, 3,
@@ -110,8 +110,8 @@
 	s.ServeHTTP(httptest.NewRecorder(), request)
 }
 
-// wantCancelled expects the given call, and no other, to be cancelled.
-func wantCancelled(t *testing.T, d *fakeDispatcher, call *dispatcher.Call) {
+// expectCancelled expects the given call, and no other, to be cancelled.
+func expectCancelled(t *testing.T, d *fakeDispatcher, call *dispatcher.Call) {
 	t.Helper()
 	select {
 	case cancelled := <-d.cancelled:
@@ -132,13 +132,13 @@
 	if err := conn.Close(); err != nil {
 		t.Fatal(err)
 	}
-	wantCancelled(t, d, call)
+	expectCancelled(t, d, call)
 }
 
-// pipelinedRequests is a number of pipelined requests that exceeds what net/http reads ahead.
+// pipelinedRequests is a number of pipelined requests that exceeds what the server reads ahead.
 const pipelinedRequests = 40
 
-// TestClientCloseBehindPipelinedRequests has a client send more requests at once than net/http reads ahead, and close.
+// TestClientCloseBehindPipelinedRequests has a client send more requests at once than the server reads ahead, and close.
 // The request in flight must be cancelled, and none of the others accepted.
 //
 // The close follows unread requests, where net/http does not detect it. Requests could then be forwarded for a client
@@ -151,14 +151,14 @@
 	if err := conn.CloseWrite(); err != nil {
 		t.Fatal(err)
 	}
-	wantCancelled(t, d, call)
+	expectCancelled(t, d, call)
 	readUntilClosed(conn) // the server resets the connection, because of the bytes that it did not read
 	if accepted := len(d.calls); accepted > 0 {
 		t.Errorf("%d more requests were accepted", accepted)
 	}
 }
 
-// TestPipelinedRequestsAreServed has a client send more requests at once than net/http reads ahead, and keep its
+// TestPipelinedRequestsAreServed has a client send more requests at once than the server reads ahead, and keep its
 // connection open. All must be served, including those that are in flight for longer than the interval of the checks for
 // a close.
 func TestPipelinedRequestsAreServed(t *testing.T) {
@@ -169,7 +169,7 @@
 	for i := range pipelinedRequests {
 		call := <-d.calls
 		if i%8 == 0 {
-			time.Sleep(2 * peerCheckInterval)
+			time.Sleep(2 * closeCheckInterval)
 		}
 		call.Respond(servedResponse)
 		response, err := http.ReadResponse(reader, nil)
@@ -183,7 +183,7 @@
 }
 
 // TestClientCloseBetweenPipelinedRequests has a client send many requests at once, and close just before the first gets
-// its response. The requests that net/http has read ahead must not be accepted any more.
+// its response. The requests that have been read ahead must not be accepted any more.
 func TestClientCloseBetweenPipelinedRequests(t *testing.T) {
 	_, d, addr := startServer(t, maxTestConns)
 	conn := dial(t, addr)
@@ -200,12 +200,12 @@
 	}
 }
 
-// TestSlowClients has clients send nothing or too little, one of them after a first request. Otherwise each would keep a
-// connection forever.
+// TestSlowClients has clients send nothing or too little, one of them after a first request. Each must get an error or a
+// close within 3 s, and a request in flight for longer must not be affected. Without a timeout, each slow client would
+// keep a connection forever.
 //
-// Each must get an error or a close within 3 s, and a request in flight for longer must not be affected. The client of a
-// malformed request gets its error at once. Its connection ends only after bodyDiscardTimeout, which does not matter to
-// the client, so the test limits that only by testTimeout.
+// The client of a malformed request gets its error at once. Its connection ends only after bodyDiscardTimeout, which does
+// not matter to the client, so the test limits that only by testTimeout.
 func TestSlowClients(t *testing.T) {
 	const endsWithin = 3 * time.Second
 	_, d, addr := startServer(t, maxTestConns)
@@ -258,7 +258,7 @@
 func TestReadTimeoutDoesNotCancel(t *testing.T) {
 	const readTimeout = 50 * time.Millisecond
 	addr := startServerWithDelay(t, readTimeout, func(*Server) { time.Sleep(2 * readTimeout) })
-	wantServed(t, addr, validGet, 1)
+	expectServed(t, addr, validGet, 1)
 }
 
 // TestHugeBody sends a body far beyond the limit. The server must read all of it without keeping it. If it left bytes
--- a/internal/clienthttp/helpers_test.go
+++ b/internal/clienthttp/helpers_test.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// testTimeout is longer than anything that a test waits for, even on a busy machine.
+	// testTimeout limits each wait of a test. Nothing that a test waits for takes that long, even on a busy machine.
 	testTimeout = 20 * time.Second
 	// maxTestConns is a connection limit that the tests which use it never reach.
 	maxTestConns = 64
@@ -200,8 +200,8 @@
 	return response, body, conn
 }
 
-// wantServed writes raw bytes to a new connection, and expects the given number of responses with the data "x".
-func wantServed(t *testing.T, addr, raw string, responses int) {
+// expectServed writes raw bytes to a new connection, and expects the given number of responses with the data "x".
+func expectServed(t *testing.T, addr, raw string, responses int) {
 	t.Helper()
 	conn := dial(t, addr)
 	setDeadline(t, conn, time.Now().Add(testTimeout))
@@ -233,8 +233,8 @@
 
 // lockAndEvict evicts a connection with closeIfUnchanged, with the table locked as closeIfUnchanged requires.
 func lockAndEvict(table *connTable, c *clientConn, observed connState) bool {
-	table.mutex.Lock()
-	defer table.mutex.Unlock()
+	table.mu.Lock()
+	defer table.mu.Unlock()
 	return table.closeIfUnchanged(c, observed, reasonConnectionLimit)
 }
 
@@ -252,8 +252,8 @@
 }
 
 func countIdle(s *Server) int {
-	s.conns.mutex.Lock()
-	defer s.conns.mutex.Unlock()
+	s.conns.mu.Lock()
+	defer s.conns.mu.Unlock()
 	count := 0
 	for c := range s.conns.open {
 		if c.state.Load() == stateIdle {
--- a/internal/clienthttp/parse.go
+++ b/internal/clienthttp/parse.go
@@ -24,7 +24,7 @@
 const (
 	// maxClientTimeoutMillis is the longest timeout that a client may request, in milliseconds.
 	maxClientTimeoutMillis = 10 * 60 * 1000
-	// maxRequestIDLength is in bytes.
+	// maxRequestIDLength is the maximum length, in bytes, of the client's ID of a request.
 	maxRequestIDLength = 64
 	// maxShard, maxInitiators and maxUnits limit the numbers in an IO-Info header; maxUnits itself is out of range.
 	maxShard      = 1e6
@@ -51,7 +51,7 @@
 	return &requestError{Status: status, Message: fmt.Sprintf(format, args...)}
 }
 
-// parseHead parses the head of a request into a call for the dispatcher and the message to forward, which has no body
+// parseHead parses the head of a request into a call for the dispatcher and the request to forward, which has no body
 // yet.
 func (s *Server) parseHead(r *http.Request) (*dispatcher.Call, *httpmsg.Request, *requestError) {
 	if err := checkFraming(r); err != nil {
--- a/internal/clienthttp/server.go
+++ b/internal/clienthttp/server.go
@@ -61,14 +61,14 @@
 	timeoutCheckInterval = keepAliveTimeout / 8
 )
 
-// Options configure a Server.
+// Options configures a Server.
 type Options struct {
 	Classes        map[string]bool // request classes that are served
 	Plans          map[string]bool // plans that are accepted
 	MaxConns       int             // limit on open client connections
-	EvictIdleAbove int             // connections above which a new one evicts one that has been idle long enough
+	EvictIdleAbove int             // number of open connections above which a new one evicts an idle one: see connTable
 	MaxDeadline    time.Duration   // the longest deadline of any class
-	Ready          func() bool     // whether requests can be forwarded; nil: always
+	Ready          func() bool     // reports whether requests can be forwarded; nil if they always can
 	ReadinessOnly  bool            // serve only the readiness check, because requests arrive over another protocol
 	Logger         *slog.Logger
 }
@@ -92,7 +92,7 @@
 	listener              atomic.Pointer[net.Listener] // set by Serve, read by Shutdown
 	conns                 *connTable
 	shutdownSchedule      dispatcher.ShutdownSchedule
-	shutdownStartedAt     atomic.Pointer[time.Time] // when Shutdown was called; nil: not yet
+	shutdownStartedAt     atomic.Pointer[time.Time] // when Shutdown was called; nil if it was not
 	closeAfterResponse    atomic.Bool               // set late in Shutdown: each response closes its connection
 	timeoutChecksStopped  chan struct{}             // closed by stopTimeoutChecks
 	stopTimeoutChecksOnce sync.Once
--- a/internal/clienthttp/shutdown.go
+++ b/internal/clienthttp/shutdown.go
@@ -60,16 +60,16 @@
 
 // beginShutdown records that connections are closed because of the graceful shutdown from now on.
 func (t *connTable) beginShutdown() {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	t.shuttingDown = true
 }
 
 // closeIdle closes the connections without a request, and returns how many connections are left. With includeStalled it
 // also closes those that have received part of a request and then nothing more for stalledTimeout.
 func (t *connTable) closeIdle(includeStalled bool) (left int) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	for c := range t.open {
 		observed := c.state.Load()
 		stalled := observed == stateReceiving && time.Since(c.lastReadTime()) > stalledTimeout
--- a/internal/clienthttp/shutdown_test.go
+++ b/internal/clienthttp/shutdown_test.go
@@ -51,7 +51,7 @@
 		_ = conn.Close()
 		t.Error("server still accepts connections after the grace")
 	}
-	wantServedDuringShutdown(t, s, d, openConn)
+	expectServedDuringShutdown(t, s, d, openConn)
 	select {
 	case err := <-ended:
 		t.Fatalf("Shutdown returned %v with a request in flight", err)
@@ -64,9 +64,9 @@
 	}
 }
 
-// wantServedDuringShutdown expects a request on an open connection to be served, with a timeout within the time that is
+// expectServedDuringShutdown expects a request on an open connection to be served, with a timeout within the time that is
 // left.
-func wantServedDuringShutdown(t *testing.T, s *Server, d *fakeDispatcher, openConn net.Conn) {
+func expectServedDuringShutdown(t *testing.T, s *Server, d *fakeDispatcher, openConn net.Conn) {
 	t.Helper()
 	timeout := make(chan time.Duration, 1)
 	go func() {
--- a/internal/discovery/poll.go
+++ b/internal/discovery/poll.go
@@ -19,8 +19,8 @@
 	// is down, it keeps connections open and sends nothing. By the platform's rules, an initiator must act on a change
 	// within 2 s after the wait of its poll, so the next poll must have been made by then.
 	responseGrace = 1500 * time.Millisecond
-	// minSharedPollTimeout is the shortest timeout of a poll if one discovery serves all initiators in turn. Polls may wait
-	// in its queue for 2 s, and a poll that times out earlier is still served, which delays the others.
+	// minSharedPollTimeout is the shortest timeout of a poll if one discovery service serves all initiators in turn. Polls
+	// may wait in its queue for 2 s, and a poll that times out earlier is still served, which delays the others.
 	minSharedPollTimeout = 2500 * time.Millisecond
 	// dialTimeout limits the time to establish a connection to discovery.
 	dialTimeout = time.Second
@@ -50,7 +50,7 @@
 	return fmt.Sprintf("/api/targets?after=%d&wait_ms=%d", p.after, p.wait.Milliseconds())
 }
 
-// timeout returns the timeout of the poll. The parameter shared is true if one discovery serves all initiators in turn.
+// timeout returns the timeout of the poll. The parameter shared is as for Watcher.isShared.
 func (p pollRequest) timeout(shared bool) time.Duration {
 	timeout := p.wait + responseGrace
 	if shared {
--- a/internal/discovery/starttimes.go
+++ b/internal/discovery/starttimes.go
@@ -27,7 +27,8 @@
 	monotonic time.Duration
 }
 
-// NewStartTimes returns an empty StartTimes. The monotonic clock must have started at the Unix time of the wall clock.
+// NewStartTimes returns an empty StartTimes. The monotonic clock must have been set to the Unix time of the wall clock when
+// it started.
 func NewStartTimes(wallClock func() time.Time, monotonicClock func() time.Duration) *StartTimes {
 	return &StartTimes{wallClock: wallClock, monotonicClock: monotonicClock, known: map[string]startTime{}}
 }
@@ -63,7 +64,8 @@
 	s.known[entry.ID] = startTime{wallMs: entry.StartedMs, monotonic: s.toMonotonic(entry.StartedMs, now)}
 }
 
-// Lookup returns the start time of an entry's target on the monotonic clock, or 0 if the target started long ago.
+// Lookup returns the start time of an entry's target on the monotonic clock. It returns 0 if the target started long ago, or
+// if no list with the target has been applied.
 func (s *StartTimes) Lookup(entry endpoints.Entry) time.Duration { return s.known[entry.ID].monotonic }
 
 // detectStep updates the offset if the wall clock has been stepped.
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	// PollServiceTime is the approximate time that a shared discovery takes to serve one poll. It takes the same time for a
-	// poll that timed out in its queue, so a fleet that polled all at once, or again soon after a failure, would never be
-	// served.
+	// PollServiceTime is the approximate time that a discovery service takes to serve one poll if it serves all initiators
+	// in turn. It takes the same time for a poll that timed out in its queue, so a fleet that polled all at once, or again
+	// soon after a failure, would never be served.
 	PollServiceTime = 100 * time.Millisecond
 	// maxSpread limits the pause before the first poll and after a failed one, whatever the size of the fleet. By the
 	// platform's rules, an initiator must act on a change within 6 s after discovery becomes reachable, and the poll itself
@@ -35,7 +35,7 @@
 // waits for notify: by the protocol, a watch ends unless the next poll arrives within 200 ms after the last response.
 type Watcher struct {
 	address   string        // the initial address
-	spread    time.Duration // 0 if discovery serves this initiator alone
+	spread    time.Duration // time over which the polls of all initiators are spread; 0 if discovery serves only this one
 	notify    func(*endpoints.List)
 	log       *slog.Logger
 	client    http.Client
@@ -50,9 +50,9 @@
 }
 
 // New returns a watcher of discovery at an address. It first passes the list known from an earlier run to notify, however
-// old it is; known is nil if there is none. Then it passes each list from discovery. If one discovery serves all initiators,
-// their first polls, and those after a failure, are distributed at random over the time spread; spread is 0 if discovery
-// serves this initiator alone.
+// old it is; known is nil if there is none. Then it passes each list from discovery. If one discovery service serves all
+// initiators, their first polls, and those after a failure, are spread at random over the duration spread; spread is 0 if
+// discovery serves only this initiator.
 func New(address string, known *endpoints.List, spread time.Duration, notify func(*endpoints.List),
 	log *slog.Logger) *Watcher {
 	w := &Watcher{
@@ -160,7 +160,7 @@
 	return request
 }
 
-// isShared reports whether one discovery serves all initiators in turn.
+// isShared reports whether one discovery service serves all initiators in turn.
 func (w *Watcher) isShared() bool { return w.spread > 0 }
 
 // poll requests a list. It returns only a complete list, or one that can be applied to the current version.
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -132,7 +132,7 @@
 
 // SinceLastData returns how long ago the last bytes from the peer arrived at this machine, whether or not they have been
 // read since. The result is never longer than the true time, and at most two ticks of the kernel's clock shorter. ok is
-// false if the kernel doesn't provide the time, or if this side has closed the socket.
+// false if the kernel does not provide the time, or if this side has closed the socket.
 func SinceLastData(rawConn syscall.RawConn) (elapsed time.Duration, ok bool) {
 	var info *unix.TCPInfo
 	var infoError error
--- a/internal/socket/socket_test.go
+++ b/internal/socket/socket_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// testTimeout limits each wait of a test. Even on a busy machine, nothing that a test waits for takes this long.
+// testTimeout limits each wait of a test. Nothing that a test waits for takes that long, even on a busy machine.
 const testTimeout = 10 * time.Second
 
 func listen(t *testing.T) net.Listener {
@@ -116,7 +116,7 @@
 	if ShutdownIfIdle(accepted, "bye", confirm) || confirmed {
 		t.Errorf("shut down with a byte unread, or confirm was called: %v", confirmed)
 	}
-	wantOpen(t, client, accepted)
+	expectOpen(t, client, accepted)
 }
 
 // TestShutdownIfIdleNeedsConfirmation checks that a connection stays open if confirm returns false.
@@ -125,11 +125,11 @@
 	if ShutdownIfIdle(accepted, "bye", func() bool { return false }) {
 		t.Error("shut down although confirm returned false")
 	}
-	wantOpen(t, client, accepted)
+	expectOpen(t, client, accepted)
 }
 
-// wantOpen writes a byte at the accepted end and fails the test unless it is the next byte that the client reads.
-func wantOpen(t *testing.T, client, accepted net.Conn) {
+// expectOpen writes a byte at the accepted end and fails the test unless it is the next byte that the client reads.
+func expectOpen(t *testing.T, client, accepted net.Conn) {
 	t.Helper()
 	write(t, accepted, "x")
 	buffer := make([]byte, 1)
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -71,7 +71,8 @@
 		t.log.closed(uses, result.CloseReason, a.ClientRequestID)
 	}
 	if result.Status == scheduler.ConnectFailed && a.isCancelled() {
-		result.Status = scheduler.NotSent // the client closed or a shutdown began; neither says anything about the target
+		// The client closed its connection or a shutdown began; neither says anything about the target.
+		result.Status = scheduler.NotSent
 	}
 	result.RequestID = a.RequestID
 	result.Number = a.Number
@@ -163,8 +164,8 @@
 	return dialed
 }
 
-// exchange sends the attempt on a connection and waits for the result. If the attempt has already been cancelled, its client
-// has closed or its deadline has passed, nothing is sent, and the connection stays usable.
+// exchange sends the attempt on a connection and waits for the result. If the attempt has already been cancelled, its
+// deadline has passed or its client has closed, nothing is sent, and the connection stays usable.
 func (t *target) exchange(ctx context.Context, a *inFlightAttempt, c *pooledConn) RoundTripResult {
 	if !a.attach(c.Conn) || ctx.Err() != nil || a.clientGone() {
 		return NoResponse(scheduler.NotSent, ReasonNone)
@@ -200,7 +201,7 @@
 }
 
 // mayStart is the last check before the first byte of an attempt. It returns false, and the attempt ends as NotSent, for one
-// of four reasons: the connection was closed or has bytes to read, which cannot be the response; the target is no longer
+// of four reasons: the connection was closed or has unread bytes, which cannot be the response; the target is no longer
 // serving; StartBy has passed; the client has closed its connection.
 func (t *target) mayStart(a *inFlightAttempt, c *pooledConn) bool {
 	if !c.IsIdle() || !t.isServing() {
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// TestCancelledDialIsKept checks that a dial goes on when its attempt is cancelled, because the client closed. Nothing of
+// TestCancelledDialIsKept checks that a dial goes on when its attempt is cancelled because the client closed. Nothing of
 // the attempt is sent, and the next attempt uses the connection.
 func TestCancelledDialIsKept(t *testing.T) {
 	server := newFakeTarget(t, respondOK)
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -16,15 +16,15 @@
 // Conn is a connection to a target. It carries one attempt at a time.
 type Conn interface {
 	// RoundTrip sends an attempt and waits for its result. It calls mayStart right before the first byte that could make the
-	// target start the request, and sends nothing if mayStart returns false: while the connection was being established, the
-	// target may have stopped serving, the client may have closed its connection, or StartBy may have passed. A
-	// call of Close from another goroutine ends the round trip early.
+	// target start the request. If mayStart returns false, it sends nothing and the status is NotSent: while the connection
+	// was being established, the target may have stopped serving, the client may have closed its connection, or StartBy may
+	// have passed. A call of Close from another goroutine ends the round trip early.
 	//
 	// The status is ConnectFailed if the attempt was not sent completely, and so cannot have executed, because a write
 	// failed or timed out; a failed dial has the same status. The status is ConnectionReset if the attempt was sent
 	// completely, and before its deadline the connection failed or the response turned out to be unusable.
 	RoundTrip(attempt dispatcher.Attempt, mayStart func() bool) RoundTripResult
-	// IsIdle reports whether a connection without an attempt is still open and has nothing to read.
+	// IsIdle reports whether a connection without an attempt is still open and has no unread bytes.
 	IsIdle() bool
 	Close() error
 }
--- a/internal/upstream/connpool.go
+++ b/internal/upstream/connpool.go
@@ -151,7 +151,7 @@
 }
 
 // reserveSlot counts one more connection as open. It returns false if that would exceed a limit, for this target or for all
-// together. The limits keep the process within its file descriptors, whatever the number of targets.
+// together. The limits keep the process within its limit on file descriptors, whatever the number of targets.
 func (p *connPool) reserveSlot() bool {
 	if p.openConns >= p.options.MaxConnsPerTarget {
 		return false
--- a/internal/upstream/connpool_test.go
+++ b/internal/upstream/connpool_test.go
@@ -76,7 +76,7 @@
 	}
 }
 
-// TestAcquireClosesUnusable checks that acquire closes a pooled connection that has data to read, and releases its slot.
+// TestAcquireClosesUnusable checks that acquire closes a pooled connection that has unread bytes, and releases its slot.
 func TestAcquireClosesUnusable(t *testing.T) {
 	pool := newTestPool(1)
 	c := addIdle(t, pool, time.Minute)
@@ -101,8 +101,8 @@
 
 // TestDeadlineClearedAfterAttempt checks that an attempt leaves no deadline on its connection.
 //
-// With a deadline that had passed, the check of the idle connection failed, the healthy connection was closed, and nearly
-// every request needed a new one.
+// It guards against a pool that closes healthy connections: the check of an idle connection failed because the deadline of
+// its last attempt had passed, and nearly every request needed a new connection.
 func TestDeadlineClearedAfterAttempt(t *testing.T) {
 	actor := newTestTarget(scheduler.Serving)
 	near, far := net.Pipe()
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -20,7 +20,7 @@
 )
 
 const (
-	// testTimeout is far longer than any event takes that a test waits for, even on a busy machine.
+	// testTimeout limits each wait of a test. Nothing that a test waits for takes that long, even on a busy machine.
 	testTimeout = 20 * time.Second
 	// testTarget is the ID of a testRegistry's target.
 	testTarget = "n"
--- a/internal/upstream/http.go
+++ b/internal/upstream/http.go
@@ -38,9 +38,9 @@
 	budget *memoryBudget
 }
 
-// RoundTrip implements Conn. The status depends on how much was written: until the last byte of the request the target
-// cannot have started the attempt, after it the attempt may have executed. The attempt's deadline applies to the write and
-// to the read of head and body.
+// RoundTrip implements Conn. The status depends on how much was written: before the last byte of the request is written, the
+// target cannot have started the attempt; afterwards, the attempt may have executed. The attempt's deadline applies to the
+// write and to the read of head and body.
 func (c *httpConn) RoundTrip(attempt dispatcher.Attempt, mayStart func() bool) RoundTripResult {
 	// SetDeadline fails only on a closed connection, and then the write fails too.
 	_ = c.SetDeadline(attempt.Deadline)
@@ -68,8 +68,8 @@
 	if resp.closeAfter || hasExtraData {
 		return ReasonConnectionClose
 	}
-	// If the deadline stayed set, IsIdle would return false once it had passed, and the pool would close a healthy
-	// connection.
+	// If the deadline stayed set, a read on the idle connection would fail once it had passed, and a check by such a read
+	// would make the pool close a healthy connection. The check that IsIdle uses now ignores deadlines.
 	if c.SetDeadline(time.Time{}) != nil {
 		return ReasonClosed
 	}
--- a/internal/upstream/httpresponse.go
+++ b/internal/upstream/httpresponse.go
@@ -41,7 +41,7 @@
 	statusCode  int
 	notStarted  bool                  // the target states that it never started the attempt
 	loadReport  *scheduler.LoadReport // nil if the response has none
-	volumeUsage int                   // as in dispatcher.AttemptResult
+	volumeUsage int                   // see scheduler.AttemptEnded
 	body        []byte
 	closeAfter  bool // the target closes the connection after the response, so it must not be reused
 }
