--- a/internal/clienthttp/conn.go
+++ b/internal/clienthttp/conn.go
@@ -58,7 +58,7 @@
 	closeDetectionLost     chan struct{}
 	closeDetectionLostOnce sync.Once
 
-	// The fields from here to idleSince belong to the reader, and to the state hook between two reads.
+	// The fields from here to unreadSince belong to the reader, and to the state hook between two reads.
 
 	// scanner has scanned the bytes that were passed to net/http.
 	scanner requestScanner
--- a/internal/clienthttp/conntable.go
+++ b/internal/clienthttp/conntable.go
@@ -25,8 +25,8 @@
 type connTable struct {
 	// maxConns is the number of open connections above which a new one is over the limit, unless another is evicted.
 	maxConns int
-	// evictIdleAbove is the number of open connections, in flight or not, above which each new one evicts one that has
-	// been idle long enough.
+	// evictIdleAbove is the number of open connections, with or without a request in flight, above which each new one
+	// evicts one that has been idle long enough: see rankForEviction.
 	evictIdleAbove int
 	log            *slog.Logger
 
--- a/internal/clienthttp/eviction_test.go
+++ b/internal/clienthttp/eviction_test.go
@@ -248,6 +248,7 @@
 // before, and the log would show the connection with reason=CONNECTION_LIMIT and requests=0.
 func TestNewConnectionIsClosedWith503(t *testing.T) {
 	const maxConns = 2
+	// fill opens as many connections as the limit allows, with a request in flight on each.
 	fill := func(t *testing.T, addr string, d *fakeDispatcher) {
 		t.Helper()
 		for range maxConns {
--- a/internal/clienthttp/parse.go
+++ b/internal/clienthttp/parse.go
@@ -92,9 +92,9 @@
 
 // checkFraming returns an error for a request whose body does not have a declared length within the limit.
 //
-// It rejects transfer codings and HTTP/1.0 to prevent request smuggling. net/http drops a Content-Length beside a
-// Transfer-Encoding, and ignores the transfer coding of an HTTP/1.0 request, so a proxy before or after this server might
-// see another request in the body.
+// It rejects transfer codings and HTTP/1.0 to prevent request smuggling. net/http drops the Content-Length of a request
+// that also has a Transfer-Encoding, and ignores the transfer coding of an HTTP/1.0 request, so a proxy before or after
+// this server might see another request in the body.
 func checkFraming(r *http.Request) *requestError {
 	switch {
 	case len(r.TransferEncoding) > 0:
--- a/internal/clienthttp/server.go
+++ b/internal/clienthttp/server.go
@@ -73,10 +73,10 @@
 	Logger         *slog.Logger
 }
 
-// Dispatcher owns each submitted request until its response.
+// Dispatcher takes over submitted requests and responds to each, unless its client closes the connection first.
 type Dispatcher interface {
-	// Submit hands a request over. It returns false if there is no capacity for the request; Call.Respond is not called
-	// then.
+	// Submit hands a request over. If there is no capacity for the request, it returns false, and Call.Respond is never
+	// called.
 	Submit(*dispatcher.Call) bool
 	// Cancel reports that the client of a submitted request has closed its connection.
 	Cancel(*dispatcher.Call)
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -39,8 +39,8 @@
 	notify    func(*endpoints.List)
 	log       *slog.Logger
 	client    http.Client
-	lists     *mailbox.Mailbox[*endpoints.List]
-	addresses *mailbox.Mailbox[string]
+	lists     *mailbox.Mailbox[*endpoints.List] // not yet passed to notify
+	addresses *mailbox.Mailbox[string]          // set by SetAddress and not yet polled
 
 	// The following fields are owned by the goroutine of watchAddress while it runs, and otherwise by the goroutine of
 	// watch.
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -22,7 +22,7 @@
 // peekFlags make a receive call return the first byte without consuming it and without blocking.
 const peekFlags = syscall.MSG_PEEK | syscall.MSG_DONTWAIT
 
-// IsOpenAndIdle reports whether a connection is open and has no unread bytes. It never blocks.
+// IsOpenAndIdle reports whether a connection is open and has no unread bytes. It never blocks and ignores deadlines.
 //
 // It detects pooled connections that must not be used again: those that the peer has closed, and those with unread bytes of
 // a late response, which would be taken for the response to the next request. In both cases, a read would not block. The
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -38,8 +38,8 @@
 	requests    atomic.Int32 // received
 }
 
-// requestHandler responds to the n-th request, counted from 1, on its connection. It returns false to have the connection
-// closed.
+// requestHandler responds to the target's n-th request, counted from 1, on the connection on which the request arrived. It
+// returns false to have the connection closed.
 type requestHandler func(n int32, request *http.Request, conn net.Conn) bool
 
 func newFakeTarget(t *testing.T, handle requestHandler) *fakeTarget {
--- a/internal/upstream/http.go
+++ b/internal/upstream/http.go
@@ -68,8 +68,8 @@
 	if resp.closeAfter || hasExtraData {
 		return ReasonConnectionClose
 	}
-	// If the deadline stayed set, a read on the idle connection would fail once it had passed, and a check by such a read
-	// would make the pool close a healthy connection. The check that IsIdle uses now ignores deadlines.
+	// If the deadline stayed set, a read on the idle connection would fail once it had passed. IsIdle ignores deadlines,
+	// but with a check that reads, the pool would close a healthy connection.
 	if c.SetDeadline(time.Time{}) != nil {
 		return ReasonClosed
 	}
--- a/internal/upstream/registry.go
+++ b/internal/upstream/registry.go
@@ -26,7 +26,7 @@
 // connection beyond MaxConnsPerTarget or MaxConns is reported as NotSent.
 type Options struct {
 	Dialer            Dialer
-	DialTimeout       time.Duration // how long an attempt waits for a new connection; see also backgroundDialFactor
+	DialTimeout       time.Duration // how long an attempt waits for a new connection; the dial may go on for a later attempt
 	IdleTimeout       time.Duration // how long an unused connection is kept in the pool
 	MaxConnsPerTarget int           // connections to one target, including those being dialed
 	MaxConns          int           // connections to all targets, including those being dialed
