--- a/internal/clienthttp/conn.go
+++ b/internal/clienthttp/conn.go
@@ -194,11 +194,12 @@
 	}
 }
 
-// claimRequest marks the request that has been read as in flight. It aborts the handler if the connection was closed
-// meanwhile.
+// claimRequest marks the request that net/http has passed to the handler as in flight. It aborts the handler if the
+// connection was closed meanwhile. A request that is malformed or does not go to the dispatcher is claimed even if not all
+// of it has been read.
 func (c *clientConn) claimRequest() {
 	claimed := c.state.CompareAndSwap(stateReceived, stateInFlight) ||
-		c.state.CompareAndSwap(stateReceiving, stateInFlight) // malformed, and the rest of it has not been read
+		c.state.CompareAndSwap(stateReceiving, stateInFlight)
 	if !claimed {
 		panic(http.ErrAbortHandler)
 	}
--- a/internal/clienthttp/connstate.go
+++ b/internal/clienthttp/connstate.go
@@ -2,14 +2,14 @@
 
 import "sync/atomic"
 
-// connState is the state of a client connection. The table lists all transitions. Each is a compare-and-swap, so that a
+// connState is the state of a client connection. These are all transitions. Each is a compare-and-swap, so that a
 // connection is never evicted once the handler has claimed a request on it:
 //
 //	from       to         made by     when
 //	idle       receiving  reader      bytes of a request have been read
 //	receiving  received   reader      net/http has been given all of the request
 //	received   inFlight   handler     it claims the request
-//	receiving  inFlight   handler     the same, for a malformed request of which not all has been read
+//	receiving  inFlight   handler     the same, without having read all of the request: see claimRequest
 //	inFlight   responded  handler     it has written the response
 //	inFlight   malformed  handler     the request is malformed; the rest of it is read and discarded
 //	responded  idle       state hook  net/http has finished the response, and nothing of a further request has been read
@@ -20,10 +20,10 @@
 //	malformed  closed     table       eviction or shutdown, even if bytes are unread
 //	idle       closed     reader      the deadline of a read has passed, and nothing is unread
 //
-// The reader is the goroutine that reads from the connection; the state hook is connTable.onConnState. If net/http
-// responds without calling the handler, the state hook makes the transition from whatever state the connection is in. A
-// new connection far over the limit is the one exception to the compare-and-swaps: its state is stored as closed before
-// anything is read.
+// The reader is the goroutine that reads from the connection, the table is connTable, and the state hook is
+// connTable.onConnState. If net/http responds without calling the handler, the state hook makes the transition from
+// whatever state the connection is in. A new connection far over the limit is the one exception to the compare-and-swaps:
+// its state is stored as closed before anything is read.
 type connState int32
 
 const (
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -117,9 +117,9 @@
 }
 
 // dial opens a connection for the attempt. It returns nil if the dial fails, takes longer than Options.DialTimeout, or is
-// not done when the context is. A dial that takes too long goes on in the background, since another one might take as long,
-// and a later attempt finds its connection in the pool. There is at most one background dial per target; any further dial is
-// aborted.
+// not done when the context is. A dial that the attempt stops waiting for goes on in the background, since another one might
+// take as long, and a later attempt finds its connection in the pool. There is at most one background dial per target; any
+// further dial is aborted.
 func (t *target) dial(ctx context.Context, a *inFlightAttempt) *pooledConn {
 	dialCtx, stopDial := context.WithTimeout(context.Background(), backgroundDialFactor*t.options.DialTimeout)
 	dialed := t.startDial(dialCtx)
