--- a/internal/clienthttp/accept_test.go
+++ b/internal/clienthttp/accept_test.go
@@ -113,7 +113,7 @@
 	return l.Listener.Accept()
 }
 
-// TestRequestInAcceptQueueCountsAsReceivedWhileAcceptIsSlow makes accept fail as above, and then delays it by 2 ms for
+// TestRequestInAcceptQueueCountsAsReceivedWhileAcceptIsSlow makes accept fail for 0.3 s, and then delays it by 2 ms for
 // each connection. An accept that takes a while must not be taken as a sign that the queue was empty: the requests that
 // were still in the queue would count as received when they were read.
 func TestRequestInAcceptQueueCountsAsReceivedWhileAcceptIsSlow(t *testing.T) {
--- a/internal/discovery/poll.go
+++ b/internal/discovery/poll.go
@@ -50,7 +50,7 @@
 	return fmt.Sprintf("/api/targets?after=%d&wait_ms=%d", p.after, p.wait.Milliseconds())
 }
 
-// timeout returns the timeout of the poll. The parameter shared is as for Watcher.isShared.
+// timeout returns the timeout of the poll. shared is whether one discovery service serves all initiators in turn.
 func (p pollRequest) timeout(shared bool) time.Duration {
 	timeout := p.wait + responseGrace
 	if shared {
