--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -22,7 +22,7 @@
 // peekFlags make a receive call return the first byte without consuming it and without blocking.
 const peekFlags = syscall.MSG_PEEK | syscall.MSG_DONTWAIT
 
-// IsOpenAndIdle reports whether a connection is open and has no unread bytes. It never blocks.
+// IsOpenAndIdle reports whether a connection is open and has no unread bytes. It never blocks and ignores deadlines.
 //
 // It detects pooled connections that must not be used again: those that the peer has closed, and those with unread bytes of
 // a late response, which would be taken for the response to the next request. In both cases, a read would not block. The
@@ -132,7 +132,7 @@
 
 // SinceLastData returns how long ago the last bytes from the peer arrived at this machine, whether or not they have been
 // read since. The result is never longer than the true time, and at most two ticks of the kernel's clock shorter. ok is
-// false if the kernel doesn't provide the time, or if this side has closed the socket.
+// false if the kernel does not provide the time, or if this side has closed the socket.
 func SinceLastData(rawConn syscall.RawConn) (elapsed time.Duration, ok bool) {
 	var info *unix.TCPInfo
 	var infoError error
