--- a/cmd/initiator/agent.go
+++ b/cmd/initiator/agent.go
@@ -35,7 +35,7 @@
 	return cmd
 }
 
-// runAgent runs one server of the configuration store until ctx is done or the server fails.
+// runAgent runs an agent, which is one server of the configuration store, until ctx is done or the server fails.
 func runAgent(ctx context.Context, settings *config.Agent, log *slog.Logger) error {
 	listener, err := net.Listen("tcp", settings.API())
 	if err != nil {
--- a/cmd/initiator/configcmd.go
+++ b/cmd/initiator/configcmd.go
@@ -65,7 +65,7 @@
 	var ifVersion int64
 	cmd := &cobra.Command{
 		Use:   "put NAME FILE",
-		Short: "Write an initiator's configuration (FILE - is standard input)",
+		Short: "Write an initiator's configuration from FILE, or from standard input if FILE is -",
 		Args:  cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			name := args[0]
--- a/cmd/initiator/initiator.go
+++ b/cmd/initiator/initiator.go
@@ -20,8 +20,8 @@
 )
 
 const (
-	// coreRounding is added to the granted number of cores before it is truncated to GOMAXPROCS. The platform grants
-	// fractions of a core; they are rounded up, except that a remainder below a hundredth of a core is dropped.
+	// coreRounding is added to the granted number of cores before the sum is truncated to GOMAXPROCS. The platform grants
+	// fractions of a core; they are rounded up, except that a fraction below a hundredth of a core is dropped.
 	coreRounding = 0.99
 	// runtimeMemoryPercent is the Go runtime's soft memory limit, as a percentage of the memory granted to the process. Near
 	// the limit the runtime collects garbage more often. The rest is a margin, because the process is killed when it reaches
@@ -132,7 +132,7 @@
 }
 
 // newServers returns the servers for clients, by listen address. With NVMe over TCP, all targets speak NVMe, so the HTTP
-// server answers only health checks.
+// server answers only readiness checks.
 func (in *initiator) newServers(operator *config.OperatorFile) map[string]server {
 	cfg := in.config
 	servers := map[string]server{
--- a/cmd/initiator/nvme_test.go
+++ b/cmd/initiator/nvme_test.go
@@ -14,8 +14,8 @@
 // nvmeAddr is the listen address in deploy/nvme.toml.
 const nvmeAddr = "127.0.0.1:4420"
 
-// deployedNVMe returns the text of deploy/nvme.toml with its plan and classes replaced by those of the testbed.
-func deployedNVMe(t *testing.T) string {
+// nvmeOperatorText returns the text of deploy/nvme.toml with its plan and classes replaced by those of the testbed.
+func nvmeOperatorText(t *testing.T) string {
 	t.Helper()
 	raw, err := os.ReadFile("../../deploy/nvme.toml")
 	if err != nil {
@@ -28,7 +28,7 @@
 // TestNVMeOptions converts the operator's file deploy/nvme.toml to the options of both sides of NVMe over TCP. Every field
 // of the file must reach the option that it sets.
 func TestNVMeOptions(t *testing.T) {
-	cfg, operator := newTestbed(t).mustLoad(t, deployedNVMe(t))
+	cfg, operator := newTestbed(t).mustLoad(t, nvmeOperatorText(t))
 	server := nvmeServerOptions(cfg, operator.NVMe, discardLog)
 	if len(server.Namespaces) != 1 || server.ClassDeadlines["position-read"] != 20*time.Second ||
 		server.QueueDepth != 64 || server.MaxConns != cfg.MaxClientConns() || server.MaxBufferedBytes != 48<<20 {
@@ -49,7 +49,7 @@
 	}
 }
 
-// waitUntilReady waits until the health check succeeds.
+// waitUntilReady waits until the readiness check succeeds.
 func (b *testbed) waitUntilReady(t *testing.T) {
 	t.Helper()
 	for deadline := time.Now().Add(waitTimeout); ; time.Sleep(10 * time.Millisecond) {
@@ -66,8 +66,8 @@
 	}
 }
 
-// TestServeNVMe runs an initiator with an operator's file. At the file's address, NVMe over TCP answers a host's connection
-// request. At the platform's address, HTTP answers only health checks.
+// TestServeNVMe runs an initiator with an operator's file. At the address in that file, NVMe over TCP answers a host's
+// connection request. At the platform's address, HTTP answers only readiness checks.
 func TestServeNVMe(t *testing.T) {
 	const (
 		icReq      = 0 // PDU types: Initialize Connection Request and Response
@@ -76,7 +76,7 @@
 	)
 	b := newTestbed(t)
 	addr := freeAddr(t)
-	cfg, operator := b.mustLoad(t, strings.ReplaceAll(deployedNVMe(t), nvmeAddr, addr))
+	cfg, operator := b.mustLoad(t, strings.ReplaceAll(nvmeOperatorText(t), nvmeAddr, addr))
 	ctx, stop := context.WithCancel(context.Background())
 	listening := make(chan struct{})
 	ended := make(chan error, 1)
--- a/cmd/initiator/reload.go
+++ b/cmd/initiator/reload.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// reloadTimeout is how long a failed reload is retried. The discovery service named by the old configuration closes its
-	// connections 1.5 s after the signal.
+	// reloadTimeout is how long a failed reload is retried: until the discovery service that the old configuration names
+	// closes its connections, 1.5 s after the signal.
 	reloadTimeout = 1500 * time.Millisecond
 	// reloadRetryInterval is the pause between two reads of the configuration.
 	reloadRetryInterval = 50 * time.Millisecond
@@ -18,8 +18,8 @@
 
 // watchReloads starts a goroutine that reads the configuration again at each SIGHUP. If the address of discovery has
 // changed, the new one is sent to the returned channel; all other settings take effect at the next start. PROXY_DISCOVERY is
-// ignored: see config.Reload. A configuration that cannot be used changes nothing. The goroutine ends when hangups is
-// closed.
+// ignored: see config.Reload. A configuration that cannot be used changes nothing. The goroutine ends once hangups is
+// closed and the last change has been received.
 func watchReloads(hangups <-chan os.Signal, getenv func(string) string, discoveryAddr string, log *slog.Logger) <-chan string {
 	changes := make(chan string)
 	go func() {
--- a/cmd/initiator/serve.go
+++ b/cmd/initiator/serve.go
@@ -12,7 +12,7 @@
 	"dapplegate/internal/config"
 )
 
-// Log messages about configurations, whether from the file or from the store.
+// The messages and the reason that are logged about configurations, whether from the file or from the store.
 const (
 	eventConfigAccepted   = "configuration accepted"
 	eventConfigRejected   = "configuration rejected"
--- a/cmd/initiator/stored.go
+++ b/cmd/initiator/stored.go
@@ -19,7 +19,7 @@
 	return cfg, nil
 }
 
-// checkStored returns an error if the named initiator could not start with the configuration.
+// checkStored returns an error if the configuration is incomplete or invalid, or belongs to another initiator.
 func checkStored(name string, text []byte) error {
 	_, err := parseStored(name, text)
 	return err
--- a/cmd/simadapter/adapter.go
+++ b/cmd/simadapter/adapter.go
@@ -83,8 +83,8 @@
 	return json.Marshal(reply)
 }
 
-// receive decodes an event and passes it to accept. It returns the event's type, as far as it could be decoded, to be named
-// in the error.
+// receive decodes an event and passes it to accept. It also returns the event's type, to be named in the error; the type is
+// empty if it could not be decoded.
 func (a *adapter) receive(received *inboxes, raw json.RawMessage) (eventType string, err error) {
 	var event wireEvent
 	if err := json.Unmarshal(raw, &event); err != nil {
@@ -157,7 +157,7 @@
 	return uint64(seed), nil
 }
 
-// step runs one step of the initiator's scheduler at a time of the simulator's clock. If the scheduler panics, an
+// step runs one step of the initiator's scheduler. The time is that of the simulator's clock. If the scheduler panics, an
 // internalError replaces the initiator's actions, so that the other initiators in the process keep running.
 func (a *adapter) step(in *inbox, now time.Duration) (actions []wireAction) {
 	sched := a.schedulers[in.initiatorID]
--- a/cmd/simadapter/adapter_test.go
+++ b/cmd/simadapter/adapter_test.go
@@ -106,7 +106,7 @@
 		{"invalid options", batch(1, strings.Replace(startEvent, `"promiseUs":400000`, `"promiseUs":0`, 1)), "needs a latency objective"},
 		{"unknown effect", batch(1, strings.Replace(startEvent, "pure", "odd", 1)), `options.classes[0].effect: unknown effect "odd"`},
 		{"unknown group", batch(1, strings.Replace(startEvent, `"pure"`, `"token","group":"odd"`, 1)), `unknown group "odd"`},
-		{"unknown outcome", batch(1, startEvent, result("odd")), `unknown outcome "odd"`},
+		{"unknown status", batch(1, startEvent, result("odd")), `unknown status "odd"`},
 		{"wrong type", batch(1, startEvent, strings.Replace(requestEvent(""), "900000", `"soon"`, 1)), "budgetUs"},
 		{"no list kind", batch(1, startEvent, strings.Replace(listEvent, `"mode":"whole",`, "", 1)), "mode: required field"},
 		{"unknown list kind", batch(1, startEvent, strings.Replace(listEvent, "whole", "odd", 1)), `unknown list kind "odd"`},
--- a/cmd/simadapter/decode.go
+++ b/cmd/simadapter/decode.go
@@ -99,7 +99,7 @@
 // notReported is the scheduler's value for a figure that is absent from a load report.
 const notReported = -1
 
-// decodeLoadReport converts a target's load report; nil if there is none.
+// decodeLoadReport converts a target's load report. It returns nil if there is none.
 func decodeLoadReport(wire *wireLoadReport) *scheduler.LoadReport {
 	if wire == nil {
 		return nil
@@ -133,7 +133,7 @@
 	case "unused":
 		return scheduler.NotSent, nil
 	}
-	return 0, fmt.Errorf("stateCode: unknown outcome %q", stateCode)
+	return 0, fmt.Errorf("stateCode: unknown status %q", stateCode)
 }
 
 func decodeEndpointList(event *wireEvent) (scheduler.Event, error) {
--- a/cmd/simadapter/samples_test.go
+++ b/cmd/simadapter/samples_test.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// TestStatusSamples decodes each outcome that the WIRE page lists and checks which outcomes rule out that the request was
-// executed.
+// TestStatusSamples decodes each status of an attempt that the WIRE page lists and checks which of them rule out that the
+// request was executed.
 func TestStatusSamples(t *testing.T) {
 	for stateCode, want := range map[string]struct {
 		status          scheduler.AttemptStatus
--- a/cmd/simadapter/wire.go
+++ b/cmd/simadapter/wire.go
@@ -6,8 +6,9 @@
 	"dapplegate/internal/config"
 )
 
-// The types in this file are the simulator's messages; their fields have the names that its protocol uses. A nil pointer
-// stands for a field that is absent or null. Times are in microseconds.
+// The types with the prefix wire are the simulator's messages. Their fields have the names that its protocol uses; those that
+// the adapter does not need are left out. A nil pointer stands for a field that is absent or null. Times are in
+// microseconds.
 
 // wireBatch is one line of input.
 type wireBatch struct {
@@ -77,7 +78,7 @@
 	Outbox []wireAction `json:"outbox"`
 }
 
-// requiredField is a field that an event must have.
+// requiredField is a field that a message must have.
 type requiredField struct {
 	name    string
 	present bool
--- a/internal/faulttest/checks_test.go
+++ b/internal/faulttest/checks_test.go
@@ -46,8 +46,8 @@
 }
 
 // checkResponse checks that the client got a final response in time, and that a response with status 200 is the one that a
-// target made for this request. It skips requests whose client disconnected, whose initiator was killed without SIGTERM, or
-// whose connection ended before the initiator read them.
+// target made for this request. It skips requests that were not sent completely, whose client disconnected, whose
+// initiator was killed without SIGTERM, or whose connection ended before the initiator read them.
 func (h *History) checkResponse(r *requestRecord) []Violation {
 	if r.sentAt.IsZero() || !r.disconnectedAt.IsZero() {
 		return nil
--- a/internal/faulttest/client_test.go
+++ b/internal/faulttest/client_test.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	// crossingWindow is how long after a request's last byte a close of the connection still counts as sent before the
-	// request arrived. A later close means that the initiator closed the connection although the request had arrived.
+	// crossingWindow is the time after a request's last byte within which the initiator may close the connection because the
+	// request has not arrived yet. A later close means that it closed the connection although the request had arrived.
 	crossingWindow = 5 * time.Millisecond
 	// readDeadlineMargin is how much longer than its timeout plus responseSlack a client waits for a response.
 	readDeadlineMargin = 200 * time.Millisecond
-	// maxSends is how often a client sends a request at most. It sends a request again if the connection ends before the
-	// initiator has read the request.
+	// maxSends is the maximum number of times that a client sends a request. It sends a request again if the connection ends
+	// before the initiator has read the request.
 	maxSends = 3
 	// dialTimeout limits how long connecting to an initiator may take.
 	dialTimeout = time.Second
@@ -117,7 +117,8 @@
 	return o, true
 }
 
-// exchange writes a request and reads its response. It returns whether the connection can be used again.
+// exchange writes a request and reads its response, or disconnects if the request says so. It reports whether the connection
+// can be used again.
 func (c *Client) exchange(conn net.Conn, reused bool, req Request) (o Outcome, keep bool) {
 	if err := req.writeTo(conn); err != nil {
 		return Outcome{Text: err.Error(), Unread: true}, false
--- a/internal/faulttest/discovery_test.go
+++ b/internal/faulttest/discovery_test.go
@@ -11,12 +11,12 @@
 
 // Endpoint is a target in discovery's endpoint list.
 type Endpoint struct {
-	ID      string `json:"id"`
-	Addr    string `json:"addr"`
-	Zone    string `json:"zone"`
-	Cell    int    `json:"cell"`
-	State   string `json:"state"`
-	Started int64  `json:"started_ms"`
+	ID        string `json:"id"`
+	Addr      string `json:"addr"`
+	Zone      string `json:"zone"`
+	Cell      int    `json:"cell"`
+	State     string `json:"state"`
+	StartedMs int64  `json:"started_ms"`
 }
 
 // endpointList is discovery's response: the full endpoint list.
--- a/internal/faulttest/process_test.go
+++ b/internal/faulttest/process_test.go
@@ -77,7 +77,7 @@
 		p.err = p.cmd.Wait()
 		close(p.exited)
 	}()
-	return p, p.awaitReady()
+	return p, p.waitUntilReady()
 }
 
 // WriteConfig replaces the configuration file atomically.
@@ -90,7 +90,7 @@
 	return os.Rename(temporary, p.configPath)
 }
 
-func (p *Process) awaitReady() error {
+func (p *Process) waitUntilReady() error {
 	for deadline := time.Now().Add(readyTimeout); time.Now().Before(deadline); time.Sleep(readyPollInterval) {
 		select {
 		case <-p.exited:
--- a/internal/faulttest/regression_test.go
+++ b/internal/faulttest/regression_test.go
@@ -127,7 +127,7 @@
 // TestRepeatedResponseIsNotUsedForNextRequest checks that the second copy of a response is not taken for the response to
 // the next request on the connection.
 //
-// The target sends each response a second time, up to 9 ms later, unless another request has arrived on the connection. The
+// The target sends each response a second time, up to 8 ms later, unless another request has arrived on the connection. The
 // test guards against two faults. The quarantine of 10 ms after a response was not kept once four connections to the target
 // were open, as happens under a burst. And the connection was checked before the attempt was handed to the goroutine that
 // writes it. A connection then carried the next request right after a response. The copy arrived between the check and the
--- a/internal/faulttest/request_test.go
+++ b/internal/faulttest/request_test.go
@@ -14,7 +14,7 @@
 	Shard             int
 	Timeout           time.Duration
 	Body              string        // the data of a write; empty for a read
-	Segments          int           // number of socket writes that the request is split into; 0 means one
+	Segments          int           // number of socket writes that the request is split into; 0: one
 	SegmentInterval   time.Duration // time between two of these writes
 	Disconnects       bool          // the client does not wait for the response
 	DisconnectAfter   time.Duration // time between the request's last byte and the disconnect
--- a/internal/faulttest/soak_test.go
+++ b/internal/faulttest/soak_test.go
@@ -120,8 +120,8 @@
 	}
 }
 
-// start starts an initiator and its client. It uses the addresses of the previous initiator and of discovery, and creates
-// them at the first call.
+// start starts an initiator and its client, and reports whether that succeeded. It uses the addresses of the previous
+// initiator and of discovery, and creates them at the first call.
 func (s *soakRun) start() bool {
 	var err error
 	if s.config.Listen == "" {
--- a/internal/faulttest/target_test.go
+++ b/internal/faulttest/target_test.go
@@ -156,7 +156,7 @@
 	t.history.update(id, func(r *requestRecord) { r.attempts = append(r.attempts, a) })
 }
 
-// reply responds to a request as the behaviour defines. It returns whether the connection stays open.
+// reply responds to a request as the behaviour defines. It reports whether the connection stays open.
 func (t *Target) reply(conn net.Conn, reader *bufio.Reader, behaviour Behaviour, id string) bool {
 	time.Sleep(behaviour.Delay)
 	body := responsePrefix(id) + strings.Repeat("x", 100)
@@ -192,7 +192,7 @@
 	return t.respond(conn, reader, behaviour, response)
 }
 
-// respond writes a response and then, as the behaviour defines, repeats it or closes the connection. It returns whether the
+// respond writes a response and then, as the behaviour defines, repeats it or closes the connection. It reports whether the
 // connection stays open.
 func (t *Target) respond(conn net.Conn, reader *bufio.Reader, behaviour Behaviour, response string) bool {
 	start := time.Now()
