--- a/cmd/initiator/configcmd.go
+++ b/cmd/initiator/configcmd.go
@@ -100,7 +100,7 @@
 func configStatusCommand(client *configstore.Client) *cobra.Command {
 	return &cobra.Command{
 		Use:   "status",
-		Short: "Show each agent's state and leader",
+		Short: "Show each agent's state, leader and last applied log entry",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			for _, status := range client.Status(cmd.Context()) {
--- a/cmd/initiator/endpoints.go
+++ b/cmd/initiator/endpoints.go
@@ -8,8 +8,8 @@
 )
 
 // applyEndpoints applies an endpoint list; it runs in the watcher's goroutine. The registry is updated before the scheduler,
-// because it checks the target's state again right before the first byte of an attempt. An attempt that the scheduler based
-// on the older list therefore never starts on a target that is known to be draining.
+// because the registry checks the target's state again right before the first byte of an attempt. An attempt that the
+// scheduler based on the older list therefore never starts on a target that is known to be draining.
 func (in *initiator) applyEndpoints(list *endpoints.List) {
 	in.registry.Apply(upstreamEndpoints(list), list.Complete)
 	in.startTimes.Apply(list)
--- a/cmd/initiator/follow.go
+++ b/cmd/initiator/follow.go
@@ -9,10 +9,10 @@
 	"dapplegate/internal/configstore"
 )
 
-// follow runs the initiator named by PROXY_NAME with its configuration from the store, until ctx is done. Each new version
-// of the configuration is validated, then served by a successor, which may listen on the same addresses. Once the successor
-// is listening, its predecessor shuts down gracefully, so that no accepted request is lost. If a version cannot be started,
-// the predecessor keeps running.
+// follow runs the initiator named by PROXY_NAME with its configuration from the store, until ctx is done or the initiator
+// fails. Each new version that Client.Watch reports is validated, then served by a successor, which may listen on the same
+// addresses. Once the successor is listening, its predecessor shuts down gracefully, so that no accepted request is lost. If
+// a version cannot be started, the predecessor keeps running.
 func follow(ctx context.Context, agents []string, getenv func(string) string, operatorFile string, log *slog.Logger) error {
 	name := getenv(config.EnvName)
 	if name == "" {
@@ -36,7 +36,8 @@
 	}
 }
 
-// watchEntry returns a channel that receives each new version of the named configuration, until ctx is done.
+// watchEntry returns a channel that receives each version of the named initiator's configuration that Client.Watch reports,
+// until ctx is done.
 func watchEntry(ctx context.Context, client *configstore.Client, name string, log *slog.Logger) <-chan configstore.Entry {
 	entries := make(chan configstore.Entry)
 	go client.Watch(ctx, name, log, func(entry configstore.Entry) {
--- a/cmd/initiator/serve.go
+++ b/cmd/initiator/serve.go
@@ -39,7 +39,7 @@
 	cmd.Flags().TextVar(&flags.logLevel, "log-level", slog.LevelInfo,
 		"minimum level of log messages; debug logs the steps of each request")
 	cmd.Flags().StringSliceVar(&flags.agents, "agents", nil,
-		"take the configuration named by PROXY_NAME from the agents at these addresses, and follow its changes")
+		"take the configuration of the initiator named by PROXY_NAME from the agents at these addresses, and follow its changes")
 	return cmd
 }
 
--- a/cmd/initiator/stored.go
+++ b/cmd/initiator/stored.go
@@ -7,7 +7,7 @@
 )
 
 // parseStored parses a configuration from the store. The configuration must be complete, because the environment does not
-// replace any field, and it must have the initiator's name.
+// override any field, and it must have the initiator's name.
 func parseStored(name string, text []byte) (*config.Config, error) {
 	cfg, err := config.Parse(text, config.NoEnvironment)
 	if err != nil {
--- a/cmd/simadapter/adapter_test.go
+++ b/cmd/simadapter/adapter_test.go
@@ -123,7 +123,7 @@
 	for _, name := range []string{"rid", "tier", "vol", "grade", "budgetUs", "weight", "groupNo"} {
 		err := run(strings.NewReader(batch(1, startEvent, requestEvent(name))), &bytes.Buffer{})
 		if err == nil || !strings.Contains(err.Error(), name+": required field is missing") {
-			t.Errorf("request without %s: error %v", name, err)
+			t.Errorf("request without %s: error %v, want one that names the missing field", name, err)
 		}
 	}
 }
