--- a/internal/configstore/handlers.go
+++ b/internal/configstore/handlers.go
@@ -23,7 +23,8 @@
 	maxWatchTimeout = time.Minute
 )
 
-// routes returns the HTTP API. The leader handles reads and writes; any server handles reads with the parameter "stale".
+// routes returns the HTTP API. Only the leader handles reads and writes, except that any server handles reads with the
+// parameter "stale". Each server reports its own status.
 func (s *Server) routes() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/status", s.handleStatus)
@@ -59,8 +60,8 @@
 	writeJSON(w, s.store.versions())
 }
 
-// handleGet responds with an entry. With the parameters "after" and "wait_ms" it waits until the entry has a version other
-// than after, and responds with 204 if the version is still the same after wait_ms.
+// handleGet responds with an entry. It waits for "wait_ms" milliseconds, at most maxWatchTimeout, for an entry whose version
+// differs from the parameter "after". If the version stays the same, it responds with 204, and if there is no entry, with 404.
 func (s *Server) handleGet(w http.ResponseWriter, r *http.Request) {
 	if !acceptsStale(r) && s.redirectToLeader(w, r) {
 		return
@@ -168,8 +169,8 @@
 
 // redirectToLeader redirects the client to the leader, or responds with 503 if no leader is known. If this server is the
 // leader, it returns false without a response. In this case a majority has just confirmed the leadership, so no other server
-// can have confirmed a write that is not in this server's log. redirectToLeader does not wait until the log is
-// applied; see the package comment.
+// can have confirmed a write that is not in this server's log. redirectToLeader does not wait until the log is applied; see
+// the package comment.
 func (s *Server) redirectToLeader(w http.ResponseWriter, r *http.Request) bool {
 	if s.raft.isLeader() {
 		return false
