--- a/internal/faulttest/history_test.go
+++ b/internal/faulttest/history_test.go
@@ -59,7 +59,7 @@
 	Text             string        // the response body, or the reason why there is none
 	EndedAt          time.Time     // when the last byte was read or the connection ended
 	Elapsed          time.Duration // from the request's last byte to EndedAt
-	Unread           bool          // the connection ended before the initiator read the request
+	Unread           bool          // there was no connection, or it ended before the initiator read the request
 	Killed           bool          // the initiator was killed without a preceding SIGTERM
 	err              error         // the error that prevented a complete response
 	partial          bool          // the client read part of a response
