--- a/scheduler/selection.go
+++ b/scheduler/selection.go
@@ -17,7 +17,7 @@
 // kind.
 type candidates struct {
 	eligible      *request // least finish tag among those with a start tag not after now
-	sequential    *request // least finish tag among the eligible ones for the extent of the last attempt
+	sequential    *request // like eligible, but only first attempts for the extent of the last attempt
 	nextEligible  *request // least start tag among those with a start tag after now
 	deprioritized *request // highest priority among the deprioritized ones
 	pastObjective *request // least finish tag among those past their objective
@@ -103,7 +103,8 @@
 }
 
 // collectAdmitted fills s.admitted with the queue's requests that may be sent now, and marks those that
-// are past their objective or deprioritized. For the others it sets the queue's wakeAt.
+// are past their objective or deprioritized. For requests that must still wait, it sets the queue's
+// wakeAt.
 func (s *Scheduler) collectAdmitted(q *shardQueue) {
 	t := q.target
 	s.admitted = s.admitted[:0]
--- a/scheduler/simulation_test.go
+++ b/scheduler/simulation_test.go
@@ -14,11 +14,11 @@
 // observedRequest is what the simulation knows about a request, from events and actions only.
 type observedRequest struct {
 	Request
-	class         Class
-	deadline      time.Duration
-	attempts      []observedAttempt
-	ended         bool
-	mayStillRunAt time.Duration // end of the last attempt that may still be running at its target; 0: none
+	class            Class
+	deadline         time.Duration
+	attempts         []observedAttempt
+	ended            bool
+	mayStillRunSince time.Duration // end of the last attempt that may still be running at its target; 0: none
 }
 
 type observedAttempt struct {
@@ -119,7 +119,7 @@
 }
 
 // staleEvents returns events that the scheduler must ignore: an early timer, the end of an attempt that
-// was never sent, and the end of an unknown request.
+// was never sent, and a closed connection of an unknown request's client.
 func (s *simulation) staleEvents() []Event {
 	id := s.open[s.rng.IntN(len(s.open))].ID
 	return []Event{
@@ -136,6 +136,7 @@
 	return s.open[s.rng.IntN(len(s.open))]
 }
 
+// takeDueTimers removes the timers that are due and reports whether there were any.
 func (s *simulation) takeDueTimers() bool {
 	isDue := func(at time.Duration) bool { return at <= s.now }
 	hasDue := slices.ContainsFunc(s.timers, isDue)
@@ -143,7 +144,7 @@
 	return hasDue
 }
 
-// nextEndpointList generates and records a failure, or a list with one changed target.
+// nextEndpointList generates a failure, or generates and records a list with one changed target.
 func (s *simulation) nextEndpointList() EndpointList {
 	if s.randomBool(0.1) {
 		return EndpointList{Failed: true}
@@ -232,13 +233,13 @@
 		attempt.status = s.nextStatus(hasTimedOut, failureRate)
 		s.recordStatus(r, attempt)
 		events = append(events, AttemptEnded{
-			RequestID:   r.ID,
-			Attempt:     number,
-			Target:      attempt.Target,
-			Status:      attempt.status,
-			Latency:     s.now - attempt.sentAt,
-			Answered:    r.ended,
-			VolumeUsage: s.rng.IntN(200),
+			RequestID:    r.ID,
+			Attempt:      number,
+			Target:       attempt.Target,
+			Status:       attempt.status,
+			Latency:      s.now - attempt.sentAt,
+			RequestEnded: r.ended,
+			VolumeUsage:  s.rng.IntN(200),
 		})
 	}
 	return events
@@ -258,7 +259,7 @@
 func (s *simulation) recordStatus(r *observedRequest, attempt *observedAttempt) {
 	switch attempt.status {
 	case DeadlineExceeded, ConnectionReset, Cancelled:
-		r.mayStillRunAt = s.now
+		r.mayStillRunSince = s.now
 	case Succeeded:
 		r.ended = true
 		addUnits(s.served, attempt.Target, s.now, r.Units)
