--- a/cmd/initiator/serve.go
+++ b/cmd/initiator/serve.go
@@ -12,7 +12,7 @@
 	"dapplegate/internal/config"
 )
 
-// Log messages about configurations, whether from the file or from the store.
+// The messages and the reason that are logged about configurations, whether from the file or from the store.
 const (
 	eventConfigAccepted   = "configuration accepted"
 	eventConfigRejected   = "configuration rejected"
@@ -39,7 +39,7 @@
 	cmd.Flags().TextVar(&flags.logLevel, "log-level", slog.LevelInfo,
 		"minimum level of log messages; debug logs the steps of each request")
 	cmd.Flags().StringSliceVar(&flags.agents, "agents", nil,
-		"take the configuration named by PROXY_NAME from the agents at these addresses, and follow its changes")
+		"take the configuration of the initiator named by PROXY_NAME from the agents at these addresses, and follow its changes")
 	return cmd
 }
 
--- a/cmd/initiator/stored.go
+++ b/cmd/initiator/stored.go
@@ -7,7 +7,7 @@
 )
 
 // parseStored parses a configuration from the store. The configuration must be complete, because the environment does not
-// replace any field, and it must have the initiator's name.
+// override any field, and it must have the initiator's name.
 func parseStored(name string, text []byte) (*config.Config, error) {
 	cfg, err := config.Parse(text, config.NoEnvironment)
 	if err != nil {
@@ -19,7 +19,7 @@
 	return cfg, nil
 }
 
-// checkStored returns an error if the named initiator could not start with the configuration.
+// checkStored returns an error if the configuration is incomplete or invalid, or belongs to another initiator.
 func checkStored(name string, text []byte) error {
 	_, err := parseStored(name, text)
 	return err
